--- a/packages/yuccarill-core/src/yuccarill/core/addresses.py
+++ b/packages/yuccarill-core/src/yuccarill/core/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses as operators write them: an IP number and a port."""
+"""Validate addresses of the form IPv4:PORT."""
 
 from __future__ import annotations
 
@@ -6,26 +6,28 @@
 import ipaddress
 
 MAX_PORT = 65535
-MAX_DIGITS = len(str(MAX_PORT))
+MAX_PORT_DIGITS = len(str(MAX_PORT))
 
 
-# Each change of a target's entry asks it of the same address again.
+# Cached: every update of a target checks the same address again.
 @functools.lru_cache(maxsize=4096)
 def is_host(text: str) -> bool:
-    """Tell whether a text is an IP number that others can connect to."""
-    # The endpoints are those of IPv4. Peers and callers connect to what is
-    # written, so "any address" would send them to themselves.
+    """Return whether a text is an IPv4 address that peers can dial."""
+    # Peers and callers dial this address; with 0.0.0.0 each of them would
+    # connect to itself.
     try:
-        number = ipaddress.IPv4Address(text)
+        address = ipaddress.IPv4Address(text)
     except ValueError:
         return False
-    return not (number.is_unspecified or number.is_multicast)
+    return not (address.is_unspecified or address.is_multicast)
 
 
 def is_address(text: str) -> bool:
-    """Tell whether a text is an IP number and a port."""
+    """Return whether a text is a dialable IPv4 address and a port."""
     host, _, port = text.rpartition(':')
-    # Digits of other scripts are decimal too, but nobody connects to them.
-    if not (port.isascii() and port.isdecimal() and len(port) <= MAX_DIGITS):
+    # str.isdecimal() also accepts non-ASCII digits.
+    if not (
+        port.isascii() and port.isdecimal() and len(port) <= MAX_PORT_DIGITS
+    ):
         return False
     return is_host(host) and 0 < int(port) <= MAX_PORT
--- a/packages/yuccarill-core/src/yuccarill/core/blackboard.py
+++ b/packages/yuccarill-core/src/yuccarill/core/blackboard.py
@@ -1,4 +1,4 @@
-"""The shared state of one process, in typed sections."""
+"""State that the controllers of one instance share."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass
 class Blackboard:
-    """Hold what controllers read and write."""
+    """Hold the state that controllers read and write."""
 
     me: Instance
     head: Snapshot | None = None
@@ -31,10 +31,11 @@
     in_flight_by_id: collections.Counter[TargetId] = dataclasses.field(
         default_factory=collections.Counter
     )
-    # What engines said of themselves, for those whose duty is held here.
+    # Last reported state of each engine whose lease this instance holds.
     targets_by_id: dict[TargetId, TargetState] = dataclasses.field(
         default_factory=dict
     )
     is_leaving: bool = False
-    # Set once it is leaving: what it promises callers ends by then.
+    # Set when the instance starts to leave: the latest expiry of the
+    # addresses that it hands out to callers.
     serves_until: WallTime | None = None
--- a/packages/yuccarill-core/src/yuccarill/core/errors.py
+++ b/packages/yuccarill-core/src/yuccarill/core/errors.py
@@ -1,4 +1,4 @@
-"""The exception tree, with a numbered result code for each leaf."""
+"""Exceptions with result codes; docs/result-codes.md quotes docstrings."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ResultCode(enum.IntEnum):
-    """Number every outcome that a caller or an operator may see."""
+    """Identify each outcome that callers and operators see."""
 
     OK = 0
     BAD_REQUEST = 1001
@@ -54,13 +54,13 @@
 
     code = ResultCode.INTERNAL
     http_status = 500
-    # Tells a caller that no byte of its request can have reached a target.
+    # True if no byte of the request can have reached a target.
     not_run = False
 
     def __init__(self, message: str, retry_after: float | None = None) -> None:
         super().__init__(message)
         self.message = message
-        # Seconds after which another try is worth its cost.
+        # Seconds to wait before a retry.
         self.retry_after = retry_after
 
 
@@ -209,7 +209,7 @@
 
 
 class InventoryInvalid(ConfigurationError):
-    """Refuse an inventory, naming every fault found, one a line."""
+    """Refuse an inventory, naming every fault classes_by_code, one a line."""
 
 
 class RevisionConflict(ConfigurationError):
@@ -235,7 +235,7 @@
 
 
 class PlatformError(YuccarillError):
-    """Report a fault of the platform or of a peer."""
+    """Report a failure of the platform or of a peer."""
 
     code = ResultCode.STORE_UNAVAILABLE
     http_status = 503
@@ -273,7 +273,7 @@
 
 
 class RolloutError(YuccarillError):
-    """Report a trainer's step that can't go on as asked."""
+    """Report a trainer's step that cannot be processed."""
 
     code = ResultCode.STEP_CONFLICT
     http_status = 409
@@ -319,23 +319,23 @@
 
 
 class SettingsInvalid(YuccarillError):
-    """Refuse settings, naming every fault found, one a line."""
+    """Refuse settings, naming every fault classes_by_code, one a line."""
 
     code = ResultCode.SETTINGS_INVALID
 
 
 def by_code(code: int) -> type[YuccarillError]:
-    """Return the class whose errors carry a code, the root for others."""
+    """Return the error class of a code, YuccarillError if there is none."""
     return _classes_by_code().get(code, YuccarillError)
 
 
 @functools.cache
 def _classes_by_code() -> dict[int, type[YuccarillError]]:
-    found: dict[int, type[YuccarillError]] = {}
-    waiting: list[type[YuccarillError]] = [YuccarillError]
-    while waiting:
-        error_class = waiting.pop(0)
-        # The class nearest to the root stands for a shared code.
-        found.setdefault(int(error_class.code), error_class)
-        waiting.extend(error_class.__subclasses__())
-    return found
+    classes_by_code: dict[int, type[YuccarillError]] = {}
+    pending: list[type[YuccarillError]] = [YuccarillError]
+    while pending:
+        error_class = pending.pop(0)
+        # Of classes that share a code, the one nearest to the root is kept.
+        classes_by_code.setdefault(int(error_class.code), error_class)
+        pending.extend(error_class.__subclasses__())
+    return classes_by_code
--- a/packages/yuccarill-core/src/yuccarill/core/explanations.py
+++ b/packages/yuccarill-core/src/yuccarill/core/explanations.py
@@ -1,4 +1,4 @@
-"""Explain result codes to people, for the command line and the docs."""
+"""Meanings and remedies of result codes, listed in docs/result-codes.md."""
 
 from __future__ import annotations
 
@@ -116,46 +116,46 @@
     code: int
     name: str
     http_status: int
-    # Whether the code promises that the request has not run and will not.
+    # True if the request has not run and never will.
     not_run: bool
     meaning: str
     remedy: str
 
     @property
     def row(self) -> str:
-        """Return the code's row in docs/result-codes.md."""
-        promise = 'yes' if self.not_run else 'no'
+        """Return the table row of this code for docs/result-codes.md."""
+        not_run = 'yes' if self.not_run else 'no'
         return (
-            f'| {self.code} | {self.name} | {self.http_status} | {promise} '
+            f'| {self.code} | {self.name} | {self.http_status} | {not_run} '
             f'| {self.meaning} | {self.remedy} |'
         )
 
 
 def explain(code: int) -> Explanation:
-    """Explain a code.
+    """Return the explanation of a code.
 
     Raises UnknownCode.
     """
     try:
-        known = ResultCode(code)
+        result_code = ResultCode(code)
     except ValueError as error:
         raise errors.UnknownCode(
-            f'There is no code {code}; look it up in docs/result-codes.md.'
+            f'Result code {code} does not exist; see docs/result-codes.md.'
         ) from error
-    remedy = _REMEDIES_BY_CODE[known]
-    if known is ResultCode.OK:
+    remedy = _REMEDIES_BY_CODE[result_code]
+    if result_code is ResultCode.OK:
         return Explanation(
-            code=known,
-            name=known.name,
+            code=result_code,
+            name=result_code.name,
             http_status=http.HTTPStatus.OK,
             not_run=False,
             meaning='Tell that all went well.',
             remedy=remedy,
         )
-    error_class = errors.by_code(known)
+    error_class = errors.by_code(result_code)
     return Explanation(
-        code=known,
-        name=known.name,
+        code=result_code,
+        name=result_code.name,
         http_status=error_class.http_status,
         not_run=error_class.not_run,
         meaning=_meaning(error_class),
@@ -164,13 +164,13 @@
 
 
 def explain_all() -> list[Explanation]:
-    """Explain every code, in the order of their numbers."""
+    """Return the explanations of all codes, in ascending order."""
     return [explain(code) for code in sorted(ResultCode)]
 
 
 def _meaning(error_class: type[errors.YuccarillError]) -> str:
-    # Where a class shares its code with one below, that one says more.
-    for below in error_class.__subclasses__():
-        if below.code is error_class.code:
-            return _meaning(below)
+    # A subclass that shares the code describes it more precisely.
+    for subclass in error_class.__subclasses__():
+        if subclass.code is error_class.code:
+            return _meaning(subclass)
     return (inspect.getdoc(error_class) or '').splitlines()[0]
--- a/packages/yuccarill-core/src/yuccarill/core/ids.py
+++ b/packages/yuccarill-core/src/yuccarill/core/ids.py
@@ -1,15 +1,15 @@
-"""Identifiers and instants used by every part."""
+"""Types of identifiers, counters and points in time."""
 
 from __future__ import annotations
 
 from typing import NewType
 
 InstanceId = NewType('InstanceId', str)
-# One start of an instance; a restart under the same id is another one.
+# Identifies one run of an instance; each restart gets a new incarnation.
 Incarnation = NewType('Incarnation', str)
 DataCentreId = NewType('DataCentreId', str)
 AccountName = NewType('AccountName', str)
-# What a client account's key is known by.
+# Digest of a client account's API key.
 KeyDigest = NewType('KeyDigest', bytes)
 CallerId = NewType('CallerId', str)
 TargetId = NewType('TargetId', str)
@@ -21,19 +21,19 @@
 GroupNumber = NewType('GroupNumber', int)
 SampleId = NewType('SampleId', str)
 RequestId = NewType('RequestId', str)
-# What a request asks, the same for each of its repeats.
+# Digest of the content of a request, the same for each of its retries.
 ContentDigest = NewType('ContentDigest', str)
 ChangeId = NewType('ChangeId', str)
 ShardNumber = NewType('ShardNumber', int)
-# Grows at each change of a shard's holder; the fencing number of its orders.
+# Fencing token of a shard's lease; increases with each change of holder.
 Epoch = NewType('Epoch', int)
-# One span of an incarnation's leases; a session that ended never returns.
+# Session that an incarnation's leases belong to; never reused once ended.
 SessionId = NewType('SessionId', str)
-# A span of time that usage is reported for.
+# Number of the time window that a usage report covers.
 WindowNumber = NewType('WindowNumber', int)
 Revision = NewType('Revision', int)
 WeightVersion = NewType('WeightVersion', int)
-# Seconds on a monotonic clock of this process.
+# Seconds on the monotonic clock of this process.
 Instant = NewType('Instant', float)
-# Seconds since the epoch, on the wall clock, as shown to people and peers.
+# Seconds since the Unix epoch, comparable between instances.
 WallTime = NewType('WallTime', float)
