--- a/packages/yuccarill-core/src/yuccarill/core/addresses.py
+++ b/packages/yuccarill-core/src/yuccarill/core/addresses.py
@@ -6,7 +6,7 @@
 import ipaddress
 
 MAX_PORT = 65535
-MAX_PORT_DIGITS = len(str(MAX_PORT))
+PORT_DIGITS = len(str(MAX_PORT))
 
 
 # Cached: every update of a target checks the same address again.
@@ -26,8 +26,6 @@
     """Return whether a text is a dialable IPv4 address and a port."""
     host, _, port = text.rpartition(':')
     # str.isdecimal() also accepts non-ASCII digits.
-    if not (
-        port.isascii() and port.isdecimal() and len(port) <= MAX_PORT_DIGITS
-    ):
+    if not (port.isascii() and port.isdecimal() and len(port) <= PORT_DIGITS):
         return False
     return is_host(host) and 0 < int(port) <= MAX_PORT
--- a/packages/yuccarill-core/src/yuccarill/core/config/__init__.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/__init__.py
@@ -1,1 +1,1 @@
-"""The inventory and rules that operators apply."""
+"""Inventories: validation, revisions and their storage."""
--- a/packages/yuccarill-core/src/yuccarill/core/config/apply.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/apply.py
@@ -1,4 +1,4 @@
-"""Make an operator's document the next revision, or say why not."""
+"""Write an inventory as the next revision, by compare-and-swap."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
 
 SETTLE_TRIES = 2
 SETTLE_WAIT_SECONDS = 0.5
-SWAP_TRIES = 3
-# Audit pages read to find a change that has left the head.
-MAX_PAGES_BACK = 64
-# What the key-value service takes as one value.
+MAX_SWAPS = 3
+# Audit pages to read when searching for a change older than the head.
+MAX_AUDIT_PAGES = 64
+# Size limit of one value in the key-value service.
 MAX_HEAD_BYTES = 1_000_000
-NAMED_ENTRIES = 10
+MAX_NAMED_ENTRIES = 10
 
 
 class ApplyOutcome(enum.Enum):
-    """Say what an apply came to when it was not refused."""
+    """Outcome of an apply that was not refused."""
 
     APPLIED = 'applied'
     UNCHANGED = 'unchanged'
 
 
 class ApplyRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Ask for a checked inventory to become the next revision."""
+    """Request to make a validated inventory the next revision."""
 
     change_id: ChangeId
     author: str
@@ -50,12 +50,12 @@
 
 
 class ApplyResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Say which revision an apply came to."""
+    """Result of an apply that was not refused."""
 
     outcome: ApplyOutcome
     revision: Revision
     change_id: ChangeId
-    # The head that was written or read; it may have moved on further.
+    # The head that was written or read; newer heads may exist.
     head: Head
 
 
@@ -64,34 +64,34 @@
 ) -> store.Decision[ApplyResult]:
     """Write the next revision.
 
-    Raises RevisionConflict, InventoryInvalid, StoreUnavailable if the
-    change has not taken effect and never will, and ApplyOutcomeUnknown if
-    that can't be known yet; then `settle` tells, once the service answers.
+    Raises RevisionConflict, InventoryInvalid or StoreUnavailable if the
+    change has not taken effect and never will, ApplyOutcomeUnknown if the
+    outcome is unknown; `settle` finds the outcome once the service answers.
     """
     head, version = yield from documents.read_head(store.Step.READ_HEAD)
-    for _ in range(SWAP_TRIES):
-        standing = yield from _find(head, request)
-        if standing is not None:
-            return _applied(standing, head)
+    for _ in range(MAX_SWAPS):
+        change = yield from _find(head, request)
+        if change is not None:
+            return _applied_result(change, head)
         if head.revision != request.base:
             raise conflict(request.base, head)
-        inventory = yield from _standing_inventory(head, local)
+        inventory = yield from _current_inventory(head, local)
         delta = deltas.between(inventory, request.inventory)
         if delta.is_empty:
-            return _unchanged(head)
-        new = yield from _successor(head, inventory, request, delta)
+            return _unchanged_result(head)
+        new_head = yield from _next_head(head, inventory, request, delta)
         outcome = yield store.Swap(
             store.Step.SWAP_HEAD,
             head_module.HEAD_KEY,
-            head_module.encode(new),
+            head_module.encode(new_head),
             version,
         )
         match outcome:
             case store.Swapped():
-                return _applied(new.changes[-1], new)
+                return _applied_result(new_head.changes[-1], new_head)
             case store.Conflict():
-                # The version moves without a new revision when another
-                # applier fences its own write; that is no race lost.
+                # Another applier that fences its own write changes the
+                # version but not the revision; this change still applies.
                 head, version = yield from _read_back(request)
             case _:
                 return (yield from settle(request, version))
@@ -101,10 +101,10 @@
 def settle(
     request: ApplyRequest, expected: int | None
 ) -> store.Decision[ApplyResult]:
-    """Find out what became of a swap whose reply was lost.
+    """Find the outcome of a swap whose reply was lost.
 
-    Names the version that the swap expected, None if it is not known any
-    more. Raises as `apply` does.
+    `expected` is the version that the swap expected, None if unknown.
+    Raises the same errors as `apply`.
     """
     for attempt in range(SETTLE_TRIES):
         if attempt:
@@ -116,29 +116,28 @@
             change = yield from _find(head, request)
         except errors.StoreUnavailable:
             continue
-        # The write may have taken effect although its reply was lost, and
-        # others may have built on it since. The operator would apply it
-        # again and be told of a conflict with itself; the change id tells.
+        # The write may have taken effect and later revisions may follow it.
+        # The change id identifies it, so that a repeated apply is not
+        # refused as a conflict with itself.
         if change is not None:
-            return _applied(change, head)
+            return _applied_result(change, head)
         if head.revision != request.base:
             raise conflict(request.base, head)
-        is_past = expected is not None and version != expected
-        if is_past or (yield from _fence(head, version)):
+        is_superseded = expected is not None and version != expected
+        if is_superseded or (yield from _fence(head, version)):
             raise documents.unavailable('the change was not written')
     raise errors.ApplyOutcomeUnknown(
-        f'Change {request.change_id} may or may not stand as revision '
-        f'{request.base + 1}, and may until the key-value service answers; '
-        'apply it again with the same change id, or read the audit trail.',
+        f'Change {request.change_id} may or may not have become revision '
+        f'{request.base + 1}; the key-value service did not answer. '
+        'Apply it again with the same change id, or read the audit trail.',
         retry_after=1.0,
     )
 
 
 def _fence(head: Head, version: int) -> store.Decision[bool]:
-    # A swap held up in the network could still arrive after the operator
-    # was told that it failed, and bring in a change that was given up. It
-    # names the version it was sent for; with that version gone the service
-    # refuses it for good.
+    # A delayed swap could take effect after the operator was told that it
+    # failed. Writing a new version of the head makes the service refuse the
+    # delayed swap, since that expects the old version.
     fenced = msgspec.structs.replace(head, fence=head.fence + 1)
     outcome = yield store.Swap(
         store.Step.FENCE,
@@ -150,25 +149,26 @@
 
 
 def conflict(base: Revision, head: Head) -> errors.RevisionConflict:
-    """Return the error that tells whose change stands and what it did."""
+    """Return an error that names the current revision and its changes."""
     if not head.changes:
         return errors.RevisionConflict(
-            f'No revision stands yet, this change is from revision {base}; '
-            'apply from revision 0.'
+            'No revision exists yet, but the change is based on revision '
+            f'{base}; apply it from revision 0.'
         )
-    standing = head.changes[-1]
+    current = head.changes[-1]
     entries = sorted(
         entry
         for change in head.changes
         if change.revision > base and change.delta is not None
         for entry in deltas.touched(change.delta)
     )
-    named = ', '.join(entries[:NAMED_ENTRIES])
-    more = ' and more' if len(entries) > NAMED_ENTRIES else ''
+    names = ', '.join(entries[:MAX_NAMED_ENTRIES])
+    more = ' and more' if len(entries) > MAX_NAMED_ENTRIES else ''
     return errors.RevisionConflict(
-        f'Revision {standing.revision} by {standing.author} stands, this '
-        f'change is from revision {base}. Changed since: {named}{more}. '
-        'Compare with "yuccarill diff" and apply from the standing one.'
+        f'Revision {current.revision} by {current.author} is current, but '
+        f'the change is based on revision {base}. Changed since: '
+        f'{names}{more}. Compare with "yuccarill diff", then apply the change '
+        'from the current revision.'
     )
 
 
@@ -179,31 +179,31 @@
         return (yield from documents.read_head(store.Step.READ_BACK))
     except errors.StoreUnavailable as error:
         raise errors.ApplyOutcomeUnknown(
-            f'Another write came before change {request.change_id}, or it '
-            'stands already; apply it again with the same change id.',
+            f'Change {request.change_id} lost to another write or has taken '
+            'effect already; apply it again with the same change id.',
             retry_after=1.0,
         ) from error
 
 
 def _find(head: Head, request: ApplyRequest) -> store.Decision[Change | None]:
-    """Return the request's change if it is part of what stands."""
-    made = Revision(request.base + 1)
-    if head.revision < made:
+    """Return the change that the request has already made, if any."""
+    number = Revision(request.base + 1)
+    if head.revision < number:
         return None
-    change = head.change_at(made)
+    change = head.change_at(number)
     last = head.checkpoint.revision
-    for _ in range(MAX_PAGES_BACK):
-        if change is not None or last < made:
+    for _ in range(MAX_AUDIT_PAGES):
+        if change is not None or last < number:
             break
         page = yield from documents.read_page(last)
         last = page.previous
-        change = next((c for c in page.changes if c.revision == made), None)
+        change = next((c for c in page.changes if c.revision == number), None)
     if change is not None and change.change_id == request.change_id:
         return change
     return None
 
 
-def _standing_inventory(
+def _current_inventory(
     head: Head, local: Snapshot | None
 ) -> store.Decision[Inventory]:
     if not head.changes:
@@ -216,16 +216,16 @@
     return inventory
 
 
-def _successor(
+def _next_head(
     head: Head,
     inventory: Inventory,
     request: ApplyRequest,
     delta: deltas.Delta,
 ) -> store.Decision[Head]:
-    checkpoint, earlier = head.checkpoint, head.changes
+    checkpoint, changes = head.checkpoint, head.changes
     if head_module.is_checkpoint_due(head):
         checkpoint = yield from documents.write_checkpoint(head, inventory)
-        earlier = ()
+        changes = ()
     change = Change(
         revision=Revision(request.base + 1),
         change_id=request.change_id,
@@ -234,17 +234,17 @@
         digest=deltas.digest(request.inventory),
         delta=delta,
     )
-    new = Head(
-        checkpoint=checkpoint, changes=(*earlier, change), fence=head.fence
+    new_head = Head(
+        checkpoint=checkpoint, changes=(*changes, change), fence=head.fence
     )
-    if len(head_module.encode(new)) > MAX_HEAD_BYTES:
+    if len(head_module.encode(new_head)) > MAX_HEAD_BYTES:
         raise errors.InventoryInvalid(
-            'The change is too large for one step; apply half of it first.'
+            'The change is too large for one revision; apply it in parts.'
         )
-    return new
+    return new_head
 
 
-def _applied(change: Change, head: Head) -> ApplyResult:
+def _applied_result(change: Change, head: Head) -> ApplyResult:
     return ApplyResult(
         outcome=ApplyOutcome.APPLIED,
         revision=change.revision,
@@ -253,11 +253,11 @@
     )
 
 
-def _unchanged(head: Head) -> ApplyResult:
-    standing = head.changes[-1] if head.changes else None
+def _unchanged_result(head: Head) -> ApplyResult:
+    current = head.changes[-1] if head.changes else None
     return ApplyResult(
         outcome=ApplyOutcome.UNCHANGED,
         revision=head.revision,
-        change_id=standing.change_id if standing else ChangeId(''),
+        change_id=current.change_id if current else ChangeId(''),
         head=head,
     )
--- a/packages/yuccarill-core/src/yuccarill/core/config/deltas.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/deltas.py
@@ -1,4 +1,4 @@
-"""What changed between two inventories, by section and entry."""
+"""Differences between two inventories, by section and entry."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from yuccarill.core import errors
 
 DIGEST_LENGTH = 32
-_UNREADABLE = (AttributeError, KeyError, TypeError, msgspec.ValidationError)
+_MALFORMED = (AttributeError, KeyError, TypeError, msgspec.ValidationError)
 
 
 class Delta(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Hold what leads from one inventory to the next."""
+    """Changes that turn one inventory into the next."""
 
-    # Entries added or replaced, in plain form, by section.
+    # Entries added or replaced, as JSON values, by section.
     put: dict[str, list[Any]] = {}
     # Ids or names of the entries removed, by section.
     removed: dict[str, list[str]] = {}
-    # New values of the fields that are no collections.
+    # New values of the fields that are not collections.
     values: dict[str, Any] = {}
 
     @property
@@ -51,19 +51,19 @@
             for key, entry in sorted(after_by_key.items())
             if before_by_key.get(key) != entry
         ]
-        gone = sorted(before_by_key.keys() - after_by_key.keys())
+        dropped = sorted(before_by_key.keys() - after_by_key.keys())
         if changed:
             put[section] = changed
-        if gone:
-            removed[section] = gone
+        if dropped:
+            removed[section] = dropped
     return Delta(put, removed, values)
 
 
 def apply_to(inventory: Inventory, delta: Delta) -> Inventory:
-    """Return the inventory to which a delta leads.
+    """Return an inventory with a delta applied.
 
-    Takes and returns canonical inventories. Raises InventoryInvalid if the
-    delta does not fit these data classes.
+    Both inventories are canonical. Raises InventoryInvalid if the delta
+    does not fit the data classes of this version.
     """
     try:
         changes = {
@@ -78,15 +78,15 @@
             for entry in msgspec.convert(put, _types_by_section()[section]):
                 _put(entries, entry)
             changes[section] = tuple(entries)
-    except _UNREADABLE as error:
+    except _MALFORMED as error:
         raise errors.InventoryInvalid(
-            f'The delta is of another version of the program: {error}.'
+            f'The delta was made by an incompatible version: {error}.'
         ) from error
     return msgspec.structs.replace(inventory, **changes)
 
 
 def canonical(inventory: Inventory) -> Inventory:
-    """Return an inventory with each section in the order of its keys."""
+    """Return an inventory with each section sorted by key."""
     changes = {
         section: _sorted(_by_key(entries))
         for section in Inventory.__struct_fields__
@@ -102,18 +102,18 @@
 
 
 def touched(delta: Delta) -> set[str]:
-    """Name the entries that a delta changes, as `section key`."""
-    named = {
-        f'{section} {_plain_key(entry)}'
+    """Return the entries that a delta changes, as `section key`."""
+    names = {
+        f'{section} {_encoded_key(entry)}'
         for section, entries in delta.put.items()
         for entry in entries
     }
-    named.update(
+    names.update(
         f'{section} {key}'
         for section, keys in delta.removed.items()
         for key in keys
     )
-    return named | set(delta.values)
+    return names | set(delta.values)
 
 
 @functools.cache
@@ -136,14 +136,14 @@
 
 
 def _remove(entries: list[Any], key: str) -> None:
-    place = bisect.bisect_left(entries, key, key=_key)
-    if place < len(entries) and _key(entries[place]) == key:
-        del entries[place]
+    index = bisect.bisect_left(entries, key, key=_key)
+    if index < len(entries) and _key(entries[index]) == key:
+        del entries[index]
 
 
 def _sorted(entries_by_key: dict[str, Any]) -> tuple[Any, ...]:
     return tuple(entry for _, entry in sorted(entries_by_key.items()))
 
 
-def _plain_key(entry: Any) -> Any:
+def _encoded_key(entry: Any) -> Any:
     return entry['id'] if 'id' in entry else entry['name']
--- a/packages/yuccarill-core/src/yuccarill/core/config/documents.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/documents.py
@@ -1,4 +1,4 @@
-"""Whole documents and audit pages, as the key-value service holds them."""
+"""Whole documents and audit pages stored in the key-value service."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
 from yuccarill.core import errors
 from yuccarill.core.ids import Revision
 
-# Documents are kept in a ring of keys, which bounds what they take up and
-# needs no deletion. A reader would have to sleep through this many
-# checkpoints to find its document replaced, and would see that it was.
+# Number of keys that documents rotate through, which bounds their storage
+# without deletions. A reader finds its document replaced only after this many
+# checkpoints, and detects that by the revision.
 RING_SIZE = 4
-LOAD_TRIES = 3
+MAX_LOADS = 3
 
 
 class Document(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold one revision whole."""
+    """The whole inventory of one revision."""
 
     revision: Revision
     inventory: Inventory
 
 
 class AuditPage(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold changes that have left the head, oldest first."""
+    """Changes that were moved out of the head, oldest first."""
 
-    # The last revision of the page before this one, 0 for none.
+    # The last revision of the preceding page, 0 for none.
     previous: Revision
     changes: tuple[Change, ...]
 
 
 class Loaded(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what stands, as read from the platform."""
+    """The current configuration, as read from the platform."""
 
     head: Head
-    # Version of the head's key, which the next swap must name.
+    # Version of the head's key, which the next swap has to expect.
     version: int
     inventory: Inventory
 
@@ -69,11 +69,11 @@
 
 
 def load() -> store.Decision[Loaded]:
-    """Read the standing configuration whole.
+    """Read the whole current configuration.
 
     Raises StoreUnavailable.
     """
-    for _ in range(LOAD_TRIES):
+    for _ in range(MAX_LOADS):
         head, version = yield from read_head(store.Step.READ_HEAD)
         inventory = yield from read_inventory(head)
         if inventory is not None:
@@ -82,7 +82,7 @@
 
 
 def read_inventory(head: Head) -> store.Decision[Inventory | None]:
-    """Return the inventory of a head, None if its document is replaced.
+    """Return the inventory of a head, None if its document was replaced.
 
     Raises StoreUnavailable.
     """
@@ -102,7 +102,7 @@
         if change.delta is not None:
             inventory = deltas.apply_to(inventory, change.delta)
     if head.changes and deltas.digest(inventory) != head.changes[-1].digest:
-        raise unavailable('the document does not fit the digest of the head')
+        raise unavailable('the document does not match the digest of the head')
     return inventory
 
 
@@ -122,24 +122,24 @@
 
 
 def newest_page(head: Head) -> AuditPage:
-    """Return the changes that are still in the head as a page."""
+    """Return the changes that are still in the head, as an audit page."""
     return AuditPage(previous=head.checkpoint.revision, changes=head.changes)
 
 
 def write_checkpoint(
     head: Head, inventory: Inventory
 ) -> store.Decision[Checkpoint]:
-    """Keep a standing revision whole, and its changes as a page.
+    """Store the whole current revision, and its changes as an audit page.
 
-    Raises StoreUnavailable; the head still stands as it was.
+    Raises StoreUnavailable; the head is unchanged.
     """
-    # Both describe what stands already. Racing writers write the same
-    # bytes, and one that dies half way leaves nothing that misleads.
+    # Both writes repeat state that is committed already: concurrent writers
+    # write the same bytes, and a crash in between leaves no wrong data.
     page = msgspec.json.encode(newest_page(head))
-    written = yield store.Swap(
+    outcome = yield store.Swap(
         store.Step.WRITE_AUDIT_PAGE, page_key(head.revision), page, 0
     )
-    if isinstance(written, store.NoReply):
+    if isinstance(outcome, store.NoReply):
         raise unavailable('the audit page was not written')
     number = head.checkpoint.number + 1
     document = Document(revision=head.revision, inventory=inventory)
@@ -147,26 +147,26 @@
     return Checkpoint(number, head.revision)
 
 
-def unavailable(what: str) -> errors.StoreUnavailable:
-    """Return the error of a try that changed nothing."""
+def unavailable(cause: str) -> errors.StoreUnavailable:
+    """Return the error for an attempt that changed nothing."""
     return errors.StoreUnavailable(
-        f'The key-value service did not answer: {what}. This try changed '
-        'nothing and will not; try again.',
+        f'The key-value service did not answer: {cause}. This attempt changed '
+        'nothing and never will; try again.',
         retry_after=1.0,
     )
 
 
 def _write_document(key: str, document: Document) -> store.Decision[None]:
-    slot = yield store.Read(store.Step.READ_SLOT, key)
-    if not isinstance(slot, store.Found):
-        raise unavailable('the place of the document was not read')
-    if slot.version and _revision_of(slot.value) == document.revision:
+    previous = yield store.Read(store.Step.READ_SLOT, key)
+    if not isinstance(previous, store.Found):
+        raise unavailable('the previous document was not read')
+    if previous.version and _revision_of(previous.value) == document.revision:
         return
     outcome = yield store.Swap(
         store.Step.WRITE_DOCUMENT,
         key,
         msgspec.json.encode(document),
-        slot.version,
+        previous.version,
     )
     if not isinstance(outcome, store.Swapped):
         raise unavailable('the document was not written')
--- a/packages/yuccarill-core/src/yuccarill/core/config/follower.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/follower.py
@@ -1,4 +1,4 @@
-"""Keep the configuration in force at the newest that was seen."""
+"""Keep the newest configuration that was received."""
 
 from __future__ import annotations
 
@@ -19,30 +19,30 @@
 
 
 class Offered(enum.Enum):
-    """Say what became of an offered head or document."""
+    """Outcome of offering a head or a document."""
 
     TAKEN = 'taken'
     NOT_NEWER = 'not newer'
-    # A delta is missing or does not lead to the digest; the whole
-    # document is needed.
+    # A delta is missing or leads to another digest; the whole document is
+    # needed.
     GAP = 'gap'
 
 
 class Follower:
-    """Take deltas in order and whole documents where they are newer."""
+    """Apply deltas in order, and whole documents if they are newer."""
 
     def __init__(self) -> None:
         self.snapshot: Snapshot | None = None
 
     @property
     def revision(self) -> Revision:
-        """Return the revision held, 0 for none."""
+        """Return the revision of the snapshot, 0 for none."""
         if self.snapshot is None:
             return head_module.Head().revision
         return self.snapshot.revision
 
     def offer(self, head: Head) -> Offered:
-        """Follow a head by its deltas."""
+        """Apply the deltas of a newer head."""
         if head.revision <= self.revision:
             return Offered.NOT_NEWER
         inventory = self.snapshot.inventory if self.snapshot else Inventory()
@@ -59,12 +59,12 @@
         return self.install(missing[-1], inventory)
 
     def install(self, change: Change, inventory: Inventory) -> Offered:
-        """Take a whole inventory and the change that made it."""
+        """Replace the snapshot by an inventory and the change that made it."""
         if change.revision <= self.revision:
             return Offered.NOT_NEWER
-        # Deltas build on what is held. One lost or doubled by a fault would
-        # go on in every later revision, with this instance routing by an
-        # inventory nobody applied; the digest is of the whole.
+        # A lost or duplicated delta would corrupt all later revisions and
+        # route requests by an inventory that no operator applied. The digest
+        # covers the whole inventory.
         if deltas.digest(inventory) != change.digest:
             return Offered.GAP
         self.snapshot = snapshot_module.Snapshot(
--- a/packages/yuccarill-core/src/yuccarill/core/config/head.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/head.py
@@ -1,4 +1,4 @@
-"""The one record that says which configuration stands."""
+"""The record that defines the current configuration."""
 
 from __future__ import annotations
 
@@ -11,44 +11,44 @@
 
 HEAD_KEY = 'config/head'
 
-# Changes that a head carries before the next checkpoint is due.
+# Limits of the changes in a head; beyond them a checkpoint is due.
 MAX_CHANGES = 16
 MAX_CHANGES_BYTES = 16_000
-# What a head may weigh on its way between instances.
-MAX_PASSED_BYTES = 2_000
-MAX_PASSED_DELTA_BYTES = 16_000
+# Limits of the changes in a head that instances send to each other.
+MAX_SENT_BYTES = 2_000
+MAX_SENT_DELTA_BYTES = 16_000
 
 
 class Change(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Record who changed what; the audit trail is made of these."""
+    """One change and its author, an entry of the audit trail."""
 
-    # The revision that the change made; it was made from the one before.
+    # The revision that the change made, based on the preceding one.
     revision: Revision
     change_id: ChangeId
     author: str
     applied_at: WallTime
     # Digest of the whole inventory after the change.
     digest: str
-    # Left out where a head on its way would grow too large.
+    # None if the delta is too large to send between instances.
     delta: Delta | None = None
 
 
 class Checkpoint(msgspec.Struct, frozen=True):
-    """Name the whole document that a head's changes start from."""
+    """Reference to the whole document that a head's changes start from."""
 
-    # Counts checkpoints; it names the key that holds the document.
+    # Number of checkpoints so far; determines the key of the document.
     number: int = 0
     # The last revision that the document and the audit pages cover.
     revision: Revision = Revision(0)
 
 
 class Head(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Hold the last changes and where the rest is kept."""
+    """The latest changes and a reference to the preceding document."""
 
     checkpoint: Checkpoint = Checkpoint()
-    # In the order of their revisions, the standing one last.
+    # Sorted by revision; the last one is the current revision.
     changes: tuple[Change, ...] = ()
-    # Counts the writes that only made earlier, delayed ones fail.
+    # Number of writes that only invalidate earlier, delayed writes.
     fence: int = 0
 
     @property
@@ -56,7 +56,7 @@
         return self.changes[-1].revision if self.changes else Revision(0)
 
     def change_at(self, revision: Revision) -> Change | None:
-        """Return the change that made a revision, if it is still here."""
+        """Return the change that made a revision, None if not in the head."""
         for change in self.changes:
             if change.revision == revision:
                 return change
@@ -69,32 +69,30 @@
 
 
 def decode(data: bytes) -> Head:
-    """Decode a head."""
     return msgspec.json.decode(data, type=Head)
 
 
 def is_checkpoint_due(head: Head) -> bool:
-    """Tell whether the next change needs a checkpoint first."""
+    """Return whether a checkpoint is due before the next change."""
     if len(head.changes) >= MAX_CHANGES:
         return True
     return len(msgspec.json.encode(head.changes)) > MAX_CHANGES_BYTES
 
 
 def trimmed(head: Head) -> Head:
-    """Return a head with the few last changes that peers pass on."""
+    """Return a head with only the latest changes, for sending to peers."""
     kept: list[Change] = []
     size = 0
     for change in reversed(head.changes):
         length = len(msgspec.json.encode(change))
         size += length
-        if kept and size > MAX_PASSED_BYTES:
+        if kept and size > MAX_SENT_BYTES:
             break
-        if length > MAX_PASSED_DELTA_BYTES:
+        if length > MAX_SENT_DELTA_BYTES:
             change = without_delta(change)
         kept.insert(0, change)
     return Head(checkpoint=head.checkpoint, changes=tuple(kept))
 
 
 def without_delta(change: Change) -> Change:
-    """Return a change that only says which revision stands."""
     return msgspec.structs.replace(change, delta=None)
--- a/packages/yuccarill-core/src/yuccarill/core/config/inventory.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/inventory.py
@@ -1,4 +1,4 @@
-"""What exists: the data classes of an inventory document."""
+"""Data classes of an inventory document."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 MAX_STEPS = 100
 MAX_PATHS = 1000
 
-# Names become parts of keys and paths, so they hold nothing that would
-# need escaping there. The descriptions tell operators what to write.
+# Names are parts of keys and paths and need no escaping there. Descriptions
+# appear in error messages, after "write".
 _NAME = msgspec.Meta(
     pattern=r'\A[A-Za-z0-9][A-Za-z0-9._-]{0,99}\Z',
     description='a name of letters, digits, ".", "_" and "-", up to 100',
@@ -30,7 +30,7 @@
     description='the first part of a path, with no "/"',
 )
 _ADDRESS = msgspec.Meta(
-    max_length=60, description='an IPv4 number and a port, as 127.0.0.1:9101'
+    max_length=60, description='an IPv4 address and port, as 127.0.0.1:9101'
 )
 _Share = Annotated[
     int,
@@ -44,7 +44,7 @@
         ge=0, le=MAX_STEPS, description=f'a whole number, 0 to {MAX_STEPS}'
     ),
 ]
-_Part = Annotated[
+_Fraction = Annotated[
     float, msgspec.Meta(ge=0, le=1, description='a number from 0 to 1')
 ]
 _Seconds = Annotated[
@@ -60,8 +60,8 @@
 ]
 
 
-# Defaults are left out, so that a field added with a default changes neither
-# the digest of a standing revision nor the size of its document.
+# Defaults are omitted, so that a new field with a default does not change the
+# digest of existing revisions.
 class Entry(
     msgspec.Struct,
     frozen=True,
@@ -69,18 +69,18 @@
     kw_only=True,
     omit_defaults=True,
 ):
-    """Be one checked part of an inventory."""
+    """Base of all parts of an inventory; unknown fields are refused."""
 
 
 class CallerClass(enum.Enum):
-    """Say whether a caller waits for its answers."""
+    """Whether a caller is latency-sensitive."""
 
     LATENCY = 'latency'
     INTERNAL = 'internal'
 
 
 class Caller(Entry, frozen=True):
-    """Describe one caller and its share under load."""
+    """A caller and its share of the capacity under load."""
 
     id: Annotated[CallerId, _NAME]
     caller_class: CallerClass = CallerClass.LATENCY
@@ -88,23 +88,23 @@
 
 
 class Model(Entry, frozen=True):
-    """Describe one model that engines load."""
+    """A model that engines load."""
 
     name: Annotated[ModelName, _NAME]
-    # The part of its engines that serve while weights are switched.
-    serving_part: _Part = 0.5
+    # Fraction of the engines that keep serving while weights are switched.
+    serving_part: _Fraction = 0.5
 
 
 class Service(Entry, frozen=True):
-    """Describe one plain service."""
+    """A service that is not a model."""
 
     name: Annotated[ServiceName, _NAME]
-    # Paths whose calls run at most once.
+    # Paths whose calls are not idempotent and run at most once.
     not_repeatable: _Paths = ()
 
 
 class Engine(Entry, frozen=True):
-    """Describe one target that runs a model."""
+    """A target that runs a model."""
 
     id: Annotated[TargetId, _NAME]
     model: Annotated[ModelName, _NAME]
@@ -114,7 +114,7 @@
 
 
 class Target(Entry, frozen=True):
-    """Describe one target that runs a plain service."""
+    """A target that runs a service."""
 
     id: Annotated[TargetId, _NAME]
     service: Annotated[ServiceName, _NAME]
@@ -123,29 +123,29 @@
 
 
 class Scorer(Entry, frozen=True):
-    """Describe one scoring service."""
+    """A service that scores samples."""
 
     id: Annotated[ScorerId, _NAME]
     address: _Address
 
 
 class StalenessFirst(Entry, frozen=True, tag='staleness'):
-    """Prefer fresh samples over a busy trainer."""
+    """Policy that prefers fresh samples to a busy trainer."""
 
     steps_ahead: _Steps = 0
     spare_groups: _Steps = 0
-    # The last part of a step that is generated twice where engines are free.
-    hedge_part: _Part = 0.02
-    # Seconds after which a generation is worth a second one.
+    # Fraction of a step, at its end, that is hedged if engines are free.
+    hedge_part: _Fraction = 0.02
+    # Seconds after which a generation is hedged by a second one.
     hedge_after: _Seconds = 3.0
 
 
 class IdleFirst(Entry, frozen=True, tag='idle'):
-    """Prefer a busy trainer over fresh samples."""
+    """Policy that prefers a busy trainer to fresh samples."""
 
     steps_ahead: _Steps = 1
     spare_groups: _Steps = 0
-    hedge_part: _Part = 0.05
+    hedge_part: _Fraction = 0.05
     hedge_after: _Seconds = 3.0
 
 
@@ -153,19 +153,19 @@
 
 
 class Trainer(Entry, frozen=True):
-    """Describe one trainer and what it weighs."""
+    """A trainer, its staleness limit and its share under load."""
 
     id: Annotated[TrainerId, _NAME]
     model: Annotated[ModelName, _NAME]
     scorer: Annotated[ScorerId, _NAME]
-    # Weight versions that a sample may lie behind the trainer's newest.
+    # Weight versions by which a sample may lag behind the trainer's newest.
     staleness_bound: _Steps
     policy: TrainerPolicy
     share: _Share = 1
 
 
 class Inventory(Entry, frozen=True):
-    """Hold everything that operators describe."""
+    """All entries that operators configure."""
 
     callers: tuple[Caller, ...] = ()
     models: tuple[Model, ...] = ()
--- a/packages/yuccarill-core/src/yuccarill/core/config/reader.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/reader.py
@@ -1,4 +1,4 @@
-"""Read an inventory document and check it."""
+"""Parse and validate inventory documents."""
 
 from __future__ import annotations
 
@@ -14,50 +14,50 @@
 from yuccarill.core import errors
 
 MAX_DOCUMENT_BYTES = 900_000
-# A document of nothing but faults would otherwise make a reply of megabytes.
+# Bounds the size of the error reply.
 MAX_FAULTS = 200
 
 
-def read(text: str, form: str = 'toml') -> inventory_module.Inventory:
-    """Parse a document in the named form and check it.
+def read(text: str, syntax: str = 'toml') -> inventory_module.Inventory:
+    """Parse a TOML or JSON document and validate it.
 
-    Raises InventoryInvalid with every fault that was found.
+    Raises InventoryInvalid with all faults found.
     """
     if len(text.encode(errors='replace')) > MAX_DOCUMENT_BYTES:
         raise errors.InventoryInvalid(
-            f'document: over {MAX_DOCUMENT_BYTES} bytes; split the fleet'
+            f'document: over {MAX_DOCUMENT_BYTES} bytes; split the inventory'
         )
     try:
-        plain = tomllib.loads(text) if form == 'toml' else json.loads(text)
+        plain = tomllib.loads(text) if syntax == 'toml' else json.loads(text)
     except (ValueError, RecursionError) as error:
         raise errors.InventoryInvalid(f'document: {error}') from error
     return from_plain(plain)
 
 
 def from_plain(plain: Any) -> inventory_module.Inventory:
-    """Convert plain values to an inventory and check it.
+    """Convert a decoded document to an inventory and validate it.
 
-    Raises InventoryInvalid with every fault that was found.
+    Raises InventoryInvalid with all faults found.
     """
-    converted = conversion.Conversion(plain)
-    faults = converted.faults + list(rules.faults(converted))
+    conversion_result = conversion.Conversion(plain)
+    faults = conversion_result.faults + list(rules.faults(conversion_result))
     if faults:
-        raise errors.InventoryInvalid('\n'.join(_limited(faults)))
-    return converted.inventory
+        raise errors.InventoryInvalid('\n'.join(_truncated(faults)))
+    return conversion_result.inventory
 
 
 def to_json(inventory: inventory_module.Inventory) -> bytes:
-    """Encode an inventory in its canonical form."""
+    """Encode an inventory; equal inventories give equal bytes."""
     return msgspec.json.encode(inventory, order='deterministic')
 
 
 def from_json(data: bytes) -> inventory_module.Inventory:
-    """Decode an inventory that was checked before it was stored."""
+    """Decode an inventory that was validated before it was stored."""
     return msgspec.json.decode(data, type=inventory_module.Inventory)
 
 
-def _limited(faults: list[str]) -> list[str]:
-    hidden = len(faults) - MAX_FAULTS
-    if hidden <= 0:
+def _truncated(faults: list[str]) -> list[str]:
+    omitted = len(faults) - MAX_FAULTS
+    if omitted <= 0:
         return faults
-    return [*faults[:MAX_FAULTS], f'document: {hidden} more faults']
+    return [*faults[:MAX_FAULTS], f'document: {omitted} more faults']
--- a/packages/yuccarill-core/src/yuccarill/core/config/rules.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/rules.py
@@ -1,4 +1,4 @@
-"""Check what the entries of an inventory say together."""
+"""Validate an inventory across its entries."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
     ('trainers', 'model', 'models'),
     ('trainers', 'scorer', 'scorers'),
 )
-_ADDRESSED = ('engines', 'targets', 'scorers')
-# Engines and targets share their ids: a load is counted by target.
-_NAME_SPACES = (
+_SECTIONS_WITH_ADDRESS = ('engines', 'targets', 'scorers')
+# Engines and targets share one namespace: load is counted by target id.
+_NAMESPACES = (
     ('callers',),
     ('models',),
     ('services',),
@@ -30,43 +30,43 @@
 )
 
 
-def faults(converted: Conversion) -> Iterator[str]:
-    """Return every fault between entries that are valid alone."""
-    for sections in _NAME_SPACES:
-        yield from _doubled(converted, sections)
+def faults(conversion: Conversion) -> Iterator[str]:
+    """Yield duplicate names, unknown references and invalid addresses."""
+    for sections in _NAMESPACES:
+        yield from _duplicate_faults(conversion, sections)
     for section, key, referred in _REFERENCES:
-        yield from _unknown(converted, section, key, referred)
-    for section in _ADDRESSED:
-        for entry in getattr(converted.inventory, section):
+        yield from _reference_faults(conversion, section, key, referred)
+    for section in _SECTIONS_WITH_ADDRESS:
+        for entry in getattr(conversion.inventory, section):
             if not addresses.is_address(entry.address):
                 yield (
                     f'{section} {entry.id}, address: {entry.address!a} is '
-                    'wrong; write an IPv4 number and a port, as 127.0.0.1:9101'
+                    'wrong; write an IPv4 address and port, as 127.0.0.1:9101'
                 )
 
 
-def _doubled(
-    converted: Conversion, sections: tuple[str, ...]
+def _duplicate_faults(
+    conversion: Conversion, sections: tuple[str, ...]
 ) -> Iterator[str]:
-    uses = collections.Counter(
+    count_by_name = collections.Counter(
         name
         for section in sections
-        for name in converted.names_by_section.get(section, ())
+        for name in conversion.names_by_section.get(section, ())
     )
-    for name, count in sorted(uses.items()):
+    for name, count in sorted(count_by_name.items()):
         if count > 1:
-            place = ' and '.join(sections)
-            yield f'{place}: {name!a} stands twice; rename or remove one'
+            namespace = ' and '.join(sections)
+            yield f'{namespace}: {name!a} is duplicated; rename or remove one'
 
 
-def _unknown(
-    converted: Conversion, section: str, key: str, referred: str
+def _reference_faults(
+    conversion: Conversion, section: str, key: str, referred: str
 ) -> Iterator[str]:
-    known = set(converted.names_by_section.get(referred, ()))
-    for entry in getattr(converted.inventory, section):
+    names = set(conversion.names_by_section.get(referred, ()))
+    for entry in getattr(conversion.inventory, section):
         name = getattr(entry, key)
-        if name not in known:
+        if name not in names:
             yield (
-                f'{section} {entry.id}, {key}: {name!a} is not described; '
+                f'{section} {entry.id}, {key}: {name!a} is not defined; '
                 f'add it to {referred} or correct it'
             )
--- a/packages/yuccarill-core/src/yuccarill/core/config/snapshot.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/snapshot.py
@@ -1,4 +1,4 @@
-"""The configuration in force, indexed for lookups."""
+"""Immutable view of one configuration, indexed for lookups."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     inventory: inventory_module.Inventory,
     revision: Revision = Revision(1),
 ) -> Snapshot:
-    """Return a snapshot for use without a key-value service."""
+    """Return a snapshot that comes from no key-value service."""
     return Snapshot(
         Change(
             revision=revision,
@@ -43,7 +43,7 @@
 
 
 class Snapshot:
-    """Hold one revision; never changed, replaced as a whole."""
+    """Immutable view of one revision."""
 
     def __init__(
         self, change: Change, inventory: inventory_module.Inventory
@@ -73,7 +73,7 @@
         return self.change.digest
 
     def view(self) -> dict[str, object]:
-        """Return what operators are shown."""
+        """Return the values that operators see."""
         return {
             'revision': self.revision,
             'change_id': self.change_id,
@@ -113,7 +113,7 @@
     def targets_by_id(
         self,
     ) -> Mapping[TargetId, inventory_module.Engine | inventory_module.Target]:
-        """Return engines and plain targets alike."""
+        """Return both engines and targets of services."""
         plain = {target.id: target for target in self.inventory.targets}
         return {**self.engines_by_id, **plain}
 
--- a/packages/yuccarill-core/src/yuccarill/core/config/start_gate.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/start_gate.py
@@ -1,30 +1,29 @@
-"""Decide when a starting instance may act on what it has found."""
+"""Decide when a starting instance can use a configuration."""
 
 from __future__ import annotations
 
 
 class StartGate:
-    """Hold a configuration back until the best source has been asked.
+    """Hold back a configuration that is possibly outdated.
 
-    The platform's answer is the newest there is. Without it the highest
-    revision among some peers counts, once all that were asked have
-    answered or failed.
+    The platform's answer is always current. If the platform is unavailable,
+    the highest revision of the peers is used once each peer that was asked
+    has answered or failed.
     """
 
     def __init__(self) -> None:
         self._is_open = False
 
     def platform_answered(self) -> None:
-        """Note that the platform's head is known."""
+        """Record that the platform has sent its head."""
         self._is_open = True
 
     def peers_answered(self, answered: int) -> None:
-        """Note how many of the peers that were asked have answered."""
-        # A first answer alone may come from a peer that is cut off and
-        # lags. Serving it would bring back, on this instance, what its
-        # predecessor had already left behind.
+        """Record how many of the peers that were asked have answered."""
+        # The first answer alone may come from a partitioned, outdated peer
+        # and would roll this instance back to an older revision.
         self._is_open = self._is_open or answered > 0
 
     def may_serve(self, held: int, known: int) -> bool:
-        """Tell whether to act on a held revision when one is known of."""
+        """Return whether to use the held revision, given the newest known."""
         return self._is_open and 0 < held and known <= held
--- a/packages/yuccarill-core/src/yuccarill/core/config/store.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/store.py
@@ -1,8 +1,8 @@
-"""What a decision asks of the platform's key-value service.
+"""Actions on the platform's key-value service and their outcomes.
 
-Decisions that need the service are generators: they yield one action, are
-sent its outcome and return their result. That way the same code runs on
-sockets, on a fake with faults, and interleaved with another's steps.
+Code that needs the service is a generator without I/O: it yields actions, is
+sent their outcomes and returns its result. The caller performs the actions, on
+the network or on a fake store with injected faults.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Step(enum.Enum):
-    """Name each point at which a decision waits for the service."""
+    """Name of each action, for logs and fault injection."""
 
     READ_HEAD = 'read head'
     READ_DOCUMENT = 'read document'
@@ -29,14 +29,14 @@
 
 
 class Read(msgspec.Struct, frozen=True):
-    """Read a key."""
+    """Read the value and version of a key."""
 
     step: Step
     key: str
 
 
 class Swap(msgspec.Struct, frozen=True):
-    """Write a key whose version is the expected one, 0 for absent."""
+    """Write a key if its version is the expected one, 0 for absent."""
 
     step: Step
     key: str
@@ -45,30 +45,30 @@
 
 
 class Wait(msgspec.Struct, frozen=True):
-    """Let some time pass before the next try."""
+    """Wait before a retry."""
 
     seconds: float
 
 
 class Found(msgspec.Struct, frozen=True):
-    """Return a key's version, 0 for absent, and its value."""
+    """Outcome of a read; the version of an absent key is 0."""
 
     version: int
     value: bytes
 
 
 class Swapped(msgspec.Struct, frozen=True):
-    """Confirm a write."""
+    """Outcome of a successful write: the new version."""
 
     version: int
 
 
 class Conflict(msgspec.Struct, frozen=True):
-    """Say that the key's version was not the expected one."""
+    """Outcome of a swap whose expected version did not match."""
 
 
 class NoReply(msgspec.Struct, frozen=True):
-    """Say that nothing was heard; a write may still take effect."""
+    """Outcome of an action without reply; a write may still take effect."""
 
 
 Action = Read | Swap | Wait
--- a/packages/yuccarill-core/src/yuccarill/core/errors.py
+++ b/packages/yuccarill-core/src/yuccarill/core/errors.py
@@ -209,7 +209,7 @@
 
 
 class InventoryInvalid(ConfigurationError):
-    """Refuse an inventory, naming every fault classes_by_code, one a line."""
+    """Refuse an inventory, naming every fault found, one a line."""
 
 
 class RevisionConflict(ConfigurationError):
@@ -319,7 +319,7 @@
 
 
 class SettingsInvalid(YuccarillError):
-    """Refuse settings, naming every fault classes_by_code, one a line."""
+    """Refuse settings, naming every fault found, one a line."""
 
     code = ResultCode.SETTINGS_INVALID
 
