--- a/packages/yuccarill-wire/src/yuccarill/wire/__init__.py
+++ b/packages/yuccarill-wire/src/yuccarill/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages and their codecs."""
+"""Messages between processes and their encoding."""
--- a/packages/yuccarill-wire/src/yuccarill/wire/frames.py
+++ b/packages/yuccarill-wire/src/yuccarill/wire/frames.py
@@ -1,4 +1,4 @@
-"""Frame messages on a stream."""
+"""Encode messages to, and decode messages from, a byte stream."""
 
 from __future__ import annotations
 
@@ -18,7 +18,6 @@
 
 
 def encode(envelope: messages.Envelope) -> bytes:
-    """Encode one envelope."""
     packed: bytes = msgpack.packb(
         msgspec.to_builtins(envelope, builtin_types=(bytes,))
     )
@@ -26,7 +25,7 @@
 
 
 class Decoder:
-    """Cut a stream into envelopes."""
+    """Decode a byte stream to envelopes, incrementally."""
 
     def __init__(self, max_bytes: int = MAX_FRAME_BYTES) -> None:
         self._max_bytes = max_bytes
@@ -35,26 +34,25 @@
 
     @property
     def is_between_frames(self) -> bool:
-        """Tell whether no part of a frame waits for its rest."""
+        """Return whether no partial frame is buffered."""
         return self._unpacker is None
 
     def feed(self, data: bytes) -> Iterator[messages.Envelope]:
-        """Take received bytes and return the envelopes now whole.
+        """Add received bytes and yield the envelopes that are complete.
 
-        Raises FrameInvalid; the stream can't be used after that.
+        Raises FrameInvalid; the decoder must not be used after that.
         """
-        # An unpacker takes over 40 KB. Most streams are quiet most of the
-        # time, and an instance has a hundred: only those in the middle of
-        # a frame keep theirs.
+        # An unpacker needs over 40 KB, so idle streams keep none: it exists
+        # only while a partial frame is buffered.
         if self._unpacker is None:
             self._unpacker = self._new_unpacker()
             self._fed_bytes = 0
-        ends_at = 0
+        decoded_bytes = 0
         try:
             self._unpacker.feed(data)
             self._fed_bytes += len(data)
             for plain in self._unpacker:
-                ends_at = self._unpacker.tell()
+                decoded_bytes = self._unpacker.tell()
                 yield msgspec.convert(plain, messages.Envelope)
         except (
             msgpack.UnpackException,
@@ -63,12 +61,12 @@
             TypeError,
         ) as error:
             raise errors.FrameInvalid(
-                f'The peer sent a frame that is not valid: {error}'
+                f'The peer sent an invalid frame: {error}'
             ) from error
-        if ends_at == self._fed_bytes:
+        if decoded_bytes == self._fed_bytes:
             self._unpacker = None
 
     def _new_unpacker(self) -> Any:
-        # A peer that never ends a frame would fill this process's memory;
-        # the unpacker refuses to buffer past the limit.
+        # The limit keeps a peer that never ends a frame from exhausting the
+        # memory of this process.
         return msgpack.Unpacker(max_buffer_size=self._max_bytes, raw=False)
--- a/packages/yuccarill-wire/src/yuccarill/wire/key_value.py
+++ b/packages/yuccarill-wire/src/yuccarill/wire/key_value.py
@@ -1,4 +1,4 @@
-"""Typed replies of the platform's key-value service."""
+"""Replies of the platform's key-value service."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """Hold a value and the version that a later swap must name."""
+    """A value and its version, 0 if the key is absent."""
 
     version: int
     value: bytes
--- a/packages/yuccarill-wire/src/yuccarill/wire/messages/__init__.py
+++ b/packages/yuccarill-wire/src/yuccarill/wire/messages/__init__.py
@@ -1,4 +1,4 @@
-"""Typed messages between instances."""
+"""Messages between instances."""
 
 from __future__ import annotations
 
--- a/packages/yuccarill-wire/src/yuccarill/wire/messages/calls.py
+++ b/packages/yuccarill-wire/src/yuccarill/wire/messages/calls.py
@@ -1,4 +1,4 @@
-"""Define how a caller's request reaches its ticket's home."""
+"""Messages that forward calls to the home instance of their ticket."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class CallRequest(Message, frozen=True, tag='call'):
-    """Pass a non-repeatable call to its ticket's home."""
+    """Forward a call that is not idempotent to the home of its ticket."""
 
     ticket: str
     request_id: RequestId
@@ -18,13 +18,13 @@
     query: str
     content_type: str
     body: bytes
-    # Seconds left to the caller's deadline when the message was sent.
+    # Seconds until the caller's deadline, as of sending the message.
     time_left: float
     caller: CallerId | None = None
 
 
 class CallAnswer(Message, frozen=True, tag='answer'):
-    """Return a whole answer of a target."""
+    """Return the complete answer of a target."""
 
     status: int
     content_type: str
@@ -32,7 +32,7 @@
 
 
 class CallRefusal(Message, frozen=True, tag='call_refusal'):
-    """Return the home's own verdict on a call that has no answer."""
+    """Return the error of the home instance for a call without answer."""
 
     code: int
     text: str
@@ -40,14 +40,14 @@
 
 
 class OutcomeQuery(Message, frozen=True, tag='outcome_query'):
-    """Ask a ticket's home what became of a request."""
+    """Ask the home instance of a ticket for the outcome of a request."""
 
     ticket: str
     request_id: RequestId
 
 
 class OutcomeReply(Message, frozen=True, tag='outcome'):
-    """Tell what became of a request, and its answer if it is kept."""
+    """Return the outcome of a request, and its answer if still stored."""
 
     outcome: str
     answer: CallAnswer | None = None
--- a/packages/yuccarill-wire/src/yuccarill/wire/messages/envelope.py
+++ b/packages/yuccarill-wire/src/yuccarill/wire/messages/envelope.py
@@ -1,4 +1,4 @@
-"""Number the messages of a stream."""
+"""Envelope that matches requests and replies on a stream."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """Carry one message, numbered where a reply is due."""
+    """One message and the number that matches it to its reply."""
 
-    # Number of the request on its stream; replies repeat it.
+    # Number of the request on its stream; its reply has the same number.
     number: int
     is_reply: bool
     body: Body
--- a/packages/yuccarill-wire/src/yuccarill/wire/messages/leases.py
+++ b/packages/yuccarill-wire/src/yuccarill/wire/messages/leases.py
@@ -1,4 +1,4 @@
-"""Define how instances hand over shard leases."""
+"""Messages that hand over shard leases between instances."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class LeaseAsk(Message, frozen=True, tag='lease_ask'):
-    """Ask a holder for shards that are placed on the one who asks."""
+    """Ask a holder for shards that are assigned to the sender."""
 
     instance: InstanceId
     session: SessionId
@@ -17,11 +17,11 @@
 
 
 class LeaseInvite(Message, frozen=True, tag='lease_invite'):
-    """Ask an instance for the session to hand shards over to."""
+    """Ask an instance for the session that is to receive shards."""
 
 
 class LeaseSession(Message, frozen=True, tag='lease_session'):
-    """Name a session that may be given shards, if there is one."""
+    """Return the session that can receive shards, if there is one."""
 
     session: SessionId | None
 
--- a/packages/yuccarill-wire/src/yuccarill/wire/messages/membership.py
+++ b/packages/yuccarill-wire/src/yuccarill/wire/messages/membership.py
@@ -1,4 +1,4 @@
-"""Define how instances find out which of them are alive."""
+"""Messages of failure detection and membership gossip."""
 
 from __future__ import annotations
 
@@ -8,39 +8,39 @@
 
 
 class Probe(Message, frozen=True, tag='probe'):
-    """Ask whether an instance is alive and tell it news of members."""
+    """Ask whether an instance is alive, with recent member records."""
 
     sender: InstanceId
-    # Equal views have equal digests.
+    # Digest of the sender's view; equal views have equal digests.
     digest: int
     records: tuple[Member, ...] = ()
 
 
 class ProbeReply(Message, frozen=True, tag='probed'):
-    """Confirm a probe and the news it carried."""
+    """Confirm a probe and the member records in it."""
 
     digest: int
     records: tuple[Member, ...] = ()
 
 
 class IndirectProbe(Message, frozen=True, tag='indirect'):
-    """Ask an instance to probe another."""
+    """Ask an instance to probe another one."""
 
     target: Member
 
 
 class IndirectResult(Message, frozen=True, tag='result'):
-    """Tell whether another instance was reached."""
+    """Return whether the instance to probe has answered."""
 
     was_reached: bool
 
 
 class ViewRequest(Message, frozen=True, tag='view-request'):
-    """Ask for all statements about members."""
+    """Ask for all member records."""
 
 
 class ViewReply(Message, frozen=True, tag='view'):
-    """Return all statements about members."""
+    """Return all member records."""
 
     records: tuple[Member, ...]
 
--- a/packages/yuccarill-wire/src/yuccarill/wire/messages/message.py
+++ b/packages/yuccarill-wire/src/yuccarill/wire/messages/message.py
@@ -1,4 +1,4 @@
-"""Define the base of all messages."""
+"""Base of all messages."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 
 
 class Message(msgspec.Struct, frozen=True, kw_only=True, tag_field='kind'):
-    """Be one message of the instances' protocol."""
+    """Base of all messages between instances."""
--- a/packages/yuccarill-wire/src/yuccarill/wire/messages/records.py
+++ b/packages/yuccarill-wire/src/yuccarill/wire/messages/records.py
@@ -1,4 +1,4 @@
-"""Define how instances pass on versioned records."""
+"""Messages that replicate versioned records between instances."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 
 
 class RecordOffer(Message, frozen=True, tag='records'):
-    """Pass on records to take where they are newer."""
+    """Send records; the receiver keeps those that are newer."""
 
     records: tuple[Record, ...]
 
 
 class RecordExchange(Message, frozen=True, tag='exchange'):
-    """Compare the versions of all records with a peer's."""
+    """Send the versions of all records for comparison by a peer."""
 
     versions_by_key: dict[str, int]
 
 
 class RecordExchanged(Message, frozen=True, tag='exchanged'):
-    """Return what the asking side lacks and name what this one does."""
+    """Return records that the requester lacks and keys to send back."""
 
     records: tuple[Record, ...]
     wanted: tuple[str, ...] = ()
 
 
 class ConfigurationFetch(Message, frozen=True, tag='configuration-fetch'):
-    """Ask for a configuration above a revision, whole."""
+    """Ask for a whole configuration newer than a revision."""
 
     above: Revision
 
--- a/packages/yuccarill-wire/src/yuccarill/wire/messages/samples.py
+++ b/packages/yuccarill-wire/src/yuccarill/wire/messages/samples.py
@@ -1,4 +1,4 @@
-"""Define how finished samples reach the disks and come back."""
+"""Messages that store finished samples on disks and read them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class KeptSample(msgspec.Struct, frozen=True, array_like=True):
-    """Hold a finished sample as its trainer will receive it."""
+    """A finished sample, encoded as its trainer receives it."""
 
     id: SampleId
     oldest_version: WeightVersion
@@ -20,7 +20,7 @@
 
 
 class SamplesKeep(Message, frozen=True, tag='keep'):
-    """Ask a disk instance to keep samples; done means on its disk."""
+    """Ask a disk instance to store samples; the reply follows the write."""
 
     trainer: TrainerId
     step: StepNumber
@@ -28,20 +28,20 @@
 
 
 class SamplesList(Message, frozen=True, tag='list'):
-    """Ask a disk instance which samples of a step it keeps."""
+    """Ask a disk instance which samples of a step it stores."""
 
     trainer: TrainerId
     step: StepNumber
 
 
 class SamplesListed(Message, frozen=True, tag='listed'):
-    """Return the names of the samples that are kept."""
+    """Return the ids of the samples that are stored."""
 
     ids: tuple[SampleId, ...]
 
 
 class SamplesRead(Message, frozen=True, tag='read'):
-    """Ask a disk instance for samples."""
+    """Ask a disk instance for samples by id."""
 
     trainer: TrainerId
     step: StepNumber
@@ -49,13 +49,13 @@
 
 
 class SamplesFound(Message, frozen=True, tag='found'):
-    """Return the first of the samples asked for that fit one message."""
+    """Return as many requested samples, in order, as fit one message."""
 
     samples: tuple[KeptSample, ...]
 
 
 class SamplesDrop(Message, frozen=True, tag='drop'):
-    """Ask a disk instance to forget a closed step's samples."""
+    """Ask a disk instance to delete the samples of a closed step."""
 
     trainer: TrainerId
     step: StepNumber
--- a/packages/yuccarill-wire/src/yuccarill/wire/messages/steps.py
+++ b/packages/yuccarill-wire/src/yuccarill/wire/messages/steps.py
@@ -1,4 +1,4 @@
-"""Define how a trainer's requests reach the step's holder."""
+"""Messages that forward a trainer's requests to its lease holder."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class StepSubmit(Message, frozen=True, tag='step'):
-    """Pass a trainer's step to the instance that works on it."""
+    """Forward a trainer's step to the instance that processes it."""
 
     trainer: TrainerId
     request: bytes
 
 
 class StepFetch(Message, frozen=True, tag='fetch'):
-    """Ask for a part of a delivered step's bytes, from an offset on."""
+    """Ask for the bytes of a delivered step from an offset on."""
 
     trainer: TrainerId
     step: StepNumber
@@ -24,29 +24,29 @@
 
 
 class StepDelivery(Message, frozen=True, tag='delivery'):
-    """Return a part of a step's manifest and samples, encoded once."""
+    """Return a range of the encoded manifest and samples of a step."""
 
     body: bytes
-    # Bytes of the whole; 0 where the part is all of it.
+    # Total size in bytes; 0 if the body is the whole delivery.
     size: int = 0
 
 
 class StepAcknowledge(Message, frozen=True, tag='acknowledge'):
-    """Close a step that its trainer has taken."""
+    """Close a step that its trainer has received."""
 
     trainer: TrainerId
     step: StepNumber
 
 
 class StepDelete(Message, frozen=True, tag='step_delete'):
-    """Close a step that its trainer gives up."""
+    """Close a step that its trainer cancels."""
 
     trainer: TrainerId
     step: StepNumber
 
 
 class VersionAnnounce(Message, frozen=True, tag='version'):
-    """Tell a trainer's newest weight version."""
+    """Announce the newest weight version of a trainer."""
 
     trainer: TrainerId
     version: WeightVersion
--- a/packages/yuccarill-wire/src/yuccarill/wire/messages/streams.py
+++ b/packages/yuccarill-wire/src/yuccarill/wire/messages/streams.py
@@ -1,4 +1,4 @@
-"""Define what every stream between instances carries."""
+"""Messages that every stream between instances uses."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 
 class Hello(Message, frozen=True, tag='hello'):
-    """Open a stream and say who speaks."""
+    """Open a stream and identify the sender."""
 
     instance: InstanceId
     incarnation: Incarnation
     data_centre: DataCentreId
-    # Who is meant to answer under the dialled address.
+    # The instance that the sender expects at the dialled address.
     addressee: InstanceId
 
 
 class Heartbeat(Message, frozen=True, tag='heartbeat'):
-    """Ask whether the stream still carries, or confirm it."""
+    """Check that the stream is alive, or confirm it."""
 
 
 class Done(Message, frozen=True, tag='done'):
-    """Confirm a request that has nothing to return."""
+    """Confirm a request that returns no data."""
 
 
 class Refusal(Message, frozen=True, tag='refusal'):
-    """Return an error by its result code."""
+    """Return an error and its result code."""
 
     code: int
     text: str
--- a/packages/yuccarill-wire/src/yuccarill/wire/messages/weights.py
+++ b/packages/yuccarill-wire/src/yuccarill/wire/messages/weights.py
@@ -1,4 +1,4 @@
-"""Define how a model's holder gives orders to engines elsewhere."""
+"""Weight orders to, and reports from, the lease holders of engines."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 
 
 class WeightOrders(Message, frozen=True, tag='weight-orders'):
-    """Give the holder of engines the orders that a model's holder chose."""
+    """Send the orders of a model's lease holder to that of the engines."""
 
     model: ModelName
-    # The sender's epoch for the model.
+    # Fencing token of the sender's lease of the model.
     epoch: Epoch
     orders: tuple[Order, ...]
 
 
 class WeightOrdersTaken(Message, frozen=True, tag='weight-orders-taken'):
-    """Confirm orders but for those on engines that are not held here."""
+    """Confirm orders, except for engines that the receiver does not hold."""
 
     refused: tuple[int, ...] = ()
 
 
 class WeightQuery(Message, frozen=True, tag='weight-query'):
-    """Ask for what is known of a model's engines held by the receiver."""
+    """Ask for reports on the engines of a model that the receiver holds."""
 
     model: ModelName
     epoch: Epoch
 
 
 class WeightReports(Message, frozen=True, tag='weight-reports'):
-    """Tell a model's holder what is known of its engines."""
+    """Send reports on the engines of a model to the model's lease holder."""
 
     model: ModelName
     reports: tuple[Report, ...]
--- a/packages/yuccarill-wire/src/yuccarill/wire/operators.py
+++ b/packages/yuccarill-wire/src/yuccarill/wire/operators.py
@@ -1,4 +1,4 @@
-"""Typed messages between operators and an instance, as JSON over HTTP."""
+"""JSON messages of the HTTP interface for operators."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ErrorReply(msgspec.Struct, frozen=True):
-    """Describe an error to a caller, a trainer or an operator."""
+    """An error, as callers, trainers and operators receive it."""
 
     code: int
     name: str
@@ -31,17 +31,17 @@
 
 
 class ApplyRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Ask for a document to become the next revision."""
+    """Request to apply a document as the next revision."""
 
     author: Annotated[str, msgspec.Meta(min_length=1, max_length=100)]
     base: Annotated[Revision, msgspec.Meta(ge=0)]
     document: Any
-    # Repeats of one change id make one revision at most.
+    # Makes retries idempotent: one change id makes at most one revision.
     change_id: Annotated[ChangeId, msgspec.Meta(max_length=100)] | None = None
 
 
 class ApplyReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell which revision stands after an apply."""
+    """The revision that an apply made or confirmed."""
 
     revision: Revision
     change_id: ChangeId
@@ -49,7 +49,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True, kw_only=True):
-    """Show the configuration in force at an instance."""
+    """The configuration that an instance uses."""
 
     revision: Revision = Revision(0)
     change_id: ChangeId = ChangeId('')
@@ -59,49 +59,49 @@
 
 
 class TargetStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """Show what one instance knows of a target."""
+    """Status of a target, as one instance sees it."""
 
     id: TargetId
-    # Calls that this instance has on the target.
+    # Calls from this instance that the target is processing.
     in_flight: int = 0
-    # What the engine said of itself, at the instance that orders it.
+    # As reported by the engine; None on instances that do not hold it.
     weight_version: WeightVersion | None = None
     staged_version: WeightVersion | None = None
 
 
 class TrainerStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """Show one trainer as an instance sees it."""
+    """Status of a trainer, as one instance sees it."""
 
     id: TrainerId
-    # The instance that works on the trainer's steps, if one is known.
+    # The instance that processes the trainer's steps, None if unknown.
     holder: InstanceId | None = None
-    # Steps that the answering instance works on.
+    # Steps that the answering instance processes.
     open_steps: tuple[StepNumber, ...] = ()
 
 
 class StatusReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Show what an instance knows."""
+    """Status of an instance and of the peers and targets it knows."""
 
     instance: InstanceId
     incarnation: Incarnation
-    # 0 as long as no configuration is known.
+    # 0 if no configuration is known.
     revision: Revision
     is_leaving: bool
-    # Since the process began, over all streams to and from peers.
+    # Totals over all peer streams since the process started.
     peer_bytes_sent: int = 0
     peer_bytes_received: int = 0
     instances: tuple[Instance, ...] = ()
-    # Only those of which this instance knows something: with every target
-    # in every reply, asking all instances would move tens of megabytes.
+    # Only targets with status data; listing all targets would make the
+    # replies of all instances tens of megabytes.
     targets: tuple[TargetStatus, ...] = ()
     trainers: tuple[TrainerStatus, ...] = ()
 
 
 class AuditEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """Show one change, or one that was refused."""
+    """An applied or refused change."""
 
     base: Revision
-    # The revision that the change made, none if it was refused.
+    # The revision that the change made, None if it was refused.
     revision: Revision | None
     change_id: ChangeId
     author: str
@@ -112,15 +112,15 @@
 
 
 class AuditReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Show a page of the audit trail, oldest first."""
+    """A page of the audit trail, oldest change first."""
 
     changes: tuple[AuditEntry, ...]
-    # The last revision of the page before this one, 0 for none.
+    # The last revision of the preceding page, 0 for none.
     previous: Revision = Revision(0)
 
 
 class AddressesReply(msgspec.Struct, frozen=True):
-    """Tell a caller which instances to use, and until when."""
+    """Addresses of instances for a caller, valid until a time."""
 
     addresses: tuple[str, ...]
     valid_until: WallTime
