--- a/packages/yuccarill-core/src/yuccarill/core/blackboard.py
+++ b/packages/yuccarill-core/src/yuccarill/core/blackboard.py
@@ -36,6 +36,5 @@
         default_factory=dict
     )
     is_leaving: bool = False
-    # Set when the instance starts to leave: the latest expiry of the
-    # addresses that it hands out to callers.
+    # Latest expiry of addresses given to callers; None until it leaves.
     serves_until: WallTime | None = None
--- a/packages/yuccarill-core/tests/config/fake_store.py
+++ b/packages/yuccarill-core/tests/config/fake_store.py
@@ -1,4 +1,4 @@
-"""Run apply decisions on a store in memory, with a fault at any step."""
+"""In-memory key-value store that injects faults at any step."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 from yuccarill.core.ids import Revision
 from yuccarill.core.ids import WallTime
 
-# More than a head carries before the next checkpoint, in these tests.
-MANY_RACES = 5
+# Changes by other operators; more than a head holds in these tests.
+RACE_COUNT = 5
 
 
 class Fault(enum.Enum):
-    """Say what happens at a step."""
+    """Fault to inject at a step."""
 
-    # The call takes effect, its reply is lost or later than the timeout.
+    # The call takes effect, but its reply is lost or exceeds the timeout.
     REPLY_LOST = 'reply lost'
-    # The call is lost, the next ones are not.
+    # Only this call is lost.
     DROPPED = 'call lost'
-    # The call is lost and the store answers nothing more.
+    # The call is lost and the store stays down.
     DOWN = 'down before'
     DOWN_AFTER = 'down after it took effect'
-    # A write arrives right before the next call, or after the answer.
+    # A write takes effect before the next call, or after the apply ends.
     DELAYED_A_LITTLE = 'delayed until the next call'
     DELAYED = 'delayed past the answer'
     DOUBLED = 'write arrives twice'
-    # Another operator's change, or several, or only its fence, come first.
+    # Another operator's change, several changes or a fence come first.
     RACE = 'operator race'
     RACES = 'operators race past a checkpoint'
     FENCE_RACE = 'another fences its own'
@@ -45,11 +45,11 @@
 
 
 class Crashed(Exception):
-    """Report an applier that died."""
+    """Raised when the applier crashes."""
 
 
 class FakeStore:
-    """Hold keys; land delayed writes when told."""
+    """In-memory store that can delay writes."""
 
     def __init__(self) -> None:
         self.entries: dict[str, tuple[int, bytes]] = {}
@@ -59,7 +59,7 @@
         self.writes = 0
 
     def perform(self, action: store.Action) -> store.Outcome:
-        """Carry out one action."""
+        """Perform an action and return its outcome."""
         match action:
             case store.Wait():
                 return None
@@ -70,21 +70,21 @@
             case store.Swap():
                 return self._write(action)
 
-    def land(self) -> None:
-        """Let delayed writes arrive."""
+    def deliver_delayed(self) -> None:
+        """Perform all delayed writes."""
         for swap in self.delayed:
             self._write(swap)
         self.delayed = []
 
     def head(self) -> head_module.Head:
-        """Return the head that stands."""
+        """Return the current head."""
         return self.run(documents.read_head(store.Step.READ_HEAD))[0]
 
     def run(self, decision: store.Decision[Any]) -> Any:
-        """Run a decision with no fault."""
+        """Run a decision without faults."""
         return Run(self, {}).run(decision)
 
-    def trail(self) -> list[head_module.Change]:
+    def audit_trail(self) -> list[head_module.Change]:
         """Return the whole audit trail, oldest first."""
         page = documents.newest_page(self.head())
         found = list(page.changes)
@@ -104,17 +104,17 @@
 
 
 class Run:
-    """Run one decision with faults at the first visit of their steps."""
+    """Run of one decision, with faults injected as their steps occur."""
 
     def __init__(
-        self, on: FakeStore, faults: dict[store.Step, list[Fault]]
+        self, fake: FakeStore, faults: dict[store.Step, list[Fault]]
     ) -> None:
-        self.store = on
+        self.store = fake
         self.faults = {step: list(f) for step, f in faults.items()}
         self.visited: list[store.Step] = []
 
     def run(self, decision: store.Decision[Any]) -> Any:
-        """Return the decision's result; raises what it raises, or Crashed."""
+        """Return the result of a decision; raises its errors, or Crashed."""
         outcome: store.Outcome = None
         late: list[store.Swap] = []
         while True:
@@ -123,7 +123,7 @@
             except StopIteration as end:
                 return end.value
             self.store.delayed, held = late, self.store.delayed
-            self.store.land()
+            self.store.deliver_delayed()
             self.store.delayed, late = held, []
             fault = None
             if not isinstance(action, store.Wait):
@@ -135,39 +135,39 @@
     def _perform(
         self, action: Any, fault: Fault | None, late: list[store.Swap]
     ) -> store.Outcome:
-        on, is_write = self.store, isinstance(action, store.Swap)
+        fake, is_write = self.store, isinstance(action, store.Swap)
         match fault:
             case Fault.REPLY_LOST | Fault.DOWN_AFTER:
-                on.perform(action)
-                on.is_down |= fault is Fault.DOWN_AFTER
+                fake.perform(action)
+                fake.is_down |= fault is Fault.DOWN_AFTER
                 return store.NoReply()
             case Fault.DROPPED:
                 return store.NoReply()
             case Fault.DOWN:
-                on.is_down = True
+                fake.is_down = True
             case Fault.DELAYED | Fault.DELAYED_A_LITTLE:
-                if is_write and not on.is_down:
-                    queue = on.delayed if fault is Fault.DELAYED else late
+                if is_write and not fake.is_down:
+                    queue = fake.delayed if fault is Fault.DELAYED else late
                     queue.append(action)
                 return store.NoReply()
             case Fault.DOUBLED:
-                on.perform(action)
+                fake.perform(action)
             case Fault.RACE | Fault.RACES:
-                for _ in range(1 if fault is Fault.RACE else MANY_RACES):
-                    _apply_another(on)
+                for _ in range(1 if fault is Fault.RACE else RACE_COUNT):
+                    _apply_other_change(fake)
             case Fault.FENCE_RACE:
-                _fence_another(on)
+                _fence_head(fake)
             case Fault.CRASH | Fault.CRASH_AFTER:
                 if fault is Fault.CRASH_AFTER:
-                    on.perform(action)
+                    fake.perform(action)
                 raise Crashed
-        return on.perform(action)
+        return fake.perform(action)
 
 
 def request(
     base: int, name: str, inventory: inventory_module.Inventory | None = None
 ) -> apply_module.ApplyRequest:
-    """Ask for one more model of that name."""
+    """Return a request that adds a model of the given name."""
     held = inventory or inventory_module.Inventory()
     model = inventory_module.Model(name=name)
     return apply_module.ApplyRequest(
@@ -182,33 +182,33 @@
 
 
 def store_with(revisions: int) -> FakeStore:
-    """Return a store to which some changes were applied."""
+    """Return a store with a number of applied changes."""
     made = FakeStore()
     for _ in range(revisions):
-        _apply_another(made)
+        _apply_other_change(made)
     return made
 
 
-def copied(original: FakeStore) -> FakeStore:
-    """Return a copy to break."""
+def copy_store(original: FakeStore) -> FakeStore:
+    """Return an independent copy."""
     return copy.deepcopy(original)
 
 
-def _apply_another(on: FakeStore) -> None:
-    # The other operator reaches the store though this applier may not.
-    is_down, on.is_down = on.is_down, False
-    loaded = on.run(documents.load())
+def _apply_other_change(fake: FakeStore) -> None:
+    # The store can be down for the applier under test only.
+    is_down, fake.is_down = fake.is_down, False
+    loaded = fake.run(documents.load())
     base = loaded.head.revision
-    on.run(apply_module.apply(request(base, f'o{base}', loaded.inventory)))
-    on.is_down = is_down
+    fake.run(apply_module.apply(request(base, f'o{base}', loaded.inventory)))
+    fake.is_down = is_down
 
 
-def _fence_another(on: FakeStore) -> None:
-    _, value = on.entries[head_module.HEAD_KEY]
+def _fence_head(fake: FakeStore) -> None:
+    _, value = fake.entries[head_module.HEAD_KEY]
     head = head_module.decode(value)
     fenced = msgspec.structs.replace(head, fence=head.fence + 1)
-    on.version += 1
-    on.entries[head_module.HEAD_KEY] = (
-        on.version,
+    fake.version += 1
+    fake.entries[head_module.HEAD_KEY] = (
+        fake.version,
         head_module.encode(fenced),
     )
--- a/packages/yuccarill-core/tests/config/test_apply_faults.py
+++ b/packages/yuccarill-core/tests/config/test_apply_faults.py
@@ -1,4 +1,4 @@
-"""Test every fault at every step of an apply, one and two at once."""
+"""Test applies with one fault or two faults at any of their steps."""
 
 from __future__ import annotations
 
@@ -22,12 +22,11 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Few, so that thousands of cells stay quick: a checkpoint lies behind, and
-# the next one is due.
+# Small, for speed: the store has made a checkpoint, and the next one is due.
 MAX_CHANGES = 3
 REVISIONS = 6
-# What has to go wrong first for a step to be reached at all.
-LEADING: dict[store.Step, dict[store.Step, list[Fault]]] = {
+# Faults that make an apply reach a step.
+PRIOR_FAULTS: dict[store.Step, dict[store.Step, list[Fault]]] = {
     store.Step.READ_HEAD: {},
     store.Step.READ_DOCUMENT: {},
     store.Step.WRITE_AUDIT_PAGE: {},
@@ -42,17 +41,17 @@
     },
 }
 with mock.patch.object(head_module, 'MAX_CHANGES', MAX_CHANGES):
-    FULL = fake_store.store_with(REVISIONS)
-INVENTORY = FULL.run(documents.load()).inventory
-CHANGE = 'change-mine'
-CELLS = list(itertools.product(store.Step, Fault))
+    STORE = fake_store.store_with(REVISIONS)
+INVENTORY = STORE.run(documents.load()).inventory
+CHANGE_ID = 'change-mine'
+STEP_FAULTS = list(itertools.product(store.Step, Fault))
 
 
-class Cell:
-    """Apply a change under faults and see what the operator was told."""
+class Scenario:
+    """An apply with injected faults and the result that operators see."""
 
     def __init__(self, faults: dict[store.Step, list[Fault]]) -> None:
-        self.store = fake_store.copied(FULL)
+        self.store = fake_store.copy_store(STORE)
         self.request = fake_store.request(REVISIONS, 'mine', INVENTORY)
         self.run = Run(self.store, faults)
         self.result: object = None
@@ -61,12 +60,12 @@
         except (errors.YuccarillError, fake_store.Crashed) as error:
             self.result = error
 
-    def again(self) -> object:
-        """Ask once more with the same change id, the store being back."""
+    def retry(self) -> object:
+        """Apply the change again, with the same change id and the store up."""
         return self._finish(apply_module.apply(self.request))
 
     def settle(self) -> object:
-        """Find out what the instance does on its own afterwards."""
+        """Find the outcome as the instance does, with the store up."""
         return self._finish(apply_module.settle(self.request, None))
 
     def _finish(self, decision: store.Decision[object]) -> object:
@@ -76,14 +75,14 @@
         except errors.YuccarillError as error:
             return error
 
-    def count(self) -> int:
-        """Count the revisions that the change has made."""
-        trail = self.store.trail()
+    def revision_count(self) -> int:
+        """Return the number of revisions that the change has made."""
+        trail = self.store.audit_trail()
         revisions = [change.revision for change in trail]
         expected = list(range(1, len(trail) + 1))
         if revisions != expected:
-            raise AssertionError(f'the audit trail has gaps: {revisions}')
-        return sum(change.change_id == CHANGE for change in trail)
+            raise AssertionError(f'The audit trail has gaps: {revisions}.')
+        return sum(change.change_id == CHANGE_ID for change in trail)
 
 
 class ApplyFaultsTest(unittest.TestCase):
@@ -94,41 +93,40 @@
 
     def test_every_step_is_reached(self) -> None:
         for step in store.Step:
-            self.assertIn(step, Cell(LEADING[step]).run.visited)
+            self.assertIn(step, Scenario(PRIOR_FAULTS[step]).run.visited)
 
-    @params(*CELLS)
+    @params(*STEP_FAULTS)
     def test_one_fault(self, step: store.Step, fault: Fault) -> None:
-        # The operator applies, and one thing goes wrong at one step. Told
-        # "applied", the change stands once; told "refused", it stands
-        # nowhere even after every delayed write has arrived; told
-        # "unknown", the same change id finds out, and so does the instance
-        # by itself.
-        for finish in (Cell.again, Cell.settle):
-            self.check(_joined(LEADING[step], {step: [fault]}), finish)
+        # Guards against wrong reports to operators: a change that is reported
+        # as applied exists once, a refused one never, even after all delayed
+        # writes. An unknown outcome is found by a retry or by `settle`.
+        for finish in (Scenario.retry, Scenario.settle):
+            self.check(_merge(PRIOR_FAULTS[step], {step: [fault]}), finish)
 
     def test_a_fence_is_no_race(self) -> None:
-        # Another applier moves the head's version on to fence a write of
-        # its own. No revision came between, so this change still applies.
-        cell = Cell({store.Step.SWAP_HEAD: [Fault.FENCE_RACE]})
-        self.assertIsInstance(cell.result, apply_module.ApplyResult)
+        # A fence by another applier changes the head's version but not its
+        # revision and must not be reported as a conflict.
+        scenario = Scenario({store.Step.SWAP_HEAD: [Fault.FENCE_RACE]})
+        self.assertIsInstance(scenario.result, apply_module.ApplyResult)
 
     def test_two_faults(self) -> None:
-        # The same with two things going wrong in one apply, at any two
-        # steps, or at one step twice.
-        pairs = itertools.combinations_with_replacement(CELLS, 2)
+        # Guards against the same failures with any two faults in one apply.
+        pairs = itertools.combinations_with_replacement(STEP_FAULTS, 2)
         for (first, a), (second, b) in pairs:
-            faults = _joined(LEADING[first], LEADING[second], {first: [a]})
+            faults = _merge(
+                PRIOR_FAULTS[first], PRIOR_FAULTS[second], {first: [a]}
+            )
             with self.subTest(steps=(first, second), faults=(a, b)):
-                finish = Cell.again if a is b else Cell.settle
-                self.check(_joined(faults, {second: [b]}), finish)
+                finish = Scenario.retry if a is b else Scenario.settle
+                self.check(_merge(faults, {second: [b]}), finish)
 
     def check(
         self,
         faults: dict[store.Step, list[Fault]],
-        finish: Callable[[Cell], object],
+        finish: Callable[[Scenario], object],
     ) -> None:
-        cell = Cell(faults)
-        result = cell.result
+        scenario = Scenario(faults)
+        result = scenario.result
         match result:
             case apply_module.ApplyResult():
                 expected = {1}
@@ -136,29 +134,29 @@
                 expected = {0}
             case errors.ApplyOutcomeUnknown() | fake_store.Crashed():
                 expected = {0, 1}
-                result = finish(cell)
+                result = finish(scenario)
             case _:
                 self.fail(f'{result!r}')
-        cell.store.is_down = False
-        cell.store.land()
-        found = cell.count()
+        scenario.store.is_down = False
+        scenario.store.deliver_delayed()
+        found = scenario.revision_count()
         self.assertIn(found, expected)
         self.assertEqual(
             isinstance(result, apply_module.ApplyResult), found == 1
         )
-        loaded = cell.store.run(documents.load())
+        loaded = scenario.store.run(documents.load())
         later = fake_store.request(
             loaded.head.revision, 'later', loaded.inventory
         )
-        cell.store.run(apply_module.apply(later))
-        self.assertEqual(found, cell.count())
+        scenario.store.run(apply_module.apply(later))
+        self.assertEqual(found, scenario.revision_count())
 
 
-def _joined(
+def _merge(
     *plans: dict[store.Step, list[Fault]],
 ) -> dict[store.Step, list[Fault]]:
-    joined: dict[store.Step, list[Fault]] = {}
+    merged: dict[store.Step, list[Fault]] = {}
     for plan in plans:
         for step, faults in plan.items():
-            joined.setdefault(step, []).extend(faults)
-    return joined
+            merged.setdefault(step, []).extend(faults)
+    return merged
--- a/packages/yuccarill-core/tests/config/test_deltas.py
+++ b/packages/yuccarill-core/tests/config/test_deltas.py
@@ -1,4 +1,4 @@
-"""Test that deltas lead to what whole documents say."""
+"""Test that deltas give the same result as whole documents."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
     inventory: inventory_module.Inventory,
     delta: deltas.Delta | None,
 ) -> head_module.Change:
-    """Return the change that made an inventory."""
+    """Return the change that makes an inventory."""
     return head_module.Change(
         revision=Revision(revision),
         change_id=ChangeId(f'c{revision}'),
@@ -84,37 +84,36 @@
         edits: list[inventory_module.Inventory],
         data: strategies.DataObject,
     ) -> None:
-        # The naive follower replaces the whole document at each revision.
-        # The real one sees some heads, in any order, with as many changes
-        # as they happen to carry, and whole documents over gaps.
+        # Guards against wrong inventories if heads arrive in any order, carry
+        # any number of changes or leave gaps.
         changes = []
-        held = inventory_module.Inventory()
+        previous = inventory_module.Inventory()
         for number, edited in enumerate(edits, 1):
-            delta = deltas.between(held, edited)
-            coded = msgspec.json.decode(
+            delta = deltas.between(previous, edited)
+            decoded = msgspec.json.decode(
                 msgspec.json.encode(delta), type=deltas.Delta
             )
-            changes.append(change(number, edited, coded))
-            held = edited
+            changes.append(change(number, edited, decoded))
+            previous = edited
         real = follower.Follower()
-        naive = 0
+        latest = 0
         offers = strategies.integers(1, len(edits))
         for last in data.draw(strategies.lists(offers, max_size=12)):
             first = data.draw(strategies.integers(1, last))
             head = head_module.Head(changes=tuple(changes[first - 1 : last]))
             offered = real.offer(head)
             if offered is follower.Offered.GAP:
-                self.assertGreater(first, naive + 1)
+                self.assertGreater(first, latest + 1)
             if offered is not follower.Offered.TAKEN:
                 offered = real.install(changes[last - 1], edits[last - 1])
-            self.assertEqual(last > naive, offered is follower.Offered.TAKEN)
-            naive = max(naive, last)
-            self.assertEqual(naive, real.revision)
-            self.assertEqual(edits[naive - 1], real.snapshot.inventory)
+            self.assertEqual(last > latest, offered is follower.Offered.TAKEN)
+            latest = max(latest, last)
+            self.assertEqual(latest, real.revision)
+            self.assertEqual(edits[latest - 1], real.snapshot.inventory)
 
     def test_refuses_a_delta_that_misses_the_digest(self) -> None:
-        # A fault doubles an entry's change on its way. The instance keeps
-        # what it has and asks for the whole document.
+        # A corrupt delta must not replace the snapshot; the whole document
+        # does.
         first, second = (
             inventory_module.Inventory(
                 models=(inventory_module.Model(name=n),)
--- a/packages/yuccarill-core/tests/config/test_reader.py
+++ b/packages/yuccarill-core/tests/config/test_reader.py
@@ -1,4 +1,4 @@
-"""Test reading inventories."""
+"""Test parsing and validation of inventory documents."""
 
 from __future__ import annotations
 
--- a/packages/yuccarill-core/tests/test_blackboard.py
+++ b/packages/yuccarill-core/tests/test_blackboard.py
@@ -1,4 +1,4 @@
-"""Test the page that says who writes each section."""
+"""Test that the architecture page documents all blackboard fields."""
 
 from __future__ import annotations
 
@@ -16,6 +16,6 @@
     def test_page_lists_every_section(self) -> None:
         text = PAGE.read_text().partition('## Blackboard')[2]
         rows = re.findall(r'^\| (`.*?) \|', text.partition('\n## ')[0], re.M)
-        listed = re.findall(r'`(\w+)`', ' '.join(rows))
+        documented = re.findall(r'`(\w+)`', ' '.join(rows))
         sections = [f.name for f in dataclasses.fields(blackboard.Blackboard)]
-        self.assertEqual(sections, ['me', *listed])
+        self.assertEqual(sections, ['me', *documented])
--- a/packages/yuccarill-core/tests/test_errors.py
+++ b/packages/yuccarill-core/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Test the exception tree, its explanations and their page."""
+"""Test errors, their explanations and the page of result codes."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
     maxDiff = None
 
     def test_page_lists_every_code(self) -> None:
-        wanted = [each.row for each in explanations.explain_all()]
+        expected = [each.row for each in explanations.explain_all()]
         rows = re.findall(r'^\| \d.*$', PAGE.read_text(), re.MULTILINE)
-        self.assertEqual(wanted, rows)
+        self.assertEqual(expected, rows)
 
     def test_every_code_but_ok_has_a_class(self) -> None:
         without = [
@@ -29,12 +29,12 @@
         self.assertEqual(['OK'], without)
 
     def test_every_error_class_has_a_doc_line(self) -> None:
-        silent = [
+        undocumented = [
             error_class.__name__
             for error_class in _tree(errors.YuccarillError)
             if not (error_class.__dict__.get('__doc__') or '').strip()
         ]
-        self.assertEqual([], silent)
+        self.assertEqual([], undocumented)
 
     def test_an_unknown_code_is_refused(self) -> None:
         with self.assertRaises(errors.UnknownCode):
--- a/packages/yuccarill-core/tests/test_imports.py
+++ b/packages/yuccarill-core/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Test what importing the core brings along."""
+"""Test which modules the core imports."""
 
 from __future__ import annotations
 
@@ -6,9 +6,8 @@
 import sys
 import unittest
 
-# Every module of the core is imported in a fresh interpreter, which then
-# prints what it loaded. Modules that hold a reactor, a socket or an HTTP
-# server would make the core unfit to embed.
+# Imports all modules of the core in a new interpreter and prints the loaded
+# modules. The core must stay free of I/O, so that it can be embedded.
 _SCRIPT = """
 import importlib, pkgutil, sys
 import yuccarill.core
--- a/packages/yuccarill-wire/tests/test_frames.py
+++ b/packages/yuccarill-wire/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Test framing of messages."""
+"""Test encoding and decoding of messages on a stream."""
 
 from __future__ import annotations
 
@@ -36,8 +36,7 @@
             self.assertTrue(decoder.is_between_frames)
 
     def test_keeps_a_buffer_only_within_a_frame(self) -> None:
-        # An instance holds a stream to each of a hundred peers; were each
-        # to keep its buffer of 40 KB, they alone would take 4 of 64 MB.
+        # Guards against idle streams that keep a buffer of 40 KB each.
         data = frames.encode(ENVELOPE)
         for cut in range(1, len(data)):
             decoder = frames.Decoder()
@@ -45,8 +44,7 @@
             self.assertFalse(decoder.is_between_frames)
 
     def test_refuses_an_over_long_frame(self) -> None:
-        # A peer never ends its frame; without a bound this process would
-        # buffer until it is out of memory.
+        # Guards against memory exhaustion by a peer that never ends a frame.
         decoder = frames.Decoder(max_bytes=64)
         with self.assertRaises(errors.FrameInvalid):
             for _ in range(10):
