--- a/packages/yuccarill-core/src/yuccarill/core/config/apply.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/apply.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from yuccarill.core.config.snapshot import Snapshot
 
-SETTLE_TRIES = 2
+MAX_SETTLE_ATTEMPTS = 2
 SETTLE_WAIT_SECONDS = 0.5
 MAX_SWAPS = 3
 # Audit pages to read when searching for a change older than the head.
@@ -106,7 +106,7 @@
     `expected` is the version that the swap expected, None if unknown.
     Raises the same errors as `apply`.
     """
-    for attempt in range(SETTLE_TRIES):
+    for attempt in range(MAX_SETTLE_ATTEMPTS):
         if attempt:
             yield store.Wait(SETTLE_WAIT_SECONDS)
         try:
@@ -127,8 +127,8 @@
         if is_superseded or (yield from _fence(head, version)):
             raise documents.unavailable('the change was not written')
     raise errors.ApplyOutcomeUnknown(
-        f'Change {request.change_id} may or may not have become revision '
-        f'{request.base + 1}; the key-value service did not answer. '
+        f'Change {request.change_id} may have become revision '
+        f'{request.base + 1}, or may until the key-value service answers. '
         'Apply it again with the same change id, or read the audit trail.',
         retry_after=1.0,
     )
--- a/packages/yuccarill-core/src/yuccarill/core/config/follower.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/follower.py
@@ -1,4 +1,4 @@
-"""Keep the newest configuration that was received."""
+"""Track the newest configuration received from the platform or peers."""
 
 from __future__ import annotations
 
