--- a/packages/yuccarill-core/src/yuccarill/core/blackboard.py
+++ b/packages/yuccarill-core/src/yuccarill/core/blackboard.py
@@ -36,5 +36,5 @@
         default_factory=dict
     )
     is_leaving: bool = False
-    # Latest expiry of addresses given to callers; None until it leaves.
+    # Latest expiry of addresses given to callers; None before shutdown.
     serves_until: WallTime | None = None
--- a/packages/yuccarill-core/src/yuccarill/core/config/apply.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/apply.py
@@ -70,7 +70,7 @@
     """
     head, version = yield from documents.read_head(store.Step.READ_HEAD)
     for _ in range(MAX_SWAPS):
-        change = yield from _find(head, request)
+        change = yield from _find_committed(head, request)
         if change is not None:
             return _applied_result(change, head)
         if head.revision != request.base:
@@ -90,8 +90,8 @@
             case store.Swapped():
                 return _applied_result(new_head.changes[-1], new_head)
             case store.Conflict():
-                # Another applier that fences its own write changes the
-                # version but not the revision; this change still applies.
+                # The other write may be a fence, which keeps the revision;
+                # this change can still be applied then.
                 head, version = yield from _read_back(request)
             case _:
                 return (yield from settle(request, version))
@@ -113,12 +113,12 @@
             head, version = yield from documents.read_head(
                 store.Step.READ_BACK
             )
-            change = yield from _find(head, request)
+            change = yield from _find_committed(head, request)
         except errors.StoreUnavailable:
             continue
-        # The write may have taken effect and later revisions may follow it.
-        # The change id identifies it, so that a repeated apply is not
-        # refused as a conflict with itself.
+        # The change may be committed and later revisions may follow; its id
+        # identifies it. Otherwise an operator would be told that the change
+        # conflicts with itself.
         if change is not None:
             return _applied_result(change, head)
         if head.revision != request.base:
@@ -127,8 +127,8 @@
         if is_superseded or (yield from _fence(head, version)):
             raise documents.unavailable('the change was not written')
     raise errors.ApplyOutcomeUnknown(
-        f'Change {request.change_id} may have become revision '
-        f'{request.base + 1}, or may until the key-value service answers. '
+        f'Change {request.change_id} may have become, or may become, revision '
+        f'{request.base + 1} while the key-value service does not answer. '
         'Apply it again with the same change id, or read the audit trail.',
         retry_after=1.0,
     )
@@ -179,13 +179,15 @@
         return (yield from documents.read_head(store.Step.READ_BACK))
     except errors.StoreUnavailable as error:
         raise errors.ApplyOutcomeUnknown(
-            f'Change {request.change_id} lost to another write or has taken '
-            'effect already; apply it again with the same change id.',
+            f'Change {request.change_id} has taken effect, or another write '
+            'replaced the head first; apply it again with the same change id.',
             retry_after=1.0,
         ) from error
 
 
-def _find(head: Head, request: ApplyRequest) -> store.Decision[Change | None]:
+def _find_committed(
+    head: Head, request: ApplyRequest
+) -> store.Decision[Change | None]:
     """Return the change that the request has already made, if any."""
     number = Revision(request.base + 1)
     if head.revision < number:
--- a/packages/yuccarill-core/src/yuccarill/core/config/conversion.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/conversion.py
@@ -27,31 +27,31 @@
 class Conversion:
     """Valid entries of a document and the faults of the invalid ones."""
 
-    def __init__(self, plain: Any) -> None:
+    def __init__(self, parsed: Any) -> None:
         self.faults: list[str] = []
         self.inventory = inventory_module.Inventory()
         # Includes entries that are invalid because of another key, so that
         # a reference to such an entry is not reported as a second fault.
         self.names_by_section: dict[str, list[str]] = {}
-        if not isinstance(plain, dict):
-            shown = _shorten(plain)
+        if not isinstance(parsed, dict):
+            shown = _shorten(parsed)
             self.faults.append(
                 f'document: {shown} is wrong; write a table of sections'
             )
             return
         types_by_section = _types_by_section()
-        self.faults.extend(_unknown_keys('document', plain, types_by_section))
+        self.faults.extend(_unknown_keys('document', parsed, types_by_section))
         self.inventory = inventory_module.Inventory(
             **{
-                section: tuple(self._entries(section, struct, plain))
+                section: tuple(self._entries(section, struct, parsed))
                 for section, struct in types_by_section.items()
             }
         )
 
     def _entries(
-        self, section: str, struct: type[Any], plain: dict[str, Any]
+        self, section: str, struct: type[Any], parsed: dict[str, Any]
     ) -> Iterator[Any]:
-        entries = plain.get(section, [])
+        entries = parsed.get(section, [])
         names = self.names_by_section.setdefault(section, [])
         if not isinstance(entries, list | tuple):
             self.faults.append(
--- a/packages/yuccarill-core/src/yuccarill/core/config/deltas.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/deltas.py
@@ -62,8 +62,8 @@
 def apply_to(inventory: Inventory, delta: Delta) -> Inventory:
     """Return an inventory with a delta applied.
 
-    Both inventories are canonical. Raises InventoryInvalid if the delta
-    does not fit the data classes of this version.
+    The argument and the result are canonical. Raises InventoryInvalid if the
+    delta does not fit the data classes of this version.
     """
     try:
         changes = {
--- a/packages/yuccarill-core/src/yuccarill/core/config/documents.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/documents.py
@@ -116,7 +116,7 @@
         raise unavailable('the audit page was not read')
     if outcome.version == 0:
         raise errors.RequestError(
-            f'No audit page ends with revision {last}; start at the newest.'
+            f'No audit page ends with revision {last}; read the newest page.'
         )
     return msgspec.json.decode(outcome.value, type=AuditPage)
 
@@ -150,8 +150,8 @@
 def unavailable(cause: str) -> errors.StoreUnavailable:
     """Return the error for an attempt that changed nothing."""
     return errors.StoreUnavailable(
-        f'The key-value service did not answer: {cause}. This attempt changed '
-        'nothing and never will; try again.',
+        f'The key-value service did not answer: {cause}. This attempt has '
+        'changed nothing and will change nothing; try again.',
         retry_after=1.0,
     )
 
--- a/packages/yuccarill-core/src/yuccarill/core/config/head.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/head.py
@@ -14,9 +14,9 @@
 # Limits of the changes in a head; beyond them a checkpoint is due.
 MAX_CHANGES = 16
 MAX_CHANGES_BYTES = 16_000
-# Limits of the changes in a head that instances send to each other.
-MAX_SENT_BYTES = 2_000
-MAX_SENT_DELTA_BYTES = 16_000
+# Limits in heads sent to peers: of all changes; of a change with its delta.
+MAX_SENT_TOTAL_BYTES = 2_000
+MAX_SENT_CHANGE_BYTES = 16_000
 
 
 class Change(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
@@ -48,7 +48,7 @@
     checkpoint: Checkpoint = Checkpoint()
     # Sorted by revision; the last one is the current revision.
     changes: tuple[Change, ...] = ()
-    # Number of writes that only invalidate earlier, delayed writes.
+    # Count of fences: writes that only make delayed earlier writes fail.
     fence: int = 0
 
     @property
@@ -86,9 +86,9 @@
     for change in reversed(head.changes):
         length = len(msgspec.json.encode(change))
         size += length
-        if kept and size > MAX_SENT_BYTES:
+        if kept and size > MAX_SENT_TOTAL_BYTES:
             break
-        if length > MAX_SENT_DELTA_BYTES:
+        if length > MAX_SENT_CHANGE_BYTES:
             change = without_delta(change)
         kept.insert(0, change)
     return Head(checkpoint=head.checkpoint, changes=tuple(kept))
--- a/packages/yuccarill-core/src/yuccarill/core/config/inventory.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/inventory.py
@@ -16,7 +16,7 @@
 from yuccarill.core.ids import TrainerId
 
 MAX_SHARE = 1000
-MAX_STEPS = 100
+MAX_COUNT = 100
 MAX_PATHS = 1000
 
 # Names are parts of keys and paths and need no escaping there. Descriptions
@@ -38,10 +38,10 @@
         ge=1, le=MAX_SHARE, description=f'a whole number, 1 to {MAX_SHARE}'
     ),
 ]
-_Steps = Annotated[
+_Count = Annotated[
     int,
     msgspec.Meta(
-        ge=0, le=MAX_STEPS, description=f'a whole number, 0 to {MAX_STEPS}'
+        ge=0, le=MAX_COUNT, description=f'a whole number, 0 to {MAX_COUNT}'
     ),
 ]
 _Fraction = Annotated[
@@ -110,6 +110,7 @@
     model: Annotated[ModelName, _NAME]
     address: _Address
     data_centre: Annotated[DataCentreId, _NAME]
+    # Whether the engine refuses orders with an outdated epoch.
     checks_fencing: bool = False
 
 
@@ -132,9 +133,11 @@
 class StalenessFirst(Entry, frozen=True, tag='staleness'):
     """Policy that prefers fresh samples to a busy trainer."""
 
-    steps_ahead: _Steps = 0
-    spare_groups: _Steps = 0
-    # Fraction of a step, at its end, that is hedged if engines are free.
+    # Steps that may start while an earlier step is still open.
+    steps_ahead: _Count = 0
+    # Groups of a step that may be left out.
+    spare_groups: _Count = 0
+    # Last fraction of a step's samples, hedged if engines are free.
     hedge_part: _Fraction = 0.02
     # Seconds after which a generation is hedged by a second one.
     hedge_after: _Seconds = 3.0
@@ -143,8 +146,8 @@
 class IdleFirst(Entry, frozen=True, tag='idle'):
     """Policy that prefers a busy trainer to fresh samples."""
 
-    steps_ahead: _Steps = 1
-    spare_groups: _Steps = 0
+    steps_ahead: _Count = 1
+    spare_groups: _Count = 0
     hedge_part: _Fraction = 0.05
     hedge_after: _Seconds = 3.0
 
@@ -159,7 +162,7 @@
     model: Annotated[ModelName, _NAME]
     scorer: Annotated[ScorerId, _NAME]
     # Weight versions by which a sample may lag behind the trainer's newest.
-    staleness_bound: _Steps
+    staleness_bound: _Count
     policy: TrainerPolicy
     share: _Share = 1
 
--- a/packages/yuccarill-core/src/yuccarill/core/config/reader.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/reader.py
@@ -28,18 +28,18 @@
             f'document: over {MAX_DOCUMENT_BYTES} bytes; split the inventory'
         )
     try:
-        plain = tomllib.loads(text) if syntax == 'toml' else json.loads(text)
+        parsed = tomllib.loads(text) if syntax == 'toml' else json.loads(text)
     except (ValueError, RecursionError) as error:
         raise errors.InventoryInvalid(f'document: {error}') from error
-    return from_plain(plain)
+    return from_plain(parsed)
 
 
-def from_plain(plain: Any) -> inventory_module.Inventory:
+def from_plain(parsed: Any) -> inventory_module.Inventory:
     """Convert a decoded document to an inventory and validate it.
 
     Raises InventoryInvalid with all faults found.
     """
-    conversion_result = conversion.Conversion(plain)
+    conversion_result = conversion.Conversion(parsed)
     faults = conversion_result.faults + list(rules.faults(conversion_result))
     if faults:
         raise errors.InventoryInvalid('\n'.join(_truncated(faults)))
--- a/packages/yuccarill-core/src/yuccarill/core/config/rules.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/rules.py
@@ -12,6 +12,7 @@
 
     from yuccarill.core.config.conversion import Conversion
 
+# Section, key and the section that defines the key's value.
 _REFERENCES = (
     ('engines', 'model', 'models'),
     ('targets', 'service', 'services'),
@@ -34,8 +35,8 @@
     """Yield duplicate names, unknown references and invalid addresses."""
     for sections in _NAMESPACES:
         yield from _duplicate_faults(conversion, sections)
-    for section, key, referred in _REFERENCES:
-        yield from _reference_faults(conversion, section, key, referred)
+    for section, key, referenced in _REFERENCES:
+        yield from _reference_faults(conversion, section, key, referenced)
     for section in _SECTIONS_WITH_ADDRESS:
         for entry in getattr(conversion.inventory, section):
             if not addresses.is_address(entry.address):
@@ -60,13 +61,13 @@
 
 
 def _reference_faults(
-    conversion: Conversion, section: str, key: str, referred: str
+    conversion: Conversion, section: str, key: str, referenced: str
 ) -> Iterator[str]:
-    names = set(conversion.names_by_section.get(referred, ()))
+    names = set(conversion.names_by_section.get(referenced, ()))
     for entry in getattr(conversion.inventory, section):
         name = getattr(entry, key)
         if name not in names:
             yield (
                 f'{section} {entry.id}, {key}: {name!a} is not defined; '
-                f'add it to {referred} or correct it'
+                f'add it to {referenced} or correct it'
             )
--- a/packages/yuccarill-core/src/yuccarill/core/config/snapshot.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/snapshot.py
@@ -29,7 +29,7 @@
     inventory: inventory_module.Inventory,
     revision: Revision = Revision(1),
 ) -> Snapshot:
-    """Return a snapshot that comes from no key-value service."""
+    """Return a snapshot of an inventory without author or change id."""
     return Snapshot(
         Change(
             revision=revision,
@@ -114,23 +114,23 @@
         self,
     ) -> Mapping[TargetId, inventory_module.Engine | inventory_module.Target]:
         """Return both engines and targets of services."""
-        plain = {target.id: target for target in self.inventory.targets}
-        return {**self.engines_by_id, **plain}
+        others = {target.id: target for target in self.inventory.targets}
+        return {**self.engines_by_id, **others}
 
     @functools.cached_property
     def engines_by_model(
         self,
     ) -> Mapping[ModelName, Sequence[inventory_module.Engine]]:
-        found = collections.defaultdict(list)
+        engines = collections.defaultdict(list)
         for engine in self.inventory.engines:
-            found[engine.model].append(engine)
-        return dict(found)
+            engines[engine.model].append(engine)
+        return dict(engines)
 
     @functools.cached_property
     def targets_by_service(
         self,
     ) -> Mapping[ServiceName, Sequence[inventory_module.Target]]:
-        found = collections.defaultdict(list)
+        targets = collections.defaultdict(list)
         for target in self.inventory.targets:
-            found[target.service].append(target)
-        return dict(found)
+            targets[target.service].append(target)
+        return dict(targets)
--- a/packages/yuccarill-core/src/yuccarill/core/config/start_gate.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/start_gate.py
@@ -19,11 +19,11 @@
         self._is_open = True
 
     def peers_answered(self, answered: int) -> None:
-        """Record how many of the peers that were asked have answered."""
-        # The first answer alone may come from a partitioned, outdated peer
-        # and would roll this instance back to an older revision.
+        """Record how many peers answered, once none is outstanding."""
+        # Opening at the first answer could roll this instance back to the
+        # older revision of a partitioned peer.
         self._is_open = self._is_open or answered > 0
 
-    def may_serve(self, held: int, known: int) -> bool:
-        """Return whether to use the held revision, given the newest known."""
-        return self._is_open and 0 < held and known <= held
+    def may_serve(self, held: int, newest: int) -> bool:
+        """Return whether the held revision, 0 for none, can be used."""
+        return self._is_open and 0 < held and newest <= held
--- a/packages/yuccarill-core/tests/config/fake_store.py
+++ b/packages/yuccarill-core/tests/config/fake_store.py
@@ -36,7 +36,7 @@
     DELAYED_A_LITTLE = 'delayed until the next call'
     DELAYED = 'delayed past the answer'
     DOUBLED = 'write arrives twice'
-    # Another operator's change, several changes or a fence come first.
+    # Another operator's change, several changes or a fence precede the call.
     RACE = 'operator race'
     RACES = 'operators race past a checkpoint'
     FENCE_RACE = 'another fences its own'
@@ -59,7 +59,6 @@
         self.writes = 0
 
     def perform(self, action: store.Action) -> store.Outcome:
-        """Perform an action and return its outcome."""
         match action:
             case store.Wait():
                 return None
@@ -71,13 +70,11 @@
                 return self._write(action)
 
     def deliver_delayed(self) -> None:
-        """Perform all delayed writes."""
         for swap in self.delayed:
             self._write(swap)
         self.delayed = []
 
     def head(self) -> head_module.Head:
-        """Return the current head."""
         return self.run(documents.read_head(store.Step.READ_HEAD))[0]
 
     def run(self, decision: store.Decision[Any]) -> Any:
@@ -116,24 +113,24 @@
     def run(self, decision: store.Decision[Any]) -> Any:
         """Return the result of a decision; raises its errors, or Crashed."""
         outcome: store.Outcome = None
-        late: list[store.Swap] = []
+        due: list[store.Swap] = []
         while True:
             try:
                 action = decision.send(outcome)
             except StopIteration as end:
                 return end.value
-            self.store.delayed, held = late, self.store.delayed
+            self.store.delayed, later = due, self.store.delayed
             self.store.deliver_delayed()
-            self.store.delayed, late = held, []
+            self.store.delayed, due = later, []
             fault = None
             if not isinstance(action, store.Wait):
                 self.visited.append(action.step)
-                waiting = self.faults.get(action.step)
-                fault = waiting.pop(0) if waiting else None
-            outcome = self._perform(action, fault, late)
+                step_faults = self.faults.get(action.step)
+                fault = step_faults.pop(0) if step_faults else None
+            outcome = self._perform(action, fault, due)
 
     def _perform(
-        self, action: Any, fault: Fault | None, late: list[store.Swap]
+        self, action: Any, fault: Fault | None, due: list[store.Swap]
     ) -> store.Outcome:
         fake, is_write = self.store, isinstance(action, store.Swap)
         match fault:
@@ -147,7 +144,7 @@
                 fake.is_down = True
             case Fault.DELAYED | Fault.DELAYED_A_LITTLE:
                 if is_write and not fake.is_down:
-                    queue = fake.delayed if fault is Fault.DELAYED else late
+                    queue = fake.delayed if fault is Fault.DELAYED else due
                     queue.append(action)
                 return store.NoReply()
             case Fault.DOUBLED:
@@ -168,7 +165,7 @@
     base: int, name: str, inventory: inventory_module.Inventory | None = None
 ) -> apply_module.ApplyRequest:
     """Return a request that adds a model of the given name."""
-    held = inventory or inventory_module.Inventory()
+    current = inventory or inventory_module.Inventory()
     model = inventory_module.Model(name=name)
     return apply_module.ApplyRequest(
         change_id=ChangeId(f'change-{name}'),
@@ -176,21 +173,19 @@
         applied_at=WallTime(0.0),
         base=Revision(base),
         inventory=deltas.canonical(
-            inventory_module.Inventory(models=(*held.models, model))
+            inventory_module.Inventory(models=(*current.models, model))
         ),
     )
 
 
 def store_with(revisions: int) -> FakeStore:
-    """Return a store with a number of applied changes."""
-    made = FakeStore()
+    fake = FakeStore()
     for _ in range(revisions):
-        _apply_other_change(made)
-    return made
+        _apply_other_change(fake)
+    return fake
 
 
 def copy_store(original: FakeStore) -> FakeStore:
-    """Return an independent copy."""
     return copy.deepcopy(original)
 
 
--- a/packages/yuccarill-core/tests/config/test_apply_faults.py
+++ b/packages/yuccarill-core/tests/config/test_apply_faults.py
@@ -99,11 +99,11 @@
     def test_one_fault(self, step: store.Step, fault: Fault) -> None:
         # Guards against wrong reports to operators: a change that is reported
         # as applied exists once, a refused one never, even after all delayed
-        # writes. An unknown outcome is found by a retry or by `settle`.
+        # writes. An unknown outcome is resolved by a retry or by `settle`.
         for finish in (Scenario.retry, Scenario.settle):
             self.check(_merge(PRIOR_FAULTS[step], {step: [fault]}), finish)
 
-    def test_a_fence_is_no_race(self) -> None:
+    def test_concurrent_fence_is_not_a_conflict(self) -> None:
         # A fence by another applier changes the head's version but not its
         # revision and must not be reported as a conflict.
         scenario = Scenario({store.Step.SWAP_HEAD: [Fault.FENCE_RACE]})
@@ -139,17 +139,17 @@
                 self.fail(f'{result!r}')
         scenario.store.is_down = False
         scenario.store.deliver_delayed()
-        found = scenario.revision_count()
-        self.assertIn(found, expected)
+        count = scenario.revision_count()
+        self.assertIn(count, expected)
         self.assertEqual(
-            isinstance(result, apply_module.ApplyResult), found == 1
+            isinstance(result, apply_module.ApplyResult), count == 1
         )
         loaded = scenario.store.run(documents.load())
         later = fake_store.request(
             loaded.head.revision, 'later', loaded.inventory
         )
         scenario.store.run(apply_module.apply(later))
-        self.assertEqual(found, scenario.revision_count())
+        self.assertEqual(count, scenario.revision_count())
 
 
 def _merge(
--- a/packages/yuccarill-core/tests/config/test_deltas.py
+++ b/packages/yuccarill-core/tests/config/test_deltas.py
@@ -61,7 +61,6 @@
     inventory: inventory_module.Inventory,
     delta: deltas.Delta | None,
 ) -> head_module.Change:
-    """Return the change that makes an inventory."""
     return head_module.Change(
         revision=Revision(revision),
         change_id=ChangeId(f'c{revision}'),
@@ -79,7 +78,7 @@
         strategies.lists(INVENTORIES, min_size=1, max_size=8),
         strategies.data(),
     )
-    def test_follows_like_whole_documents(
+    def test_deltas_match_whole_documents(
         self,
         edits: list[inventory_module.Inventory],
         data: strategies.DataObject,
@@ -95,23 +94,23 @@
             )
             changes.append(change(number, edited, decoded))
             previous = edited
-        real = follower.Follower()
+        tested = follower.Follower()
         latest = 0
         offers = strategies.integers(1, len(edits))
         for last in data.draw(strategies.lists(offers, max_size=12)):
             first = data.draw(strategies.integers(1, last))
             head = head_module.Head(changes=tuple(changes[first - 1 : last]))
-            offered = real.offer(head)
+            offered = tested.offer(head)
             if offered is follower.Offered.GAP:
                 self.assertGreater(first, latest + 1)
             if offered is not follower.Offered.TAKEN:
-                offered = real.install(changes[last - 1], edits[last - 1])
+                offered = tested.install(changes[last - 1], edits[last - 1])
             self.assertEqual(last > latest, offered is follower.Offered.TAKEN)
             latest = max(latest, last)
-            self.assertEqual(latest, real.revision)
-            self.assertEqual(edits[latest - 1], real.snapshot.inventory)
+            self.assertEqual(latest, tested.revision)
+            self.assertEqual(edits[latest - 1], tested.snapshot.inventory)
 
-    def test_refuses_a_delta_that_misses_the_digest(self) -> None:
+    def test_refuses_a_delta_with_another_digest(self) -> None:
         # A corrupt delta must not replace the snapshot; the whole document
         # does.
         first, second = (
@@ -120,13 +119,13 @@
             )
             for n in 'ab'
         )
-        real = follower.Follower()
-        real.install(change(1, first, None), first)
+        tested = follower.Follower()
+        tested.install(change(1, first, None), first)
         wrong = change(2, second, deltas.Delta(removed={'models': ['a']}))
         head = head_module.Head(changes=(wrong,))
-        self.assertIs(follower.Offered.GAP, real.offer(head))
-        self.assertEqual(first, real.snapshot.inventory)
-        self.assertIs(follower.Offered.TAKEN, real.install(wrong, second))
+        self.assertIs(follower.Offered.GAP, tested.offer(head))
+        self.assertEqual(first, tested.snapshot.inventory)
+        self.assertIs(follower.Offered.TAKEN, tested.install(wrong, second))
 
     def test_unknown_section_is_a_gap(self) -> None:
         first = inventory_module.Inventory()
@@ -134,7 +133,7 @@
         offered = follower.Follower().offer(head_module.Head(changes=(wrong,)))
         self.assertIs(follower.Offered.GAP, offered)
 
-    def test_trims_what_peers_pass_on(self) -> None:
+    def test_trims_heads_sent_to_peers(self) -> None:
         big = deltas.Delta(put={'models': [{'name': 'x' * 1000}]})
         changes = tuple(
             change(n, inventory_module.Inventory(), big) for n in range(1, 9)
--- a/packages/yuccarill-core/tests/test_blackboard.py
+++ b/packages/yuccarill-core/tests/test_blackboard.py
@@ -13,9 +13,9 @@
 
 
 class PageTest(unittest.TestCase):
-    def test_page_lists_every_section(self) -> None:
+    def test_page_lists_every_field(self) -> None:
         text = PAGE.read_text().partition('## Blackboard')[2]
         rows = re.findall(r'^\| (`.*?) \|', text.partition('\n## ')[0], re.M)
         documented = re.findall(r'`(\w+)`', ' '.join(rows))
-        sections = [f.name for f in dataclasses.fields(blackboard.Blackboard)]
-        self.assertEqual(sections, ['me', *documented])
+        fields = [f.name for f in dataclasses.fields(blackboard.Blackboard)]
+        self.assertEqual(fields, ['me', *documented])
--- a/packages/yuccarill-core/tests/test_errors.py
+++ b/packages/yuccarill-core/tests/test_errors.py
@@ -42,5 +42,5 @@
 
 
 def _tree(root: type) -> list[type]:
-    below = [each for sub in root.__subclasses__() for each in _tree(sub)]
-    return [root, *below]
+    children = [each for sub in root.__subclasses__() for each in _tree(sub)]
+    return [root, *children]
--- a/packages/yuccarill-core/tests/test_imports.py
+++ b/packages/yuccarill-core/tests/test_imports.py
@@ -31,7 +31,7 @@
 
 
 class ImportTest(unittest.TestCase):
-    def test_core_brings_no_input_or_output(self) -> None:
+    def test_core_imports_no_io_modules(self) -> None:
         finished = subprocess.run(
             [sys.executable, '-c', _SCRIPT],
             capture_output=True,
--- a/packages/yuccarill-wire/src/yuccarill/wire/frames.py
+++ b/packages/yuccarill-wire/src/yuccarill/wire/frames.py
@@ -51,9 +51,9 @@
         try:
             self._unpacker.feed(data)
             self._fed_bytes += len(data)
-            for plain in self._unpacker:
+            for unpacked in self._unpacker:
                 decoded_bytes = self._unpacker.tell()
-                yield msgspec.convert(plain, messages.Envelope)
+                yield msgspec.convert(unpacked, messages.Envelope)
         except (
             msgpack.UnpackException,
             msgspec.ValidationError,
--- a/packages/yuccarill-wire/src/yuccarill/wire/messages/leases.py
+++ b/packages/yuccarill-wire/src/yuccarill/wire/messages/leases.py
@@ -17,7 +17,7 @@
 
 
 class LeaseInvite(Message, frozen=True, tag='lease_invite'):
-    """Ask an instance for the session that is to receive shards."""
+    """Ask an instance for its session, to hand shards over to it."""
 
 
 class LeaseSession(Message, frozen=True, tag='lease_session'):
--- a/packages/yuccarill-wire/src/yuccarill/wire/messages/records.py
+++ b/packages/yuccarill-wire/src/yuccarill/wire/messages/records.py
@@ -20,7 +20,7 @@
 
 
 class RecordExchanged(Message, frozen=True, tag='exchanged'):
-    """Return records that the requester lacks and keys to send back."""
+    """Return records the requester lacks and keys of records to send."""
 
     records: tuple[Record, ...]
     wanted: tuple[str, ...] = ()
--- a/packages/yuccarill-wire/src/yuccarill/wire/messages/weights.py
+++ b/packages/yuccarill-wire/src/yuccarill/wire/messages/weights.py
@@ -10,7 +10,7 @@
 
 
 class WeightOrders(Message, frozen=True, tag='weight-orders'):
-    """Send the orders of a model's lease holder to that of the engines."""
+    """Send orders from a model's lease holder to engine lease holders."""
 
     model: ModelName
     # Fencing token of the sender's lease of the model.
@@ -19,13 +19,13 @@
 
 
 class WeightOrdersTaken(Message, frozen=True, tag='weight-orders-taken'):
-    """Confirm orders, except for engines that the receiver does not hold."""
+    """Confirm orders and refuse, by number, orders for engines not held."""
 
     refused: tuple[int, ...] = ()
 
 
 class WeightQuery(Message, frozen=True, tag='weight-query'):
-    """Ask for reports on the engines of a model that the receiver holds."""
+    """Ask for reports on engines of a model whose leases the peer holds."""
 
     model: ModelName
     epoch: Epoch
--- a/packages/yuccarill-wire/src/yuccarill/wire/operators.py
+++ b/packages/yuccarill-wire/src/yuccarill/wire/operators.py
@@ -64,7 +64,7 @@
     id: TargetId
     # Calls from this instance that the target is processing.
     in_flight: int = 0
-    # As reported by the engine; None on instances that do not hold it.
+    # Reported by the engine; None if another instance holds its lease.
     weight_version: WeightVersion | None = None
     staged_version: WeightVersion | None = None
 
--- a/packages/yuccarill-wire/tests/test_frames.py
+++ b/packages/yuccarill-wire/tests/test_frames.py
@@ -27,7 +27,7 @@
 
 
 class FramesTest(unittest.TestCase):
-    def test_decodes_across_any_cut(self) -> None:
+    def test_decodes_across_any_split(self) -> None:
         data = frames.encode(ENVELOPE) * 2
         for cut in range(len(data)):
             decoder = frames.Decoder()
@@ -59,7 +59,7 @@
         except errors.FrameInvalid:
             pass
 
-    def test_instance_ids_survive(self) -> None:
+    def test_nested_records_round_trip(self) -> None:
         member = Member(
             id=InstanceId('i'),
             data_centre=DataCentreId('a'),
