--- a/packages/yuccarill-core/src/yuccarill/core/gateway/__init__.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Decide how requests of outside clients reach targets."""
+"""Route client requests to targets."""
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/abandoned.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/abandoned.py
@@ -1,4 +1,4 @@
-"""Remember the runs that were given up while a target was at work on them."""
+"""Track abandoned runs that a target may still be executing."""
 
 from __future__ import annotations
 
@@ -10,12 +10,11 @@
 from yuccarill.core.ids import RequestId
 from yuccarill.core.ids import TargetId
 
-# Seconds for which a target may go on with a run that nobody waits for: as
-# long as a run may be silent before it is given up.
+# Seconds for which a target may keep executing an abandoned run; equals the
+# silence after which a run is abandoned.
 ABANDONED_SECONDS = 2.0
-# Runs that are kept.
 MAX_ABANDONED = 1024
-# Failed runs of one content that may be unsettled before it waits.
+# Unsettled failed runs of one content that block further attempts.
 MAX_UNSETTLED = 2
 
 
@@ -25,17 +24,17 @@
     request: RequestId
     began_at: Instant
     until: Instant
-    # Broken off for what its target sent, or did not send.
+    # Abandoned because the target sent an invalid response or none.
     is_failed: bool
 
 
 class AbandonedRuns:
-    """Hold the runs that targets may still be at work on."""
+    """Hold the abandoned runs that targets may still be executing."""
 
     def __init__(self) -> None:
-        # In the order of their time.
+        # Ordered by expiry time.
         self._runs: collections.deque[_AbandonedRun] = collections.deque()
-        self._failed: collections.Counter[ContentDigest] = (
+        self._failed_by_content: collections.Counter[ContentDigest] = (
             collections.Counter()
         )
 
@@ -48,7 +47,7 @@
         began_at: Instant,
         now: Instant,
     ) -> None:
-        """Note a run of which no answer is awaited any more."""
+        """Record a run whose response is no longer awaited."""
         self._expire(now)
         if len(self._runs) >= MAX_ABANDONED:
             self._settle(self._runs.popleft())
@@ -56,23 +55,23 @@
         self._runs.append(
             _AbandonedRun(target, content, request, began_at, until, is_failed)
         )
-        self._failed[content] += is_failed
+        self._failed_by_content[content] += is_failed
 
     def unsettled(self, content: ContentDigest, now: Instant) -> int:
-        """Count the failed runs under which targets may yet end."""
+        """Return the number of unexpired failed runs of a content."""
         self._expire(now)
-        return self._failed.get(content, 0)
+        return self._failed_by_content.get(content, 0)
 
     def take(
         self, target: TargetId, ended_at: Instant, now: Instant
     ) -> dict[ContentDigest, RequestId]:
-        """Return and forget what a target was at work on as it ended."""
+        """Remove a target's runs; return those under way when it exited."""
         self._expire(now)
         found = [run for run in self._runs if run.target == target]
         for run in found:
             self._runs.remove(run)
             self._settle(run)
-        # One that began later met no process, or another one.
+        # A run that began after the exit never reached the exited process.
         return {
             run.content: run.request
             for run in found
@@ -84,6 +83,6 @@
             self._settle(self._runs.popleft())
 
     def _settle(self, run: _AbandonedRun) -> None:
-        self._failed[run.content] -= run.is_failed
-        if not self._failed[run.content]:
-            del self._failed[run.content]
+        self._failed_by_content[run.content] -= run.is_failed
+        if not self._failed_by_content[run.content]:
+            del self._failed_by_content[run.content]
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/attempts.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""Decide when an idempotent request is sent to one more target."""
+"""Decide when an idempotent request is retried or hedged."""
 
 from __future__ import annotations
 
@@ -8,16 +8,15 @@
 
 from yuccarill.core.ids import Instant
 
-# Part of the objective after which a first attempt counts as slow. Work
-# takes 25 ms on the average against an objective of 150 ms: a second attempt
-# that begins after 60 ms still ends in time.
-HEDGE_PART = 0.4
-# Seconds, so that routes with a tight objective don't double their load.
-MIN_HEDGE_DELAY = 0.04
+# Fraction of the latency objective after which an attempt is hedged; leaves
+# the second attempt enough time to meet the objective.
+HEDGE_FRACTION = 0.4
+# Seconds; keeps routes with a short objective from doubling their load.
+MIN_HEDGE_DELAY_SECONDS = 0.04
 
 
 class Next(enum.Enum):
-    """Say what to do for a request now."""
+    """Name the next action for a request."""
 
     START = 'start'
     WAIT = 'wait'
@@ -30,29 +29,29 @@
     deadline: Instant
     max_attempts: int
     hedge_delay: float
-    # A further attempt may start beside one that is under way.
+    # Whether an attempt may start while another one is in flight.
     may_hedge: bool = True
     started: int = 0
     in_flight: int = 0
     last_start: Instant = Instant(0.0)
 
     def start(self, now: Instant) -> None:
-        """Note that an attempt starts."""
+        """Record the start of an attempt."""
         self.started += 1
         self.in_flight += 1
         self.last_start = now
 
     def end(self) -> None:
-        """Note that an attempt ended without a success."""
+        """Record the end of an unsuccessful attempt."""
         self.in_flight -= 1
 
     def withdraw(self) -> None:
-        """Note that an attempt reached no target, and does not count."""
+        """Uncount an attempt that reached no target."""
         self.started -= 1
         self.in_flight -= 1
 
     def next(self, now: Instant) -> Next:
-        """Return what to do; `wakes_at` tells until when to wait."""
+        """Return the next action; WAIT lasts until `wakes_at()`."""
         if now >= self.deadline:
             return Next.GIVE_UP
         if self.started >= self.max_attempts:
@@ -64,7 +63,7 @@
         return Next.START
 
     def wakes_at(self) -> Instant:
-        """Return when the plan has something new to say by itself."""
+        """Return when `next` changes without an attempt ending."""
         if self.started >= self.max_attempts or not self.may_hedge:
             return self.deadline
         hedge_at = Instant(self.last_start + self.hedge_delay)
@@ -72,5 +71,5 @@
 
 
 def hedge_delay(objective: float) -> float:
-    """Return the seconds after which a further attempt is started."""
-    return max(MIN_HEDGE_DELAY, HEDGE_PART * objective)
+    """Return the seconds after which an attempt is hedged."""
+    return max(MIN_HEDGE_DELAY_SECONDS, HEDGE_FRACTION * objective)
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/candidates.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/candidates.py
@@ -1,4 +1,4 @@
-"""Put instances in the order in which they take on common work."""
+"""Rank instances for duties that one instance performs for all."""
 
 from __future__ import annotations
 
@@ -15,16 +15,15 @@
 def ordered(cores_by_instance: Mapping[str, float], purpose: str) -> list[str]:
     """Return the instances, the most suitable first.
 
-    Everybody who knows the same instances gets the same order. An instance
-    with twice the processor goes before the others: the holder of a duty
-    starts some hundred runs at once, and on half a core half of the texts
-    took 1.8 s, by its log, where 0.6 s are usual. Among equals the purpose
-    spreads the work.
+    The order is deterministic: all instances with the same membership view
+    compute the same one. Instances with more cores come first, since the
+    holder of a duty starts many runs at once. Among equals the order depends
+    on the purpose, which spreads the duties.
     """
     return sorted(
         cores_by_instance,
         key=lambda name: (
-            -_power_of_two(cores_by_instance[name]),
+            -_rounded_log2(cores_by_instance[name]),
             zlib.crc32(f'{name} {purpose}'.encode()),
             name,
         ),
@@ -34,10 +33,11 @@
 def ordered_for_part(
     cores_by_instance: Mapping[str, float], parts: Sequence[str], part: str
 ) -> list[str]:
-    """Return the instances in order for one of several parts of a work.
+    """Return the instances, the most suitable first, for one part of a duty.
 
-    The first of each part is another instance while there are enough, and
-    those of other parts come last: one that holds two has no time for both.
+    Each part has a different first instance if there are enough instances,
+    and the first instances of other parts come last, so that no instance is
+    overloaded by two parts.
     """
     if len(parts) == 1:
         return ordered(cores_by_instance, part)
@@ -50,23 +50,24 @@
 ) -> dict[str, list[str]]:
     cores_by_instance = dict(cores)
     orders_by_part = {part: ordered(cores_by_instance, part) for part in parts}
+    # Parts by their first instance.
     firsts: dict[str, str] = {}
     for part, order in orders_by_part.items():
         first = next((name for name in order if name not in firsts), None)
         if first is not None:
             firsts[first] = part
     return {
-        part: sorted(order, key=lambda name: _place(firsts.get(name), part))
+        part: sorted(order, key=lambda name: _rank(firsts.get(name), part))
         for part, order in orders_by_part.items()
     }
 
 
-def _place(first_of: str | None, part: str) -> int:
+def _rank(first_of: str | None, part: str) -> int:
     if first_of is None:
         return 1
     return 0 if first_of == part else 2
 
 
-def _power_of_two(cores: float) -> int:
-    # Small differences must not send all common work to one instance.
+def _rounded_log2(cores: float) -> int:
+    # Rounded so that small differences do not send all duties to one instance.
     return round(math.log2(max(cores, 0.01)))
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/doubts.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/doubts.py
@@ -1,4 +1,8 @@
-"""Remember lost connections whose target may have ended behind its port."""
+"""Track lost connections whose target process may have exited.
+
+A doubt is a lost connection to a target whose port is still open, so that it
+is unknown whether the target process exited.
+"""
 
 from __future__ import annotations
 
@@ -13,28 +17,27 @@
 from yuccarill.core.ids import RequestId
 from yuccarill.core.ids import TargetId
 
-# Seconds for which a lost connection waits for word that its process ended:
-# another one is there and listed some 4 s after it.
-LISTED_SECONDS = 8.0
-# Losses that wait so; a network that cuts connections makes many.
+# Seconds for which a doubt waits for the replacement process to be listed.
+DOUBT_SECONDS = 8.0
+# Bounds memory while the network drops many connections.
 MAX_DOUBTS = 256
-# Seconds within which the connections of one process break. What is lost at a
-# silent target later met no process.
+# Seconds within which all connections of an exited process break. A connection
+# to a silent target that is lost later never reached a process.
 LOSS_SECONDS = 0.1
 
 
 class Doubt(msgspec.Struct, kw_only=True):
-    """Keep a loss whose process may have ended all the same."""
+    """Describe lost calls to a target whose process may have exited."""
 
     target: ListedTarget
     requests_by_content: dict[ContentDigest, RequestId]
     at: Instant
-    # Nothing was answered there since.
+    # The target has not responded since the loss.
     is_silent: bool = True
 
 
 class Doubts:
-    """Hold the losses that may be ends, until the list tells."""
+    """Hold the doubts until the target list confirms or refutes an exit."""
 
     def __init__(self) -> None:
         self._doubts: collections.deque[Doubt] = collections.deque(
@@ -51,13 +54,13 @@
         requests_by_content: dict[ContentDigest, RequestId],
         at: Instant,
     ) -> None:
-        """Note calls that were lost at a target whose port is open."""
+        """Record lost calls to a target whose port is open."""
         self._expire(at)
         if any(
-            each.is_silent
-            and each.target.id == target.id
-            and at >= each.at + LOSS_SECONDS
-            for each in self._doubts
+            doubt.is_silent
+            and doubt.target.id == target.id
+            and at >= doubt.at + LOSS_SECONDS
+            for doubt in self._doubts
         ):
             return
         self._doubts.append(
@@ -69,67 +72,67 @@
         )
 
     def answered(self, target: TargetId) -> None:
-        """Note that a target lives."""
+        """Record that a target responded."""
         for doubt in self._doubts:
             if doubt.target.id == target:
                 doubt.is_silent = False
 
     def completed(self, content: ContentDigest) -> None:
-        """Note that a target finished a run of a content."""
+        """Drop a content that a target completed from all doubts."""
         for doubt in self._doubts:
             doubt.requests_by_content.pop(content, None)
 
     def settle(self, target: ListedTarget, now: Instant) -> list[Doubt]:
-        """Return and forget the losses of the process before a new one."""
+        """Remove and return the doubts about a listed target's predecessor."""
         self._expire(now)
-        found = [each for each in self._doubts if _is_before(each, target)]
-        for each in found:
-            self._doubts.remove(each)
+        found = [doubt for doubt in self._doubts if _precedes(doubt, target)]
+        for doubt in found:
+            self._doubts.remove(doubt)
         return found
 
     def silent_targets(self, now: Instant) -> frozenset[TargetId]:
-        """Return the targets that answered nothing since a loss."""
+        """Return the targets that have not responded since a loss."""
         self._expire(now)
         return frozenset(e.target.id for e in self._doubts if e.is_silent)
 
     def lost(self, content: ContentDigest, now: Instant) -> list[Doubt]:
-        """Return the losses of a content at targets that are silent."""
+        """Return the doubts at silent targets that include a content."""
         self._expire(now)
         return [
-            each
-            for each in self._doubts
-            if each.is_silent and content in each.requests_by_content
+            doubt
+            for doubt in self._doubts
+            if doubt.is_silent and content in doubt.requests_by_content
         ]
 
     def counts(self, now: Instant) -> collections.Counter[ContentDigest]:
-        """Count the losses of each content at targets that are silent."""
+        """Count the doubts at silent targets by content."""
         self._expire(now)
         return collections.Counter(
             content
-            for each in self._doubts
-            if each.is_silent
-            for content in each.requests_by_content
+            for doubt in self._doubts
+            if doubt.is_silent
+            for content in doubt.requests_by_content
         )
 
     def reports(
         self, content: ContentDigest, now: Instant
     ) -> tuple[EndReport, ...]:
-        """Return the losses of a content in the form that is told."""
+        """Return the doubts about a content as reports for other instances."""
         return tuple(
             EndReport(
-                target=each.target.id,
+                target=doubt.target.id,
                 contents=(content,),
-                age=now - each.at,
+                age=now - doubt.at,
             )
-            for each in self.lost(content, now)
+            for doubt in self.lost(content, now)
         )
 
     def _expire(self, now: Instant) -> None:
-        while self._doubts and now >= self._doubts[0].at + LISTED_SECONDS:
+        while self._doubts and now >= self._doubts[0].at + DOUBT_SECONDS:
             self._doubts.popleft()
 
 
-def _is_before(doubt: Doubt, target: ListedTarget) -> bool:
+def _precedes(doubt: Doubt, target: ListedTarget) -> bool:
     if doubt.target.address != target.address:
         return False
     is_same = doubt.target.id == target.id
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/end_ledger.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/end_ledger.py
@@ -1,4 +1,7 @@
-"""Remember under which requests targets ended, and what became of these."""
+"""Record target exits and the requests that were running at each.
+
+An end is the unexpected exit of a target process, such as a crash.
+"""
 
 from __future__ import annotations
 
@@ -18,68 +21,62 @@
     from collections.abc import Collection
     from collections.abc import Iterable
 
-# Ends that are kept, and contents of one end. An engine of 16 places ends
-# under 16 items; 256 ends are more than a fleet of 1,300 targets has in the
-# time for which they count.
 MAX_ENDS = 256
+# Contents of one end.
 MAX_CONTENTS = 64
-# Seconds for which an end counts: a caller that sends such a request every
-# few minutes is found, one whose target ends twice a day is not.
+# Seconds for which an end counts; finds a request that crashes a target every
+# few minutes, not one whose target crashes twice a day.
 END_SECONDS = 1800.0
-# Seconds within which the ends of two targets of one request are one moment.
-# A connection's end is seen within one hop, 2 ms and up to 10 ms between
-# regions, and a loop under load is some ms late; a request that ends its
-# targets 50 to 350 ms after it began rarely ends two of them so close.
-MOMENT_SECONDS = 0.05
-# Contents of finished runs that are kept, some 200 bytes each.
+# Seconds within which the ends of two targets of one request are one incident.
+# Covers the network and scheduling delay of detection; a request that crashes
+# its targets rarely crashes two of them so close together.
+SAME_INCIDENT_SECONDS = 0.05
 MAX_COMPLETED = 1024
-# Seconds after a finished run in which its content is no cause of an end. A
-# request that many callers send is finished more often; one that began to
-# end targets with a new version of its service is found after this time.
+# Seconds after a completed run in which its content is not blamed for an end.
+# Bounded, since a new version of the service may crash on the same content.
 COMPLETED_SECONDS = 30.0
-# Seconds within which reports tell of one end of a target, which is back
-# after some seconds at the earliest, perhaps under the same id.
+# Seconds within which reports about one target id describe the same end;
+# shorter than the restart of a target, which may keep its id.
 SAME_END_SECONDS = 1.5
-# Contents in quarantine, and seconds that each stays there: a target's
-# operators need time to mend it, and a caller that goes on meanwhile ends
-# three targets an hour at most.
 MAX_QUARANTINED = 512
+# Gives operators time for a fix; a caller that keeps sending the request
+# crashes at most three targets in this time.
 QUARANTINE_SECONDS = 3600.0
 
 
 class EndReport(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell of a target that ended, and of the contents it was at work on."""
+    """Report the end of a target and the contents that it was running."""
 
     target: TargetId
     contents: tuple[ContentDigest, ...]
-    # Where they are known.
+    # Only the contents whose request id is known.
     requests_by_content: dict[ContentDigest, RequestId] = {}
-    # Seconds since then, as instances share no clock.
+    # Seconds since the end; relative, since instances share no clock.
     age: float = 0.0
 
 
 class QuarantinedContent(msgspec.Struct, frozen=True, kw_only=True):
-    """Describe a content that is refused, to operators."""
+    """Describe a quarantined content for operators."""
 
     content: ContentDigest
-    # Host and path, as far as the instance that tells knows them.
+    # Host and path, if known to the reporting instance.
     request: str
-    # The targets that ended under it.
+    # The targets that ended while they ran the content.
     targets: tuple[TargetId, ...]
     seconds_left: float
 
 
 class _End(msgspec.Struct, kw_only=True):
-    """Keep one end of a target."""
+    """Record one end of a target."""
 
     target: TargetId
     at: Instant
-    # In the order in which they came, with the request of each.
+    # Request ids by content, in order of arrival.
     contents: dict[ContentDigest, RequestId | None]
 
 
 class EndLedger:
-    """Hold what this instance has seen and heard of ends."""
+    """Hold the ends that this instance or its peers detected."""
 
     def __init__(self) -> None:
         self._ends: collections.deque[_End] = collections.deque(
@@ -88,21 +85,21 @@
         self._completed_at: collections.OrderedDict[ContentDigest, Instant] = (
             collections.OrderedDict()
         )
-        self._until_by_content: dict[ContentDigest, Instant] = {}
+        self._quarantined_until: dict[ContentDigest, Instant] = {}
         self._judgement = suspicion.Judgement()
 
     @property
     def is_clear(self) -> bool:
-        """Tell whether every request may be sent on."""
+        """Return whether no content is suspected."""
         return not self._judgement.verdicts_by_content
 
     def verdict(self, content: ContentDigest) -> Verdict:
         return self._judgement.verdict(content)
 
     def report(self, report: EndReport, now: Instant) -> None:
-        """Take a report of an end, of which another one may have told."""
+        """Add a report, merged with an earlier one of the same end."""
         at = Instant(now - report.age)
-        end = self._find(report.target, at)
+        end = self._find_end(report.target, at)
         if end is None:
             end = _End(target=report.target, at=at, contents={})
             self._ends.append(end)
@@ -113,7 +110,7 @@
         self._judge(now)
 
     def completed(self, content: ContentDigest, now: Instant) -> bool:
-        """Note that a target finished a run; tell if it was suspected."""
+        """Record a completed run; return if it was suspected."""
         self._completed_at[content] = now
         self._completed_at.move_to_end(content)
         if len(self._completed_at) > MAX_COMPLETED:
@@ -131,7 +128,7 @@
     def known_completed(
         self, contents: Iterable[ContentDigest], now: Instant
     ) -> tuple[ContentDigest, ...]:
-        """Return the contents of which a target finished a run lately."""
+        """Return the contents that a target recently completed."""
         return tuple(
             content
             for content in contents
@@ -141,24 +138,24 @@
     def quarantine(
         self, content: ContentDigest, seconds: float, now: Instant
     ) -> None:
-        """Refuse a content for a time, as another instance found."""
-        self._until_by_content[content] = Instant(now + seconds)
-        while len(self._until_by_content) > MAX_QUARANTINED:
-            del self._until_by_content[next(iter(self._until_by_content))]
+        """Quarantine a content on the report of another instance."""
+        self._quarantined_until[content] = Instant(now + seconds)
+        while len(self._quarantined_until) > MAX_QUARANTINED:
+            del self._quarantined_until[next(iter(self._quarantined_until))]
         self._judge(now)
 
     def release(self, content: ContentDigest, now: Instant) -> None:
-        """Forget what a content did, as an operator wants it."""
-        self._until_by_content.pop(content, None)
+        """Lift the quarantine of a content and remove it from all ends."""
+        self._quarantined_until.pop(content, None)
         for end in self._ends:
             end.contents.pop(content, None)
         self._judge(now)
 
     def expire(self, now: Instant) -> list[ContentDigest]:
-        """Drop what no longer counts; return what left the quarantine."""
+        """Drop old ends; return the contents whose quarantine expired."""
         ended = [
             content
-            for content, until in self._until_by_content.items()
+            for content, until in self._quarantined_until.items()
             if now >= until
         ]
         for content in ended:
@@ -169,14 +166,14 @@
         return ended
 
     def seconds_left(self, content: ContentDigest, now: Instant) -> float:
-        """Return how long a content will be refused."""
-        until = self._until_by_content.get(content, now)
+        """Return the remaining seconds of a content's quarantine."""
+        until = self._quarantined_until.get(content, now)
         return max(0.0, until - now)
 
     def targets_since(
         self, content: ContentDigest, since: Instant
     ) -> dict[TargetId, Instant]:
-        """Return the targets that ended under a content, with the times."""
+        """Return the end times of targets that ran a content, by target."""
         return {
             end.target: end.at
             for end in self._ends
@@ -186,7 +183,7 @@
     def counts_since(
         self, since: Instant
     ) -> collections.Counter[ContentDigest]:
-        """Count the ends of each content at an instant or later."""
+        """Count the ends since an instant by content."""
         return collections.Counter(
             content
             for end in self._ends
@@ -195,11 +192,11 @@
         )
 
     def ended_since(self, since: Instant) -> set[TargetId]:
-        """Return the targets that ended at an instant or later."""
+        """Return the targets that ended since an instant."""
         return {end.target for end in self._ends if end.at >= since}
 
     def targets(self, content: ContentDigest) -> tuple[TargetId, ...]:
-        """Return the targets that ended under a content."""
+        """Return the targets that ended while they ran a content."""
         return tuple(
             end.target for end in self._ends if content in end.contents
         )
@@ -208,10 +205,10 @@
         return self._judgement.suspects()
 
     def quarantined(self) -> Collection[ContentDigest]:
-        return self._until_by_content.keys()
+        return self._quarantined_until.keys()
 
     def reports(self, now: Instant) -> tuple[EndReport, ...]:
-        """Return what an instance has to know that has just started."""
+        """Return all ends as reports for an instance that just started."""
         return tuple(
             EndReport(
                 target=end.target,
@@ -227,7 +224,7 @@
             if end.contents
         )
 
-    def _find(self, target: TargetId, at: Instant) -> _End | None:
+    def _find_end(self, target: TargetId, at: Instant) -> _End | None:
         for end in self._ends:
             if end.target == target and abs(end.at - at) < SAME_END_SECONDS:
                 return end
@@ -243,25 +240,23 @@
         ends = [end for end in self._ends if end.contents]
         self._judgement = suspicion.judge(
             [frozenset(end.contents) for end in ends],
-            self._until_by_content,
-            _chances(ends),
+            self._quarantined_until,
+            _incidents(ends),
         )
         for content, verdict in self._judgement.verdicts_by_content.items():
             if verdict is Verdict.QUARANTINED:
                 until = Instant(now + QUARANTINE_SECONDS)
-                self._until_by_content.setdefault(content, until)
+                self._quarantined_until.setdefault(content, until)
 
 
-def _chances(ends: list[_End]) -> list[dict[ContentDigest, int]]:
-    """Number what counts as one for the contents of each end.
+def _incidents(ends: list[_End]) -> list[dict[ContentDigest, int]]:
+    """Return the incident number of each end's contents.
 
-    A request may be at two targets, the second attempt beside the first. A
-    service whose targets all ended in one moment had such a request two
-    thirds of the way into quarantine by one chance, and the next such moment
-    had it refused for an hour. What really ends its targets is found all the
-    same, by one end more where both attempts ended theirs together. Ends that
-    such a request joins are one for all that was there: a sound content that
-    two requests have would count twice beside it.
+    A hedged request runs at two targets. If both end at the same moment for an
+    unrelated reason, the two ends are one incident, so that a harmless request
+    is not quarantined after two such moments. The number applies to all
+    contents of these ends, so that a harmless content of two requests is not
+    counted twice.
     """
     numbers: list[int] = []
     first_by_request: dict[tuple[ContentDigest, RequestId], int] = {}
@@ -271,9 +266,9 @@
             if request is None:
                 continue
             first = first_by_request.setdefault((content, request), number)
-            if abs(end.at - ends[first].at) < MOMENT_SECONDS:
+            if abs(end.at - ends[first].at) < SAME_INCIDENT_SECONDS:
                 numbers[number] = min(numbers[number], numbers[first])
     return [
-        dict.fromkeys(end.contents, chance)
-        for end, chance in zip(ends, numbers, strict=True)
+        dict.fromkeys(end.contents, incident)
+        for end, incident in zip(ends, numbers, strict=True)
     ]
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/leadership.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/leadership.py
@@ -1,4 +1,4 @@
-"""Decide when the holder of a duty may order targets."""
+"""Decide when the lease holder of a duty may send orders to targets."""
 
 from __future__ import annotations
 
@@ -12,45 +12,44 @@
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import Revision
 
-# Seconds that a lease is given up early, and that a pause is longer than it
-# has to be. Clocks of two machines drift by far less over a few seconds;
-# the rest covers an order under way.
+# Seconds by which a holder gives up its lease early and a pause is extended;
+# covers clock drift between machines and an order in flight.
 DRIFT_MARGIN = 0.3
 
 
 class LastHolder(msgspec.Struct, frozen=True, kw_only=True):
-    """Record who held a duty last, beyond the end of its lease."""
+    """Record the last holder of a duty; outlives the lease."""
 
     instance: InstanceId
-    # The process that held it; a restarted one has lost what it ran.
+    # The process that held the duty; a restarted process lost its runs.
     incarnation: Incarnation
-    # Set by a holder that gave the duty back: seconds since its last order
-    # at that time; infinity if it never sent one.
+    # Seconds from the holder's last order to its release of the duty; infinity
+    # if it never sent one, None if it did not release the duty.
     idle_seconds: float | None = None
-    # Seconds that it still had to wait for the holder before it when this
-    # was written; 0 once it might order.
+    # Seconds that the holder still had to wait for its predecessor when the
+    # record was written; 0 once it may send orders.
     waits: float = 0.0
-    # The peer port of the instance that has its texts; empty if none is known
-    # to have them all.
+    # Peer address of the instance that replicates the holder's texts; empty if
+    # no instance is known to have all of them.
     standby: str = ''
-    # The change that wrote this record.
+    # Store revision that wrote this record.
     revision: Revision = Revision(0)
 
 
 class HoldPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Set the lease and the pause between two holders, in seconds."""
+    """Configure the lease and the handover pause, in seconds."""
 
     lease: float
-    # Orders are sent for this long after a renewal was sent. Shorter than
-    # the lease, since a successor has to wait it out: the store may take a
-    # holder's keys away long before the holder can know.
+    # Time after sending a renewal in which orders may be sent. Shorter than
+    # the lease, since a successor waits this long: the store may delete a
+    # holder's keys long before the holder learns of it.
     order_window: float
-    # Orders of two holders may not come to one engine within this time.
+    # Minimum time between orders of two holders to one engine.
     handover_pause: float
 
 
 class Tenure:
-    """Track one held duty as its holder may rely on it."""
+    """Track the lease of one duty from its holder's point of view."""
 
     def __init__(
         self,
@@ -66,24 +65,23 @@
         self._last_order_at: Instant | None = None
 
     def renew(self, sent_at: Instant) -> None:
-        """Take a renewal that the store confirmed."""
-        # The store counts from when the renewal reached it, this process
-        # from before it was sent. Counting from the reply would let a slow
-        # reply stretch the lease past the successor's takeover, and two
-        # holders would order the same engine.
+        """Extend the lease by a renewal that the store confirmed."""
+        # The lease starts when the renewal is sent. If it started at the
+        # reply, a slow reply would extend the lease past the successor's
+        # takeover, and two holders would send orders to the same engine.
         self._renewed_at = max(self._renewed_at, sent_at)
 
     def is_held(self, now: Instant) -> bool:
-        """Tell whether work under the duty may go on."""
+        """Return whether the lease is valid."""
         return now < self._renewed_at + self._policy.lease - DRIFT_MARGIN
 
     def may_order(self, now: Instant) -> bool:
-        """Tell whether an order may be sent."""
-        window_ends = self._renewed_at + self._policy.order_window
-        return self.orders_from <= now < window_ends
+        """Return whether an order may be sent."""
+        window_ends_at = self._renewed_at + self._policy.order_window
+        return self.orders_from <= now < window_ends_at
 
     def order(self, now: Instant) -> None:
-        """Note that an order is sent."""
+        """Record that an order is sent."""
         self._last_order_at = now
 
     def idle_seconds(self, now: Instant) -> float:
@@ -101,18 +99,17 @@
 ) -> Instant:
     """Return when a new holder may send its first order."""
     if last is None:
-        # Nobody has held the duty: the record is written with each hold.
+        # The duty never had a holder, since each holder writes the record.
         return now
     if last.instance == me:
-        # The same machine is the same holder to an engine. But it may have
-        # been waiting for the one before it when it was killed; ordering at
-        # once, it would do so seconds after that one.
+        # To an engine, a restarted instance is the same holder. It may have
+        # been killed while it waited for its predecessor, so the rest of that
+        # wait still applies.
         return Instant(now + last.waits)
     if last.idle_seconds is not None:
-        left = policy.handover_pause - last.idle_seconds
-        return Instant(now + max(0.0, left, last.waits))
-    # The last holder may be frozen or cut off from the store, and may rely
-    # on its last renewal for a whole order window, even where the store
-    # took the lease's keys away at once. It orders nothing after that, so
-    # the window and the pause after it are enough.
+        remaining = policy.handover_pause - last.idle_seconds
+        return Instant(now + max(0.0, remaining, last.waits))
+    # The last holder may be frozen or partitioned from the store and may send
+    # orders until its order window ends, even if the store has already deleted
+    # its keys. So the successor waits for the window and the pause.
     return Instant(now + policy.order_window + policy.handover_pause)
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/parting.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/parting.py
@@ -1,4 +1,4 @@
-"""Keep requests apart that may be the cause of ended targets."""
+"""Track suspected contents so that each runs at a different target."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class Parting:
-    """Track which targets run contents that are not clear.
+    """Track which targets run suspected contents.
 
-    Contents that ended a target together end the next one together too, and
-    look alike, unless each goes to another target.
+    The cause of a crash among contents that ran together is only found if
+    each of them is sent to a different target.
     """
 
     def __init__(self) -> None:
@@ -26,14 +26,14 @@
         ] = {}
 
     def begin(self, target: TargetId, content: ContentDigest) -> None:
-        """Note that a target begins a run of a content."""
+        """Record the start of a run of a content at a target."""
         running = self._runs_by_target.setdefault(
             target, collections.Counter()
         )
         running[content] += 1
 
     def finish(self, target: TargetId, content: ContentDigest) -> None:
-        """Note that a run which was noted is over."""
+        """Record the end of a run passed to `begin`."""
         running = self._runs_by_target[target]
         running[content] -= 1
         if not running[content]:
@@ -42,13 +42,13 @@
             del self._runs_by_target[target]
 
     def is_running(self, content: ContentDigest) -> bool:
-        """Tell whether any target runs a content."""
+        """Return whether any target runs a content."""
         return any(
             content in running for running in self._runs_by_target.values()
         )
 
     def others(self, content: ContentDigest) -> Mapping[TargetId, int]:
-        """Count the other contents at each target that has any."""
+        """Count the other contents by target; omit targets without any."""
         return {
             target: count
             for target, running in self._runs_by_target.items()
@@ -58,7 +58,7 @@
     def targets_with(
         self, contents: Collection[ContentDigest]
     ) -> frozenset[TargetId]:
-        """Return the targets that run one of some contents."""
+        """Return the targets that run any of the given contents."""
         return frozenset(
             target
             for target, running in self._runs_by_target.items()
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/partitions.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/partitions.py
@@ -1,4 +1,4 @@
-"""Divide the engines and jobs of a large service among several holders."""
+"""Partition the engines and jobs of a large service among lease holders."""
 
 from __future__ import annotations
 
@@ -16,31 +16,28 @@
     from yuccarill.core.ids import ModelName
     from yuccarill.core.ids import TargetId
 
-# Engines of a service from which on it has several holders.
+# Engines from which a service is partitioned.
 LARGE_ENGINES = 600
-# Engines that one of several holders has at most.
+# Maximum number of engines per part.
 PART_ENGINES = 300
-# Parts of a service at most: one transaction writes a job with all its shares.
+# Bounded, since one transaction writes a job with the shares of all parts.
 MAX_PARTS = 15
-# Engines from which on a service may turn out to be as large as that.
+# Listed engines from which a starting service may become large.
 _MANY_ENGINES = 100
-# Seconds in which no engine more has to be listed before it is decided. Few
-# that start together are listed within a second. Of many most instances hear
-# from a peer's copy, which they look at each 1.5 s; by one second, one holder
-# got all 1,710 engines of a fleet that was just installed, and served 0.32 of
-# what came.
+# Seconds without a newly listed engine before the number of parts is decided.
+# The longer one covers two refreshes of a peer's copy of the target list;
+# deciding too early gives all engines of a new fleet to one holder.
 _FEW_SETTLE_SECONDS = 1.0
 _MANY_SETTLE_SECONDS = 3.2
-# Between a service's name and the number of a part; the names that operators
-# give have none.
-_SIGN = ':'
+# Precedes the part number; not valid in configured service names.
+_SEPARATOR = ':'
 
 
 class Division(msgspec.Struct, frozen=True, kw_only=True):
-    """Say among how many holders a service is divided, and by what."""
+    """Describe into how many parts a service is divided, and how."""
 
     parts: int = 1
-    # Each job has a share for each part; otherwise each model has a part.
+    # True: each job is split among all parts. False: each model has one part.
     is_by_items: bool = False
 
 
@@ -48,7 +45,7 @@
 
 
 def division_for(engines: int) -> Division:
-    """Return how a service with so many engines is divided."""
+    """Return the division of a service with a number of engines."""
     if engines < LARGE_ENGINES:
         return WHOLE
     parts = min(MAX_PARTS, math.ceil(engines / PART_ENGINES))
@@ -56,14 +53,14 @@
 
 
 def encode(division: Division) -> bytes:
-    """Encode what all instances go by, one part as a plain number."""
+    """Encode a division; one by models as a plain number of parts."""
     if not division.is_by_items:
         return msgspec.msgpack.encode(division.parts)
     return msgspec.msgpack.encode(division)
 
 
 def decode(value: bytes) -> Division:
-    """Decode a division, also a plain number; raises MsgspecError."""
+    """Decode a division or a plain number of parts; raise MsgspecError."""
     found = msgspec.msgpack.decode(value, type=int | Division)
     if isinstance(found, int):
         return Division(parts=found)
@@ -71,17 +68,17 @@
 
 
 def settle_seconds(engines: int) -> float:
-    """Return how long so many engines have to be all that are listed."""
+    """Return the seconds for which the engine list must be stable."""
     if engines < _MANY_ENGINES:
         return _FEW_SETTLE_SECONDS
     return _MANY_SETTLE_SECONDS
 
 
 def name(service: ServiceName, number: int, count: int) -> ServiceName:
-    """Return the name of a part, the service's own if it is the only one."""
+    """Return the name of a part; the service name if it is the only one."""
     if count == 1:
         return service
-    return ServiceName(f'{service}{_SIGN}{number}')
+    return ServiceName(f'{service}{_SEPARATOR}{number}')
 
 
 def names(service: ServiceName, count: int) -> list[ServiceName]:
@@ -91,14 +88,14 @@
 
 def service_of(part: ServiceName) -> ServiceName:
     """Return the service that a part belongs to."""
-    return ServiceName(part.partition(_SIGN)[0])
+    return ServiceName(part.partition(_SEPARATOR)[0])
 
 
 def has_engine(part: ServiceName, count: int, engine: TargetId) -> bool:
-    """Tell whether an engine belongs to a part.
+    """Return whether an engine belongs to a part.
 
-    By its id alone, so that no two holders ever order one engine, whatever
-    they know of the others.
+    Depends only on the engine id, so that two holders with different target
+    lists never order the same engine.
     """
     number = number_of(engine, count)
     return name(service_of(part), number, count) == part
@@ -115,10 +112,10 @@
     models: Sequence[ModelName],
     count: int,
 ) -> ServiceName:
-    """Return the part that runs a model's jobs and follows its versions."""
+    """Return the part that runs a model's jobs and tracks its versions."""
     if count == 1 or model is None:
         return name(service, 0, count)
     ordered = sorted(models)
-    known = model in ordered
-    number = ordered.index(model) if known else zlib.crc32(model.encode())
+    is_known = model in ordered
+    number = ordered.index(model) if is_known else zlib.crc32(model.encode())
     return name(service, number % count, count)
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/requests.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/requests.py
@@ -1,4 +1,4 @@
-"""Hold a client's request and the answers to it."""
+"""Client requests and the responses to them."""
 
 from __future__ import annotations
 
@@ -15,45 +15,45 @@
 
 
 class ClientRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold one attempt of a client."""
+    """Hold one request as received from a client."""
 
     id: RequestId
     method: str
     host: str
     # Without the query.
     path: str
-    # Path and query exactly as they came.
+    # Path and query exactly as received.
     target: str
-    # What is passed on; names as they came.
+    # Headers that are forwarded; the case of their names is kept.
     headers: tuple[tuple[str, str], ...]
     body: bytes
     arrived_at: Instant
-    # What names its sender, apart from the other headers; a target gets it
-    # only where the configuration names no accounts.
+    # Headers that identify the sender; forwarded to the target only if the
+    # configuration has no accounts.
     identity: tuple[tuple[str, str], ...] = ()
-    # The credentials among it, each as it came.
+    # Credential header values among `identity`, as received.
     credentials: tuple[str, ...] = ()
-    # Whose request it is, once that was found out.
+    # Set once the credentials are verified.
     account: AccountName | None = None
-    # The account's, where it has one.
+    # Overrides the priority of the route.
     account_priority: int | None = None
-    # When the client stops waiting, if it said so.
+    # Set by the client.
     deadline: Instant | None = None
-    # The last event that the client has of a stream it resumes.
+    # Last event id that the client received before it resumes a stream.
     after_event: int | None = None
 
 
 class TargetAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold a target's whole answer."""
+    """Hold a complete response of a target."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes
-    # The target's signature of what it answered.
+    # The target's signature of the response.
     stamp: str | None
-    # The target says that it did not run the request.
+    # The target reports that it did not run the request.
     not_run: bool = False
-    # Another process answers where the target was.
+    # A different process responded at the target's address.
     is_other: bool = False
 
     @property
@@ -66,8 +66,8 @@
 
     @property
     def is_failed_run(self) -> bool:
-        """Tell whether the target says that the work itself failed."""
-        # A 504 says only that time was up, and another try may succeed.
+        """Return whether the target reports that the work itself failed."""
+        # A 504 only reports a timeout; a retry may succeed.
         return self.status == 500
 
 
@@ -75,12 +75,12 @@
     """Hold the instances that a client may connect to."""
 
     addresses: tuple[str, ...]
-    # Seconds for which the answer may be kept.
+    # Seconds for which the list may be cached.
     validity: float
 
 
 def time_limit(route: Route, request: ClientRequest) -> Instant:
-    """Return when a request gets its last answer at the latest."""
+    """Return the deadline of the response to a request."""
     limit = Instant(request.arrived_at + route.timeout)
     if request.deadline is None:
         return limit
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/spared_targets.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/spared_targets.py
@@ -1,4 +1,4 @@
-"""Keep the last living target from requests under which others ended."""
+"""Protect the last live target from requests that may crash it."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
     from yuccarill.core.ids import ContentDigest
     from yuccarill.core.ids import TargetId
 
-# Seconds after an end in which a request that may be its cause is kept from
-# the last target that lives: crashed processes are back after some seconds,
-# and whoever else calls the service needs that one.
-TRIAL_PAUSE = 5.0
-# The same where others are as likely the cause: a sound request must not wait
-# for longer than its caller can bear, 3 s.
-SHARED_TRIAL_PAUSE = 2.8
-# Living targets that there have to be for it to go out earlier.
-TRIAL_TARGETS = 2
-# Targets that ended under a request, or fell silent, before it is kept back.
+# Seconds after a crash in which a request that may be its cause is not sent to
+# the last live target; crashed targets restart within this time, and other
+# clients need the live one.
+PAUSE_SECONDS = 5.0
+# The same if another request is as likely the cause; shorter than the timeout
+# of a caller, since the request may be harmless.
+SHARED_PAUSE_SECONDS = 2.8
+# Live targets with which a suspected request is sent earlier.
+MIN_LIVE_TARGETS = 2
+# Targets lost while they ran a request before the request is held back.
 LOST_TARGETS = 2
-# Ends, of which some are not certain, after which a request is kept from all
-# targets until the list tells.
-DOUBTFUL_ENDS = 3
+# Lost targets, with at least one unconfirmed exit, after which a request is
+# sent to no target until the target list confirms or refutes the exit.
+UNCONFIRMED_LOSSES = 3
 
 
 class SparedTargets:
-    """Tell which requests would put a service's last target at risk."""
+    """Decide which requests put a service's last live target at risk."""
 
     def __init__(self, ledger: EndLedger, doubts: Doubts) -> None:
         self._ledger = ledger
@@ -40,12 +40,12 @@
     def are_at_risk(
         self, content: ContentDigest, ready: Set[TargetId], now: Instant
     ) -> bool:
-        """Tell whether a request has to leave the ready targets alone.
+        """Return whether a request must not be sent to the ready targets.
 
-        Two ends of one moment are one chance and no proof. They are reason
-        enough to keep the third target for the others meanwhile.
+        Two simultaneous exits do not prove that the request is the cause, but
+        they suffice to protect the third target for other clients.
         """
-        since = Instant(now - TRIAL_PAUSE)
+        since = Instant(now - PAUSE_SECONDS)
         lost = self._ledger.targets_since(content, since)
         silent = {
             doubt.target.id: doubt.at
@@ -54,20 +54,20 @@
         lost |= silent
         if len(lost) < LOST_TARGETS:
             return False
-        is_alone = self._is_likeliest(content, since, now)
-        pause = TRIAL_PAUSE if is_alone else SHARED_TRIAL_PAUSE
+        is_likeliest = self._is_likeliest(content, since, now)
+        pause = PAUSE_SECONDS if is_likeliest else SHARED_PAUSE_SECONDS
         if now >= max(lost.values()) + pause:
             return False
-        ends = len(self._ledger.targets(content))
-        if silent and len(silent) + ends >= DOUBTFUL_ENDS:
+        end_count = len(self._ledger.targets(content))
+        if silent and len(silent) + end_count >= UNCONFIRMED_LOSSES:
             return True
         ended = self._ledger.ended_since(since)
-        living = ready - ended - self._doubts.silent_targets(now)
-        return len(living) < TRIAL_TARGETS
+        live = ready - ended - self._doubts.silent_targets(now)
+        return len(live) < MIN_LIVE_TARGETS
 
     def _is_likeliest(
         self, content: ContentDigest, since: Instant, now: Instant
     ) -> bool:
         counts = self._ledger.counts_since(since) + self._doubts.counts(now)
-        own = counts.pop(content)
-        return own > max(counts.values(), default=0)
+        own_count = counts.pop(content)
+        return own_count > max(counts.values(), default=0)
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/suspicion.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/suspicion.py
@@ -1,4 +1,7 @@
-"""Decide which requests are the cause of targets that ended."""
+"""Decide which contents are the likely cause of target crashes.
+
+An end is the unexpected exit of a target process, such as a crash.
+"""
 
 from __future__ import annotations
 
@@ -15,31 +18,30 @@
     from collections.abc import Mapping
     from collections.abc import Sequence
 
-# Ends of targets under one content after which it is refused. Two may be
-# chance: a target ends of something else, and the next one that the request
-# was sent to is ended by the request beside it.
+# Ends with one content after which it is quarantined. Two may be a
+# coincidence: each of the two ends may have a different cause.
 QUARANTINE_ENDS = 3
-# The same where another content was there at each of these ends. One of the
-# two may be without fault, and one run of each by itself tells.
+# The same if another content was running at each of these ends, since one of
+# the two may be harmless; running each alone finds the cause.
 SHARED_QUARANTINE_ENDS = 5
-# Ends after which a content is sent on only when that can do little harm.
+# Ends after which a content is not sent to the last live target.
 SUSPECT_ENDS = 2
 
 
 class Verdict(enum.Enum):
-    """Say how a content may be sent to targets."""
+    """State how a content may be sent to targets."""
 
     CLEAR = 'clear'
-    # A target ended under it: one attempt at a time.
+    # Running at one end: one attempt at a time.
     WATCHED = 'watched'
-    # Two ended under it: one at a time, and never at the last target.
+    # Running at two ends: one attempt at a time, never at the last target.
     SUSPECT = 'suspect'
-    # Not sent any more.
+    # Not sent to any target.
     QUARANTINED = 'quarantined'
 
 
 class Judgement(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the verdicts on all contents that are not clear."""
+    """Hold the verdicts on all contents except the clear ones."""
 
     verdicts_by_content: dict[ContentDigest, Verdict] = {}
 
@@ -55,37 +57,38 @@
 
 
 class _End(NamedTuple):
-    """Hold the contents of one end, each with the chance it counts for."""
+    """Hold the contents of one end and the incident it counts for."""
 
     contents: frozenset[ContentDigest]
-    chances: Mapping[ContentDigest, int]
+    incidents: Mapping[ContentDigest, int]
 
 
 def judge(
     ends: Iterable[frozenset[ContentDigest]],
     quarantined: Iterable[ContentDigest] = (),
-    chances: Sequence[Mapping[ContentDigest, int]] = (),
+    incidents: Sequence[Mapping[ContentDigest, int]] = (),
 ) -> Judgement:
-    """Return what is to be thought of the contents under which targets ended.
+    """Return the verdicts on the contents that were running at ends.
 
-    Each end is given by the contents that the target was at work on and that
-    no target has finished since. Those quarantined before explain the ends
-    that they were at. The chances number for each end what
-    counts as one for a content; without them each end counts.
+    Each end is given by the contents that the target was running and that no
+    target has completed since. An end with a quarantined content is explained
+    and does not count for other contents. `incidents` has the incident number
+    of each end by content; a content counts once per incident. Without it,
+    each end is an incident.
     """
     unexplained = [
-        _End(end, chances[number] if chances else dict.fromkeys(end, number))
-        for number, end in enumerate(ends)
+        _End(end, incidents[i] if incidents else dict.fromkeys(end, i))
+        for i, end in enumerate(ends)
     ]
     found = set(quarantined)
     while True:
         unexplained = [e for e in unexplained if not e.contents & found]
         ends_by_content = _ends_by_content(unexplained)
-        caught = _caught(ends_by_content)
-        if not caught:
+        to_quarantine = _contents_to_quarantine(ends_by_content)
+        if not to_quarantine:
             break
-        # The surest first: what it explains may clear the others.
-        found |= caught
+        # Likeliest first, since the ends it explains may clear others.
+        found |= to_quarantine
     verdicts = {
         content: _verdict(content, ends_by_content)
         for content in ends_by_content
@@ -100,14 +103,14 @@
     numbers: dict[ContentDigest, set[int]] = {}
     for end in ends:
         for content in end.contents:
-            numbers.setdefault(content, set()).add(end.chances[content])
+            numbers.setdefault(content, set()).add(end.incidents[content])
     return {content: frozenset(found) for content, found in numbers.items()}
 
 
-def _caught(
+def _contents_to_quarantine(
     ends_by_content: dict[ContentDigest, frozenset[int]],
 ) -> set[ContentDigest]:
-    """Return the content with the most ends, if these are enough."""
+    """Return the likeliest cause and its rivals if its ends suffice."""
     most_first = sorted(
         ends_by_content, key=lambda c: (-len(ends_by_content[c]), c)
     )
@@ -125,11 +128,10 @@
     content: ContentDigest,
     ends_by_content: dict[ContentDigest, frozenset[int]],
 ) -> list[ContentDigest]:
-    """Return the contents that are as likely the cause of one's ends.
+    """Return the contents that are equally likely the cause of the same ends.
 
-    They were at as many ends, and too few of this one's are left without
-    them. Whichever of two is without fault is told by a run of each by
-    itself.
+    A rival was running at as many ends, and too few ends of the content remain
+    without the rival. Running each of them alone finds the cause.
     """
     own = ends_by_content[content]
     return [
@@ -148,7 +150,7 @@
     own = ends_by_content[content]
     if len(own) < SUSPECT_ENDS:
         return Verdict.WATCHED
-    # Another one that was there each time, and at more ends besides, is the
-    # likelier cause; this one goes on being served.
-    is_behind = any(own < numbers for numbers in ends_by_content.values())
-    return Verdict.WATCHED if is_behind else Verdict.SUSPECT
+    # Another content that was running at all these ends and at further ones is
+    # the likelier cause.
+    is_unlikely = any(own < numbers for numbers in ends_by_content.values())
+    return Verdict.WATCHED if is_unlikely else Verdict.SUSPECT
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/targets.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/targets.py
@@ -1,4 +1,4 @@
-"""Hold what targets say of themselves in the platform's list."""
+"""Hold the targets in the platform's target list."""
 
 from __future__ import annotations
 
@@ -18,27 +18,26 @@
 
 
 class TargetStart(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell one start of a target from another under the same id."""
+    """Distinguish process starts of a target under the same id."""
 
-    # Unix milliseconds, by the target's clock; none where it does not tell.
+    # Unix milliseconds by the target's clock; None if not reported.
     started_at: int | None = None
     # Heartbeats since the start.
     heartbeats: int = 0
 
     def is_same(self, later: TargetStart) -> bool:
-        """Tell whether something said later comes from the same process."""
+        """Return whether a later report comes from the same process."""
         if self.started_at != later.started_at:
-            # One that tells is not one that did not: a process tells always
-            # or never.
+            # A process reports its start time always or never.
             return False
         if self.started_at is not None:
             return True
-        # One that does not tell counts its heartbeats from its start on.
+        # Without a start time, a heartbeat count that drops shows a restart.
         return later.heartbeats >= self.heartbeats
 
 
 class ListedTarget(msgspec.Struct, frozen=True, kw_only=True):
-    """Describe one start of a target."""
+    """Describe one process start of a target."""
 
     id: TargetId
     service: ServiceName
@@ -51,12 +50,12 @@
     versions_by_model: dict[ModelName, WeightVersion] = {}
 
     def is_same_start(self, later: ListedTarget) -> bool:
-        """Tell whether a later entry is of the same process."""
-        is_there = (self.service, self.address) == (
+        """Return whether a later entry describes the same process."""
+        is_same_address = (self.service, self.address) == (
             later.service,
             later.address,
         )
-        return is_there and self.start.is_same(later.start)
+        return is_same_address and self.start.is_same(later.start)
 
 
 class TargetList:
@@ -64,8 +63,7 @@
 
     def __init__(self) -> None:
         self.targets_by_id: dict[TargetId, ListedTarget] = {}
-        # Counts the changes of each service's targets.
-        self._changes_by_service: dict[ServiceName, int] = {}
+        self._change_counts_by_service: dict[ServiceName, int] = {}
         self._ready_by_service: dict[
             ServiceName, dict[TargetId, ListedTarget]
         ] = {}
@@ -75,23 +73,22 @@
         if known == target:
             return
         if known is not None:
-            self._changed(known.service)
+            self._record_change(known.service)
         self.targets_by_id[target.id] = target
-        self._changed(target.service)
+        self._record_change(target.service)
 
     def remove(self, target_id: TargetId) -> None:
         known = self.targets_by_id.pop(target_id, None)
         if known is not None:
-            self._changed(known.service)
+            self._record_change(known.service)
 
     def changes(self, service: ServiceName) -> int:
-        """Return a number that differs after each change of a service."""
-        return self._changes_by_service.get(service, 0)
+        """Return the number of changes to a service's targets."""
+        return self._change_counts_by_service.get(service, 0)
 
     def ready(self, service: ServiceName) -> Mapping[TargetId, ListedTarget]:
-        """Return the targets of a service that take new work."""
-        # Kept until a change: it is asked for at each request, and looking
-        # through 1,300 targets takes 0.4 ms (300 times in a loop).
+        """Return the targets of a service that accept new requests."""
+        # Cached until a change, since each request calls this method.
         found = self._ready_by_service.get(service)
         if found is None:
             found = self._ready_by_service[service] = {
@@ -101,6 +98,6 @@
             }
         return found
 
-    def _changed(self, service: ServiceName) -> None:
-        self._changes_by_service[service] = self.changes(service) + 1
+    def _record_change(self, service: ServiceName) -> None:
+        self._change_counts_by_service[service] = self.changes(service) + 1
         self._ready_by_service.pop(service, None)
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/watchers.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/watchers.py
@@ -1,4 +1,4 @@
-"""Decide which instances watch the store for the others."""
+"""Choose the instances that watch the store on behalf of all."""
 
 from __future__ import annotations
 
@@ -11,12 +11,10 @@
 
     from yuccarill.core.ids import DataCentreId
 
-# Each change of an engine's weights ends the watch of every watcher, and
-# each end is a paid call: three watchers made 111 of them in 34 s beside 23
-# engines, by a log of each call. Two at least, so that one may fail.
+# Two tolerate the failure of one. Each additional watcher adds a billed store
+# call per change, since a watch ends with each change.
 MIN_WATCHERS = 2
-# One more for so many instances. Some fifty readers ask a watcher 80 times a
-# second, 1.5% of a core at 0.19 ms each (tools/measure_gateway.py).
+# Adds one watcher per this many instances, which poll the watchers.
 INSTANCES_PER_WATCHER = 50
 _PURPOSE = 'watch'
 
@@ -25,18 +23,18 @@
     cores_by_instance: Mapping[str, float],
     centres_by_instance: Mapping[str, DataCentreId],
 ) -> tuple[str, ...]:
-    """Return the instances that watch, the same ones to everybody.
+    """Return the instances that watch; deterministic for one membership view.
 
-    They stand in as many data centres as there are watchers: the others
-    then find one in their own, and the loss of one costs few of them.
+    Watchers are spread over as many data centres as possible, so that most
+    instances have a local one and the loss of a data centre affects few.
     """
     ordered = candidates.ordered(cores_by_instance, _PURPOSE)
-    before_by_centre: dict[DataCentreId | None, int] = {}
-    ranks = {}
+    counts_by_centre: dict[DataCentreId | None, int] = {}
+    ranks_by_name = {}
     for position, name in enumerate(ordered):
         centre = centres_by_instance.get(name)
-        before = before_by_centre.get(centre, 0)
-        before_by_centre[centre] = before + 1
-        ranks[name] = (before, position)
+        rank_in_centre = counts_by_centre.get(centre, 0)
+        counts_by_centre[centre] = rank_in_centre + 1
+        ranks_by_name[name] = (rank_in_centre, position)
     count = MIN_WATCHERS + len(ordered) // INSTANCES_PER_WATCHER
-    return tuple(sorted(ordered, key=ranks.__getitem__)[:count])
+    return tuple(sorted(ordered, key=ranks_by_name.__getitem__)[:count])
--- a/packages/yuccarill-core/tests/gateway/test_abandoned.py
+++ b/packages/yuccarill-core/tests/gateway/test_abandoned.py
@@ -61,4 +61,4 @@
         self.assertEqual(
             abandoned.MAX_ABANDONED, len(self.runs.take(T, NOW, NOW))
         )
-        self.assertEqual(0, len(self.runs._failed))
+        self.assertEqual(0, len(self.runs._failed_by_content))
--- a/packages/yuccarill-core/tests/gateway/test_directory.py
+++ b/packages/yuccarill-core/tests/gateway/test_directory.py
@@ -50,7 +50,7 @@
         self, centre: DataCentreId
     ) -> None:
         found = self.centres(directory.named(self.places, centre))
-        self.assertEqual(directory.NEAR, found[centre])
+        self.assertEqual(directory.MAX_LOCAL_INSTANCES, found[centre])
         self.assertEqual({1}, {found[c] for c in CENTRES if c != centre})
 
     def test_strong_ones_come_first(self) -> None:
@@ -86,7 +86,10 @@
         lost = CENTRES[0]
         left = {a: p for a, p in self.places.items() if p.data_centre != lost}
         found = directory.named(left, lost)
-        self.assertEqual(directory.NEAR + directory.FAR, len(found))
+        self.assertEqual(
+            directory.MAX_LOCAL_INSTANCES + directory.REMOTE_INSTANCES,
+            len(found),
+        )
         self.assertEqual(4, len(self.centres(found)))
 
     def test_load_is_spread(self) -> None:
@@ -108,4 +111,4 @@
         ]
         mean = sum(by_core) / len(by_core)
         self.assertLess(max(by_core) / mean, 1.7)
-        self.assertGreaterEqual(len(picks), 5 * directory.NEAR)
+        self.assertGreaterEqual(len(picks), 5 * directory.MAX_LOCAL_INSTANCES)
--- a/packages/yuccarill-core/tests/gateway/test_suspicion.py
+++ b/packages/yuccarill-core/tests/gateway/test_suspicion.py
@@ -75,7 +75,7 @@
     ) -> None:
         found = suspicion.judge(
             [frozenset(end) for end in ends],
-            chances=[
+            incidents=[
                 dict.fromkeys(end, moment)
                 for end, moment in zip(ends, moments, strict=True)
             ],
