--- a/packages/yuccarill-core/src/yuccarill/core/accounts/__init__.py
+++ b/packages/yuccarill-core/src/yuccarill/core/accounts/__init__.py
@@ -1,1 +1,1 @@
-"""Client accounts: who sends a request, and whether it may be run."""
+"""Authenticate requests by the keys of client accounts."""
--- a/packages/yuccarill-core/src/yuccarill/core/accounts/credentials.py
+++ b/packages/yuccarill-core/src/yuccarill/core/accounts/credentials.py
@@ -1,4 +1,4 @@
-"""Read the credential that a request bears, without keeping its key."""
+"""Parse the bearer credential of a request into a digest of its key."""
 
 from __future__ import annotations
 
@@ -8,43 +8,40 @@
 
 from yuccarill.core.ids import KeyDigest
 
-# Bytes of a key that is looked up at most. Keys of the platform have 20; one
-# of many kilobytes would only be hashed to be refused.
+# Longer input is refused without hashing; keys of the platform have 20 bytes.
 MAX_KEY_BYTES = 512
-# Bytes of a digest. A caller that finds a second key with an account's digest
-# would be that account; 32 bytes are out of reach.
+# Long enough that no second key with the digest of an account can be found.
 _DIGEST_BYTES = 32
-# The scheme's name is not case-sensitive; a key is one word of visible ASCII
-# without commas, which separate credentials.
+# The scheme is case-insensitive; a key is one word of visible ASCII without
+# commas, which separate credentials.
 _BEARER = re.compile(r'bearer +([\x21-\x2b\x2d-\x7e]+)', re.IGNORECASE)
 
 
 class CredentialFault(enum.Enum):
-    """Say why a request's credential can't be looked up."""
+    """Name the reason why a request has no usable credential."""
 
     MISSING = 'no key came with it'
     MALFORMED = 'its credential is no bearer key'
-    # Which of two is meant can't be known, and another program on the way
-    # might take the other one.
+    # Ambiguous: a proxy may use a different one than this process.
     REPEATED = 'it has more than one credential'
     TOO_LONG = 'its key is too long'
 
 
 def digest(key: str) -> KeyDigest:
-    """Return what a key is known by; the key itself is kept nowhere."""
+    """Return the digest of a key; the key itself is not stored."""
     hashed = hashlib.blake2b(key.encode(), digest_size=_DIGEST_BYTES)
     return KeyDigest(hashed.digest())
 
 
 def read(values: tuple[str, ...]) -> KeyDigest | CredentialFault:
-    """Return the digest of the key in a request's credentials."""
+    """Return the digest of the only key, or the fault of the credentials."""
     if not values:
         return CredentialFault.MISSING
     if len(values) > 1:
         return CredentialFault.REPEATED
-    found = _BEARER.fullmatch(values[0].strip(' \t'))
-    if found is None:
+    match = _BEARER.fullmatch(values[0].strip(' \t'))
+    if match is None:
         return CredentialFault.MALFORMED
-    if len(found[1]) > MAX_KEY_BYTES:
+    if len(match[1]) > MAX_KEY_BYTES:
         return CredentialFault.TOO_LONG
-    return digest(found[1])
+    return digest(match[1])
--- a/packages/yuccarill-core/src/yuccarill/core/accounts/decision.py
+++ b/packages/yuccarill-core/src/yuccarill/core/accounts/decision.py
@@ -1,4 +1,4 @@
-"""Decide whether a request with a key is run, refused or put off."""
+"""Decide whether a request with a key is admitted, refused or deferred."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class KeyStanding(enum.Enum):
-    """Say what the configuration in force here knows of a key."""
+    """Name the state of a key in the configuration in force here."""
 
     HELD = 'held by an account'
-    # An earlier version held it.
+    # Held by an account in an earlier version of the configuration.
     REMOVED = 'taken away'
     UNKNOWN = 'unknown'
 
 
 class Look(enum.Enum):
-    """Say what came of reading the newest configuration for a key."""
+    """Name the result of looking up a key in the newest configuration."""
 
     NOT_YET = 'not yet'
     ANSWERED = 'answered'
@@ -25,35 +25,35 @@
 
 
 class Verdict(enum.Enum):
-    """Say what becomes of a request."""
+    """Name the outcome of the admission check of a request."""
 
     ADMIT = 'admit'
-    # The newest configuration is read first, then it is decided again.
+    # Read the newest configuration, then decide again.
     LOOK = 'look'
-    # For good: its caller is not to come back with this key.
+    # Permanent: the client must not retry with this key.
     REFUSE = 'refuse'
-    # Another instance, or this one later, may know the key.
+    # Temporary: another instance, or this one later, may know the key.
     PUT_OFF = 'put off'
 
 
 class RevocationPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Set how long a configuration is believed, in seconds."""
+    """Configure how old a configuration may be to admit requests."""
 
-    # Without it, an instance that is cut off serves the accounts that it
-    # knows for as long as that lasts.
+    # If false, an instance partitioned from the store keeps admitting the
+    # accounts that it knows.
     is_strict: bool = False
+    # Seconds.
     max_age: float = 5.0
 
 
 def decide(
     standing: KeyStanding, look: Look, age: float, policy: RevocationPolicy
 ) -> Verdict:
-    """Decide on one request, by a configuration that was heard `age` ago.
+    """Return the verdict under a configuration confirmed `age` seconds ago.
 
-    A client that gets a refusal does not come back. An instance that is a
-    version behind, or cut off, must not answer for good what it can't know:
-    a key that was added a moment ago is looked up once, and where nobody can
-    tell, the client is sent elsewhere.
+    A refusal is permanent, so an instance that is partitioned or has an old
+    version must not refuse a key that was just added: an unknown key is looked
+    up in the newest version first, and deferred if that fails.
     """
     match standing:
         case KeyStanding.HELD if policy.is_strict and age > policy.max_age:
@@ -63,10 +63,10 @@
         case KeyStanding.REMOVED:
             return Verdict.REFUSE
         case KeyStanding.UNKNOWN:
-            return _UNKNOWN_BY_LOOK[look]
+            return _UNKNOWN_KEY_VERDICTS[look]
 
 
-_UNKNOWN_BY_LOOK = {
+_UNKNOWN_KEY_VERDICTS = {
     Look.NOT_YET: Verdict.LOOK,
     Look.ANSWERED: Verdict.REFUSE,
     Look.FAILED: Verdict.PUT_OFF,
--- a/packages/yuccarill-core/src/yuccarill/core/accounts/directory.py
+++ b/packages/yuccarill-core/src/yuccarill/core/accounts/directory.py
@@ -12,8 +12,8 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Digests of keys that were taken away. Who comes with one of them is refused
-# without a look at the store; an older one costs that look.
+# Removed keys that are refused without reading the store; an older removed key
+# costs a read.
 MAX_REMOVED = 4096
 
 
@@ -22,19 +22,16 @@
 
     name: AccountName
     keys: frozenset[KeyDigest] = frozenset()
-    # Goes before that of a route; 0 is the most urgent.
+    # Overrides the priority of a route; 0 is the most urgent.
     priority: int | None = None
 
 
 class AccountDirectory:
-    """Hold the accounts of one version of the configuration.
-
-    A lookup is one of a table: 0.1 us with 100,000 accounts.
-    """
+    """Index the accounts of one version of the configuration by key."""
 
     def __init__(self, accounts: Iterable[Account]) -> None:
         self._accounts_by_key: dict[KeyDigest, Account] = {}
-        # Keys that two accounts claim: nobody can tell who comes with one.
+        # Keys of several accounts; refused, since the owner is ambiguous.
         self.shared: set[KeyDigest] = set()
         self._removed: dict[KeyDigest, None] = {}
         for account in accounts:
@@ -53,11 +50,11 @@
         return self._accounts_by_key.get(key)
 
     def was_removed(self, key: KeyDigest) -> bool:
-        """Tell whether an earlier version is known to have held a key."""
+        """Return whether only an earlier version is known to hold a key."""
         return key in self._removed
 
     def follow(self, before: AccountDirectory) -> None:
-        """Remember the keys that an earlier version held and this one not."""
+        """Record the keys that an earlier version held and this one lacks."""
         gone = before._accounts_by_key.keys() - self._accounts_by_key.keys()
         kept = [k for k in before._removed if k not in self._accounts_by_key]
         self._removed = dict.fromkeys([*kept, *sorted(gone)][-MAX_REMOVED:])
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/requests.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/requests.py
@@ -1,4 +1,4 @@
-"""Client requests and the responses to them."""
+"""Describe client requests and the responses to them."""
 
 from __future__ import annotations
 
--- a/packages/yuccarill-core/src/yuccarill/core/scaling/__init__.py
+++ b/packages/yuccarill-core/src/yuccarill/core/scaling/__init__.py
@@ -1,1 +1,1 @@
-"""Decide how many targets of a service there are to be."""
+"""Scale the number of targets of a service with its load."""
--- a/packages/yuccarill-core/src/yuccarill/core/scaling/plan.py
+++ b/packages/yuccarill-core/src/yuccarill/core/scaling/plan.py
@@ -1,4 +1,4 @@
-"""What is decided on the number of a service's targets."""
+"""Describe the limits of scaling and the orders for targets."""
 
 from __future__ import annotations
 
@@ -11,33 +11,33 @@
 
 
 class TargetKind(enum.Enum):
-    """Say on which terms a target is paid for."""
+    """Name the pricing terms of a target."""
 
     REGULAR = 'regular'
-    # Cheaper, and may be taken back at short notice.
+    # Cheaper; the platform may reclaim it at short notice.
     REVOCABLE = 'revocable'
 
 
 class ScalingBounds(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what the configuration allows in each data centre."""
+    """Hold the configured limits of each data centre."""
 
-    # Targets of both kinds together.
+    # Number of targets of both kinds together.
     least: int
     most: int
-    # Seconds from an order until a new target serves.
+    # Seconds from an order until a new target accepts requests.
     boot_seconds: float
-    # Price of a second by data centre, 1 where it names none.
+    # Price per second by data centre; 1 if not given.
     prices_by_centre: dict[DataCentreId, float] = {}
-    # Part of that price for a revocable target; none if there are none.
+    # Fraction of that price for a revocable target; None disables them.
     revocable_part: float | None = None
 
     def price(self, centre: DataCentreId) -> float:
-        """Return what a second of a regular target costs."""
+        """Return the price of a regular target per second."""
         return self.prices_by_centre.get(centre, 1.0)
 
 
 class TargetOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """Say how many targets there are to be in one data centre."""
+    """Set the number of targets of one kind in one data centre."""
 
     service: ServiceName
     data_centre: DataCentreId
@@ -46,13 +46,13 @@
 
 
 class OrderEnd(enum.Enum):
-    """Say what became of an order."""
+    """Name the result of an order."""
 
     ACCEPTED = 'accepted'
-    # None are to be had there now.
+    # The data centre has no capacity at present.
     UNAVAILABLE = 'unavailable'
-    # Too many calls at this moment.
+    # Rate limited.
     BUSY = 'busy'
     REFUSED = 'refused'
-    # It may have been taken.
+    # No response: the order may have been accepted.
     UNKNOWN = 'unknown'
--- a/packages/yuccarill-core/src/yuccarill/core/scaling/scaling.py
+++ b/packages/yuccarill-core/src/yuccarill/core/scaling/scaling.py
@@ -1,4 +1,4 @@
-"""Decide which orders of targets are sent now."""
+"""Decide which orders for targets are sent."""
 
 from __future__ import annotations
 
@@ -23,41 +23,40 @@
 
 
 class ScalingPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Set when numbers change; times are in seconds."""
+    """Configure when target counts change; times are in seconds."""
 
     sizing: sizing.SizingPolicy = sizing.SizingPolicy()
-    # Targets more than are needed that are kept.
+    # Surplus targets that are kept.
     kept_over: int = 1
-    # How long fewer targets have to be enough before some are given up.
+    # Time for which fewer targets must suffice before the service shrinks.
     shrink_after: float = 4.0
-    # Part of the targets that is given up at once.
+    # Fraction of the targets that one step may release.
     shrink_part: float = 0.25
-    # Between two orders for one place.
+    # Minimum time between two orders for one data centre and kind.
     order_pause: float = 1.0
-    # For which a data centre that had none to give is left out.
+    # Time for which a data centre without capacity is skipped.
     unavailable_for: float = 10.0
-    # Beyond the time that targets take to start, after which the same number
-    # is ordered once more.
+    # Time beyond the start of a target after which an order is repeated.
     missing_after: float = 4.0
 
 
 class Scaling:
-    """Track the targets that one service's holder has ordered."""
+    """Track the targets ordered by the lease holder of one service."""
 
     def __init__(self, service: ServiceName, policy: ScalingPolicy) -> None:
         self._service = service
         self._policy = policy
-        # What stands at the platform as far as it is known here.
+        # Ordered targets, as far as known to this holder.
         self._counts: Counts = {}
-        # When the next order may be sent, for places that got one from here.
+        # Earliest next order; only places to which this holder sent one.
         self._may_order_at: dict[Place, Instant] = {}
         self._unavailable_until: dict[Place, Instant] = {}
-        # Since when a place has had fewer targets than were ordered.
+        # When a place began to have fewer targets than ordered.
         self._missing_since: dict[Place, Instant] = {}
-        # Since when a place has had more targets than were ordered.
+        # When a place began to have more targets than ordered.
         self._surplus_since: dict[Place, Instant] = {}
         self._listed: Counts = {}
-        # When all that an earlier holder ordered is listed.
+        # When all targets ordered by an earlier holder are listed.
         self._settled_at: Instant | None = None
         self._shrink_at: Instant | None = None
 
@@ -69,38 +68,38 @@
         listed: Counts,
         now: Instant,
     ) -> list[TargetOrder]:
-        """Return the orders to send, at most one a place."""
-        self._listed = _usable(listed, bounds)
-        self._counts = _usable(self._counts, bounds)
+        """Return the orders to send, at most one per place."""
+        self._listed = _orderable(listed, bounds)
+        self._counts = _orderable(self._counts, bounds)
         if self._settled_at is None:
             self._settled_at = Instant(now + bounds.boot_seconds)
-        self._adopt(bounds, now)
+        self._adopt_listed(bounds, now)
         if not self._counts:
             return []
-        found = self._missing(bounds, now)
+        found = self._overdue(bounds, now)
         if now >= self._settled_at:
-            found.update(self._changes(bounds, slots, measure, now))
+            found.update(self._changed_counts(bounds, slots, measure, now))
         return [
             TargetOrder(
                 service=self._service,
                 data_centre=centre,
                 kind=kind,
-                count=self._within(bounds, (centre, kind), count),
+                count=self._clamp(bounds, (centre, kind), count),
             )
             for (centre, kind), count in found.items()
             if now >= self._may_order_at.get((centre, kind), now)
         ]
 
     def sent(self, order: TargetOrder, now: Instant) -> None:
-        """Note that an order is sent."""
+        """Record that an order is sent."""
         place = (order.data_centre, order.kind)
         self._may_order_at[place] = Instant(now + self._policy.order_pause)
 
     def ended(self, order: TargetOrder, end: OrderEnd, now: Instant) -> None:
-        """Learn what became of an order.
+        """Record the result of an order.
 
-        One that is unclear or met a busy interface is sent again as long as
-        it is wanted: it names a number and not a change.
+        An order with an unknown result or over the rate limit is repeated,
+        which is idempotent: an order sets a count instead of changing it.
         """
         place = (order.data_centre, order.kind)
         match end:
@@ -111,28 +110,29 @@
                 until = Instant(now + self._policy.unavailable_for)
                 self._unavailable_until[place] = until
                 if order.count <= self._counts.get(place, 0):
-                    # What was ordered before is lost as well.
+                    # Earlier targets are lost as well and not replaced.
                     self._counts[place] = self._listed.get(place, 0)
             case OrderEnd.BUSY | OrderEnd.UNKNOWN:
                 pass
 
-    def _adopt(self, bounds: ScalingBounds, now: Instant) -> None:
-        """Take the most that was listed for ordered, until one is sent.
+    def _adopt_listed(self, bounds: ScalingBounds, now: Instant) -> None:
+        """Raise the ordered counts to the listed ones.
 
-        Afterwards, what stays listed beyond an order was ordered too: by an
-        order without an answer, or by an earlier holder.
+        A place without an order of this holder is raised at once, any other
+        one after the start timeout: a lasting surplus stems from an order
+        without a response or from an earlier holder.
         """
-        patience = bounds.boot_seconds + self._policy.missing_after
+        start_timeout = bounds.boot_seconds + self._policy.missing_after
         self._surplus_since = {
             place: self._surplus_since.get(place, now)
             for place, count in self._listed.items()
             if count > self._counts.get(place, 0)
         }
         for place, since in self._surplus_since.items():
-            if place not in self._may_order_at or now >= since + patience:
+            if place not in self._may_order_at or now >= since + start_timeout:
                 self._counts[place] = self._listed[place]
 
-    def _changes(
+    def _changed_counts(
         self,
         bounds: ScalingBounds,
         slots: int,
@@ -143,8 +143,8 @@
         ordered = sum(self._counts.values())
         if needed.total > ordered:
             self._shrink_at = None
-            wanted = self._placed(needed, bounds, now)
-            # None fewer anywhere while more are needed somewhere.
+            wanted = self._placement(needed, bounds, now)
+            # No place shrinks while the service grows.
             return {
                 place: count
                 for place, count in wanted.items()
@@ -155,7 +155,7 @@
             return {}
         if not self._may_shrink(measure, now):
             return {}
-        wanted = self._placed(self._smaller(needed, ordered), bounds, now)
+        wanted = self._placement(self._shrink(needed, ordered), bounds, now)
         return {
             place: count
             for place, count in wanted.items()
@@ -165,15 +165,15 @@
     def _needed(
         self, bounds: ScalingBounds, wanted: float, slots: int
     ) -> sizing.Size:
-        """Return what serves the work, and the least of each data centre."""
+        """Return the size for the demand, at least the configured minimum."""
         found = sizing.size(self._policy.sizing, bounds, wanted, slots)
         least = bounds.least * len(self._centres())
         return sizing.Size(
             total=max(found.total, least), regular=max(found.regular, least)
         )
 
-    def _smaller(self, needed: sizing.Size, ordered: int) -> sizing.Size:
-        """Return a size on the way to what is needed."""
+    def _shrink(self, needed: sizing.Size, ordered: int) -> sizing.Size:
+        """Return the size after one step towards the needed size."""
         least = math.ceil(ordered * (1.0 - self._policy.shrink_part))
         total = max(needed.total, least)
         revocable = needed.total - needed.regular
@@ -189,7 +189,7 @@
         self._shrink_at = Instant(now + self._policy.shrink_after)
         return True
 
-    def _placed(
+    def _placement(
         self, needed: sizing.Size, bounds: ScalingBounds, now: Instant
     ) -> Counts:
         unavailable: dict[TargetKind, set[DataCentreId]] = {}
@@ -203,35 +203,35 @@
     def _centres(self) -> set[DataCentreId]:
         return {centre for centre, _ in self._counts}
 
-    def _within(self, bounds: ScalingBounds, place: Place, count: int) -> int:
-        """Return what an order may name beside those of the other kind."""
-        others = sum(
+    def _clamp(self, bounds: ScalingBounds, place: Place, count: int) -> int:
+        """Return a count within the limits of both kinds together."""
+        other_count = sum(
             known
             for other, known in self._counts.items()
             if other[0] == place[0] and other != place
         )
         known = min(bounds.most, self._counts.get(place, 0))
-        most = max(known, bounds.most - others)
+        most = max(known, bounds.most - other_count)
         least = bounds.least if place[1] is TargetKind.REGULAR else 0
         return min(max(count, least), most)
 
-    def _missing(self, bounds: ScalingBounds, now: Instant) -> Counts:
-        """Return the places that still lack what was ordered."""
+    def _overdue(self, bounds: ScalingBounds, now: Instant) -> Counts:
+        """Return the ordered counts of places whose targets are overdue."""
         found: Counts = {}
-        patience = bounds.boot_seconds + self._policy.missing_after
+        start_timeout = bounds.boot_seconds + self._policy.missing_after
         for place, count in self._counts.items():
             if self._listed.get(place, 0) >= count:
                 self._missing_since.pop(place, None)
                 continue
             since = self._missing_since.setdefault(place, now)
-            if now >= since + patience:
+            if now >= since + start_timeout:
                 self._missing_since[place] = now
                 found[place] = count
         return found
 
 
-def _usable(counts: Counts, bounds: ScalingBounds) -> Counts:
-    """Return the places of the kinds that may be ordered."""
+def _orderable(counts: Counts, bounds: ScalingBounds) -> Counts:
+    """Return the counts of the kinds that may be ordered."""
     return {
         place: count
         for place, count in counts.items()
--- a/packages/yuccarill-core/src/yuccarill/core/scaling/sizing.py
+++ b/packages/yuccarill-core/src/yuccarill/core/scaling/sizing.py
@@ -21,31 +21,31 @@
 
 
 class SizingPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Set how much of the capacity may be in use."""
+    """Configure the target utilisation."""
 
-    # Part of the places that may be busy on the average: a step comes all at
-    # once, and has twice the places that its mean takes.
+    # Fraction of the slots that may be busy on average; leaves headroom for
+    # bursts of twice the mean.
     busy_part: float = 0.5
-    # The same for regular targets alone, should the revocable ones go.
+    # The same for regular targets alone, if all revocable ones are reclaimed.
     regular_busy_part: float = 0.8
 
 
 class Size(msgspec.Struct, frozen=True, kw_only=True):
-    """Say how many targets a service needs."""
+    """Hold the number of targets that a service needs."""
 
     total: int
-    # How many of them must not be revocable.
+    # Number of these that must not be revocable.
     regular: int
 
 
 def size(
     policy: SizingPolicy, bounds: ScalingBounds, wanted: float, slots: int
 ) -> Size:
-    """Return what serves so many wanted places."""
-    total = _targets(wanted, slots, policy.busy_part)
+    """Return the size for a demand of `wanted` slots."""
+    total = _targets_for(wanted, slots, policy.busy_part)
     regular = total
     if bounds.revocable_part is not None:
-        regular = _targets(wanted, slots, policy.regular_busy_part)
+        regular = _targets_for(wanted, slots, policy.regular_busy_part)
     return Size(total=total, regular=min(total, regular))
 
 
@@ -54,14 +54,14 @@
     bounds: ScalingBounds,
     centres: Collection[DataCentreId],
     unavailable: Mapping[TargetKind, Collection[DataCentreId]],
-    standing: Counts,
+    current: Counts,
 ) -> Counts:
-    """Return how many targets of each kind each data centre is to have.
+    """Return the number of targets by data centre and kind.
 
-    One that has no more to give keeps what stands there.
+    A data centre without capacity keeps its current targets.
     """
     kept = {
-        (centre, kind): min(bounds.most, standing.get((centre, kind), 0))
+        (centre, kind): min(bounds.most, current.get((centre, kind), 0))
         for kind, lacking in unavailable.items()
         for centre in lacking
     }
@@ -86,7 +86,7 @@
     revocable = spread(
         needed.total - sum(regular.values()),
         {
-            centre: _up_to(
+            centre: _limits(
                 kept.get((centre, TargetKind.REVOCABLE), 0),
                 bounds.most - regular[centre],
             )
@@ -106,10 +106,9 @@
     bounds: ScalingBounds,
     unavailable: Collection[DataCentreId] = (),
 ) -> dict[DataCentreId, int]:
-    """Divide targets evenly between least and most, the cheapest first.
+    """Divide targets evenly within the limits, the cheapest centres first.
 
-    A data centre that has none to give keeps its least, and the others take
-    its part.
+    A data centre without capacity keeps its minimum; the others take its part.
     """
     counts = {centre: limits[0] for centre, limits in limits_by_centre.items()}
     by_price = sorted(counts, key=lambda c: (bounds.price(c), c))
@@ -126,9 +125,9 @@
     return counts
 
 
-def _up_to(least: int, most: int) -> tuple[int, int]:
+def _limits(least: int, most: int) -> tuple[int, int]:
     return min(least, most), most
 
 
-def _targets(wanted: float, slots: int, busy_part: float) -> int:
+def _targets_for(wanted: float, slots: int, busy_part: float) -> int:
     return max(1, math.ceil(wanted / busy_part / max(1, slots)))
--- a/packages/yuccarill-core/src/yuccarill/core/speeds/__init__.py
+++ b/packages/yuccarill-core/src/yuccarill/core/speeds/__init__.py
@@ -1,1 +1,1 @@
-"""Estimate how fast targets work."""
+"""Estimate the processing speed of targets."""
--- a/packages/yuccarill-core/src/yuccarill/core/speeds/estimate.py
+++ b/packages/yuccarill-core/src/yuccarill/core/speeds/estimate.py
@@ -1,4 +1,4 @@
-"""What is known of one target's speed."""
+"""Describe estimates of one target's speed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PaceEstimate(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the time that a unit of work takes, and how sure that is."""
+    """Hold the estimated time per unit of work and its uncertainty."""
 
     # Seconds.
     pace: float
@@ -20,21 +20,21 @@
 
 
 class SpeedState(enum.Enum):
-    """Say what a target's pace looks like at this moment."""
+    """Classify the current pace of a target."""
 
     UNKNOWN = 'unknown'
     USUAL = 'usual'
-    # Slower than its own lasting pace for longer than moments last.
+    # Slower than its lasting pace for longer than a transient slowdown.
     FAULTY = 'faulty'
 
 
 class SpeedRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold an estimate as one instance hands it to the next."""
+    """Hold an estimate for the handover to another instance."""
 
     target: TargetId
     start: TargetStart
-    # Natural logarithm of the pace that it has by itself, in seconds.
+    # Natural logarithm of the seconds per unit without concurrent units.
     log_pace: float
     variance: float
-    # Seconds since it was last seen at work.
+    # Seconds since the last measurement.
     age: float
--- a/packages/yuccarill-core/src/yuccarill/core/speeds/median.py
+++ b/packages/yuccarill-core/src/yuccarill/core/speeds/median.py
@@ -1,4 +1,4 @@
-"""Find the middle of a few figures."""
+"""Compute a median without the statistics module."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 
 def median_low(values: Collection[float]) -> float:
-    """Return the lower middle of at least one value.
+    """Return the low median of at least one value.
 
-    The library's own loads half a megabyte of modules that nothing else uses.
+    Replaces `statistics.median_low`, whose import costs memory.
     """
     return sorted(values)[(len(values) - 1) // 2]
--- a/packages/yuccarill-core/src/yuccarill/core/usage/__init__.py
+++ b/packages/yuccarill-core/src/yuccarill/core/usage/__init__.py
@@ -1,1 +1,1 @@
-"""Count what client accounts use, and report it once for each window."""
+"""Count the requests of client accounts and report them once per window."""
--- a/packages/yuccarill-core/src/yuccarill/core/usage/counts.py
+++ b/packages/yuccarill-core/src/yuccarill/core/usage/counts.py
@@ -1,4 +1,4 @@
-"""Add up how often requests of each account began, by window."""
+"""Count the started requests of each account by window."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 Counts = dict[AccountName, int]
 CountsByWindow = dict[WindowNumber, Counts]
 
-# Windows that are kept though nobody closes them: at 5 s each, eight minutes
-# without any holder of the duty. Older ones are lost, and said so.
+# Unreported windows that are kept while no instance holds the duty to report
+# them. Older ones are dropped.
 MAX_WINDOWS = 100
 
 
 class OwnCounts:
-    """Hold what this process has counted and is not reported yet."""
+    """Hold the counts of this process that are not reported yet."""
 
     def __init__(self) -> None:
         self.counts_by_window: CountsByWindow = {}
-        # Windows up to this one are reported, and take no more.
+        # Last reported window; closed for further counts.
         self.closed_through: WindowNumber | None = None
-        # Grows with each change.
+        # Incremented by each change.
         self.changes = 0
 
     def add(self, window: WindowNumber, account: AccountName) -> bool:
-        """Count a request; tell whether its window still takes it."""
+        """Count a request; return false if its window is already closed."""
         if self.closed_through is not None and window <= self.closed_through:
             return False
         counts = self.counts_by_window.setdefault(window, {})
@@ -39,14 +39,14 @@
         return True
 
     def close(self, through: WindowNumber) -> None:
-        """Forget the windows that are reported."""
+        """Drop the reported windows."""
         self.closed_through = max(through, self.closed_through or through)
         for window in list(self.counts_by_window):
             if window <= self.closed_through:
                 del self.counts_by_window[window]
 
     def shed(self) -> int:
-        """Drop the oldest windows over the bound; return how many requests."""
+        """Drop the oldest excess windows; return their request count."""
         lost = 0
         while len(self.counts_by_window) > MAX_WINDOWS:
             oldest = min(self.counts_by_window)
@@ -55,10 +55,10 @@
 
 
 class UsageBook:
-    """Hold what all processes have counted, as the holder of the duty does.
+    """Aggregate the counts of all processes at the holder of the duty.
 
-    Each process tells its counts from their beginning, so that a message that
-    comes twice, or again to the next holder, counts once.
+    Each process sends cumulative counts, so that a message that is repeated or
+    sent again to the next holder counts once.
     """
 
     def __init__(self) -> None:
@@ -69,18 +69,18 @@
     def take(
         self, source: Incarnation, counts_by_window: CountsByWindow
     ) -> bool:
-        """Take what a process has counted so far; tell if any is new."""
+        """Merge the cumulative counts of a process; return if any is new."""
         is_new = False
         for window, counts in counts_by_window.items():
             known = self.sources_by_window.setdefault(window, {})
-            # Counts only grow: a message that was overtaken says less.
+            # Counts only grow, so a reordered message has a lower sum.
             if sum(counts.values()) > sum(known.get(source, {}).values()):
                 known[source] = dict(counts)
                 is_new = True
         return is_new
 
     def totals(self, window: WindowNumber) -> Counts:
-        """Return the counts of all processes."""
+        """Return the counts of a window, summed over all processes."""
         found: Counts = {}
         for counts in self.sources_by_window.get(window, {}).values():
             for account, count in counts.items():
@@ -88,7 +88,7 @@
         return found
 
     def close(self, before: WindowNumber) -> None:
-        """Forget the windows before one."""
+        """Drop the windows before one."""
         for window in list(self.sources_by_window):
             if window < before:
                 del self.sources_by_window[window]
@@ -97,7 +97,7 @@
         self,
         others: Mapping[WindowNumber, Mapping[Incarnation, Counts]],
     ) -> None:
-        """Take what an earlier holder has written."""
+        """Merge the counts that an earlier holder stored."""
         for window, sources in others.items():
             for source, counts in sources.items():
                 self.take(source, {window: counts})
--- a/packages/yuccarill-core/src/yuccarill/core/usage/reports.py
+++ b/packages/yuccarill-core/src/yuccarill/core/usage/reports.py
@@ -1,4 +1,4 @@
-"""Describe reports of usage to operators."""
+"""Describe usage reports to operators."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class ShownUsage(msgspec.Struct, frozen=True, kw_only=True):
-    """Describe what an instance knows of the reports."""
+    """Describe the reports known to an instance."""
 
-    # The instance that reports, none if it is not known.
+    # The reporting instance; None if unknown.
     holder: str | None
-    # This instance is the holder, and knows the reports.
+    # Whether this instance is the holder; only the holder knows the reports.
     is_here: bool
-    # The first window that no report is recorded for.
+    # The first window without a recorded report.
     following: WindowNumber
-    # Reports up to this window were accepted.
+    # The last window whose report was accepted.
     sent_through: WindowNumber
     reports: tuple[ShownReport, ...] = ()
--- a/packages/yuccarill-core/src/yuccarill/core/usage/windows.py
+++ b/packages/yuccarill-core/src/yuccarill/core/usage/windows.py
@@ -1,4 +1,4 @@
-"""Divide true time into windows that usage is reported for."""
+"""Divide time into the windows of usage reports."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 
 class UsagePolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Say how usage is to be reported, in seconds."""
+    """Configure usage reports; times are in seconds."""
 
-    # Length of a window; window 0 begins with the year 1970.
+    # Length of a window; window 0 begins at the Unix epoch.
     window: float
-    # A report is due this long after its window's end.
+    # Time from the end of a window to the deadline of its report.
     due_after: float
 
     def window_at(self, at: WallTime) -> WindowNumber:
-        """Return the window that a moment lies in."""
+        """Return the window that contains a time."""
         return WindowNumber(math.floor(at / self.window))
 
     def end(self, window: WindowNumber) -> WallTime:
-        """Return when a window ends."""
+        """Return the end of a window."""
         return WallTime((window + 1) * self.window)
 
     def due(self, window: WindowNumber) -> WallTime:
-        """Return when a window has to be reported."""
+        """Return the deadline of a window's report."""
         return WallTime(self.end(window) + self.due_after)
--- a/packages/yuccarill-core/tests/speeds/test_book.py
+++ b/packages/yuccarill-core/tests/speeds/test_book.py
@@ -29,18 +29,18 @@
     ends: float,
     times: float = 1.0,
     target: TargetId = E,
-    beside: int = 4,
+    concurrent: int = 4,
     seed: int = 1,
 ) -> float:
-    """Show the events of some runs beside each other; return the end."""
+    """Show the events of some runs concurrent each other; return the end."""
     draw = random.Random(seed)
     now = begins
     while now < ends:
-        gap = PACE * times * (1.0 + SLOPE * beside)
+        gap = PACE * times * (1.0 + SLOPE * concurrent)
         now += gap
-        for _ in range(beside + 1):
+        for _ in range(concurrent + 1):
             seconds = gap * draw.uniform(0.9, 1.1)
-            book.saw(target, seconds, beside, Instant(now))
+            book.saw(target, seconds, concurrent, Instant(now))
     return now
 
 
@@ -116,7 +116,7 @@
                     now,
                     now + 0.3,
                     target=TargetId(name),
-                    beside=(0, 7, 15)[turn % 3],
+                    concurrent=(0, 7, 15)[turn % 3],
                 )
             now += 0.3
         self.assertAlmostEqual(SLOPE, book.slope, delta=0.3 * SLOPE)
