--- a/packages/yuccarill-core/tests/accounts/test_credentials.py
+++ b/packages/yuccarill-core/tests/accounts/test_credentials.py
@@ -1,4 +1,4 @@
-"""Test what of a request's credentials is taken for a key."""
+"""Test which credentials of a request contain a key."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
         ((f'Bearer {KEY},Bearer {KEY}',), CredentialFault.MALFORMED),
         ((f'Bearer {KEY}\x00',), CredentialFault.MALFORMED),
         ((f'Bearer {KEY}\xe9',), CredentialFault.MALFORMED),
-        # Twice the same is still two, of which one may be for somebody else.
+        # Equal credentials are refused as well.
         ((f'Bearer {KEY}', f'Bearer {KEY}'), CredentialFault.REPEATED),
         ((f'Bearer {"x" * 513}',), CredentialFault.TOO_LONG),
     )
@@ -45,8 +45,8 @@
     ) -> None:
         self.assertIs(fault, credentials.read(values))
 
-    def test_any_bytes_are_read_or_refused(self) -> None:
-        """Whatever a client sends is a digest or a fault, and no error."""
+    def test_arbitrary_input_is_read_or_refused(self) -> None:
+        """Guards against an exception on malformed input."""
         draw = random.Random(1)
         alphabet = [chr(code) for code in range(256)]
         held = credentials.digest(KEY)
--- a/packages/yuccarill-core/tests/accounts/test_decision.py
+++ b/packages/yuccarill-core/tests/accounts/test_decision.py
@@ -1,4 +1,4 @@
-"""Test what becomes of a request by what is known of its key."""
+"""Test the admission of a request by the state of its key."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 LENIENT = decision.RevocationPolicy()
 STRICT = decision.RevocationPolicy(is_strict=True, max_age=5.0)
-# Seconds since the configuration was heard of: from a moment ago, from an
-# instance that is cut off, and from one that never heard of it again.
+# Seconds since the configuration was confirmed; the latter two stand for a
+# partition from the store.
 FRESH, CUT_OFF, LONG_CUT_OFF = 0.5, 6.0, 600.0
 
 
 class DecisionTest(unittest.TestCase):
-    # The key, what came of a look, the age, the policy, what follows.
+    # State of the key, lookup result, age, policy, verdict.
     @params(
         (KeyStanding.HELD, Look.NOT_YET, FRESH, LENIENT, Verdict.ADMIT),
         (KeyStanding.HELD, Look.NOT_YET, CUT_OFF, LENIENT, Verdict.ADMIT),
@@ -28,16 +28,16 @@
         (KeyStanding.HELD, Look.NOT_YET, FRESH, STRICT, Verdict.ADMIT),
         (KeyStanding.HELD, Look.NOT_YET, CUT_OFF, STRICT, Verdict.PUT_OFF),
         (KeyStanding.HELD, Look.FAILED, CUT_OFF, STRICT, Verdict.PUT_OFF),
-        # Known to be taken away: no look, wherever the store is.
+        # Removed: no lookup, whether or not the store is reachable.
         (KeyStanding.REMOVED, Look.NOT_YET, FRESH, LENIENT, Verdict.REFUSE),
         (KeyStanding.REMOVED, Look.NOT_YET, CUT_OFF, LENIENT, Verdict.REFUSE),
         (KeyStanding.REMOVED, Look.FAILED, CUT_OFF, STRICT, Verdict.REFUSE),
-        # Perhaps added a moment ago: looked up before it is refused for good.
+        # May be new: looked up before a permanent refusal.
         (KeyStanding.UNKNOWN, Look.NOT_YET, FRESH, LENIENT, Verdict.LOOK),
         (KeyStanding.UNKNOWN, Look.NOT_YET, CUT_OFF, LENIENT, Verdict.LOOK),
         (KeyStanding.UNKNOWN, Look.ANSWERED, FRESH, LENIENT, Verdict.REFUSE),
         (KeyStanding.UNKNOWN, Look.ANSWERED, CUT_OFF, STRICT, Verdict.REFUSE),
-        # Nobody can tell: another instance may.
+        # Lookup failed: another instance may know the key.
         (KeyStanding.UNKNOWN, Look.FAILED, FRESH, LENIENT, Verdict.PUT_OFF),
         (KeyStanding.UNKNOWN, Look.FAILED, CUT_OFF, LENIENT, Verdict.PUT_OFF),
     )
--- a/packages/yuccarill-core/tests/accounts/test_directory.py
+++ b/packages/yuccarill-core/tests/accounts/test_directory.py
@@ -1,4 +1,4 @@
-"""Test whose a key is, over versions of the configuration."""
+"""Test the lookup of keys across configuration versions."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def accounts(**keys: str) -> directory.AccountDirectory:
-    """Return accounts by name, a letter for each of their keys."""
+    """Return accounts by name, one letter per key."""
     return directory.AccountDirectory(
         directory.Account(
             name=AccountName(name),
@@ -24,28 +24,26 @@
 
 class DirectoryTest(unittest.TestCase):
     @params(('x', 'a'), ('y', 'a'), ('z', 'b'), ('w', None))
-    def test_whose_a_key_is(self, key: str, name: str | None) -> None:
+    def test_find(self, key: str, name: str | None) -> None:
         found = accounts(a='xy', b='z').find(KeyDigest(key.encode()))
         self.assertEqual(name, None if found is None else found.name)
 
-    def test_a_key_of_two_accounts_is_nobodys(self) -> None:
-        # Served under the first, one account would be billed for the other.
+    def test_a_key_of_two_accounts_has_no_owner(self) -> None:
+        # Guards against billing one account for the other.
         found = accounts(a='xy', b='yz')
         self.assertIsNone(found.find(KeyDigest(b'y')))
         self.assertEqual({b'y'}, found.shared)
 
-    # The keys of each version, and which are known to have been taken away.
+    # Keys of each version, removed keys.
     @params(
         (['x', ''], 'x'),
         (['xy', 'y'], 'x'),
         (['x', 'y', 'z'], 'xy'),
-        # One that came back.
+        # A key is added again.
         (['x', 'y', 'x'], 'y'),
         (['x', 'x'], ''),
     )
-    def test_keys_that_were_taken_away(
-        self, versions: list[str], expected: str
-    ) -> None:
+    def test_removed_keys(self, versions: list[str], expected: str) -> None:
         found = accounts(a=versions[0])
         for keys in versions[1:]:
             following = accounts(a=keys)
@@ -56,7 +54,7 @@
             {key for key in 'xyz' if found.was_removed(key.encode())},
         )
 
-    def test_what_is_remembered_is_bounded(self) -> None:
+    def test_removed_keys_are_bounded(self) -> None:
         before = directory.AccountDirectory(
             directory.Account(
                 name=AccountName(f'a{number}'),
--- a/packages/yuccarill-core/tests/gateway/test_abandoned.py
+++ b/packages/yuccarill-core/tests/gateway/test_abandoned.py
@@ -1,4 +1,4 @@
-"""Test which runs that were given up count at the end of a target."""
+"""Test which abandoned runs count when a target exits."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
     def setUp(self) -> None:
         self.runs = abandoned.AbandonedRuns()
 
-    # Seconds since the run was given up, and whether it counts.
+    # Seconds since the run was abandoned, whether it counts.
     @params((0.0, True), (1.9, True), (2.0, False))
-    def test_a_target_may_go_on_for_a_while(
+    def test_a_run_counts_until_it_expires(
         self, seconds: float, counts: bool
     ) -> None:
         self.runs.note(T, X, R, True, NOW, NOW)
@@ -32,24 +32,24 @@
         self.assertEqual(int(counts), self.runs.unsettled(X, now))
         self.assertEqual({X: R} if counts else {}, self.runs.take(T, now, now))
 
-    def test_an_end_settles_the_runs_of_its_target(self) -> None:
+    def test_an_exit_settles_the_runs_of_its_target(self) -> None:
         for target in (T, TargetId('u')):
             self.runs.note(target, X, R, True, NOW, NOW)
         self.assertEqual({X: R}, self.runs.take(T, NOW, NOW))
         self.assertEqual({}, self.runs.take(T, NOW, NOW))
         self.assertEqual(1, self.runs.unsettled(X, NOW))
 
-    def test_a_run_that_was_cancelled_is_no_failure(self) -> None:
+    def test_a_cancelled_run_is_no_failure(self) -> None:
         self.runs.note(T, X, R, False, NOW, NOW)
         self.assertEqual(0, self.runs.unsettled(X, NOW))
         self.assertEqual({X: R}, self.runs.take(T, NOW, NOW))
 
-    # When the run began, and whether it was there at an end at 10 s.
+    # Start of the run, whether it was under way at an exit at 10 s.
     @params((9.9, True), (10.1, False))
-    def test_a_run_that_began_after_the_end(
+    def test_a_run_that_began_after_the_exit(
         self, began_at: float, counts: bool
     ) -> None:
-        """Requests were blamed that waited at an open port for nobody."""
+        """Guards against blame on requests that never reached a process."""
         now = Instant(12.0)
         self.runs.note(T, X, R, True, Instant(began_at), now)
         expected = {X: R} if counts else {}
--- a/packages/yuccarill-core/tests/gateway/test_attempts.py
+++ b/packages/yuccarill-core/tests/gateway/test_attempts.py
@@ -1,4 +1,4 @@
-"""Test when an idempotent request is sent once more."""
+"""Test when an idempotent request is retried or hedged."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class AttemptPlanTest(unittest.TestCase):
-    # Started at, ended, then asked at: what is to be done.
+    # Start times, ended attempts, current time, next action.
     @params(
         ([], 0, 0.0, Next.START),
         ([], 0, 1.0, Next.GIVE_UP),
--- a/packages/yuccarill-core/tests/gateway/test_candidates.py
+++ b/packages/yuccarill-core/tests/gateway/test_candidates.py
@@ -1,4 +1,4 @@
-"""Test in which order instances take on common work."""
+"""Test the ranking of instances for duties."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 class OrderedTest(unittest.TestCase):
-    def test_stronger_instances_go_first(self) -> None:
+    def test_instances_with_more_cores_come_first(self) -> None:
         cores = {'a': 0.5, 'b': 2.15, 'c': 1.07, 'd': 0.6}
         found = candidates.ordered(cores, 'duty')
         self.assertEqual(['b', 'c'], found[:2])
 
-    def test_small_differences_do_not_decide(self) -> None:
+    def test_small_differences_do_not_matter(self) -> None:
         cores = {f'n{number}': 1.0 + number / 100 for number in range(10)}
         first = {candidates.ordered(cores, f's{n}')[0] for n in range(20)}
         self.assertGreater(len(first), 3)
 
-    def test_everybody_gets_the_same_order(self) -> None:
+    def test_the_order_is_deterministic(self) -> None:
         cores = {f'n{number}': 1.0 for number in range(10)}
-        turned = dict(reversed(cores.items()))
+        flipped = dict(reversed(cores.items()))
         self.assertEqual(
-            candidates.ordered(cores, 'x'), candidates.ordered(turned, 'x')
+            candidates.ordered(cores, 'x'), candidates.ordered(flipped, 'x')
         )
 
 
@@ -41,16 +41,12 @@
 
     @params(9, 12, 60, 300)
     def test_no_two_parts_have_one_holder(self, instances: int) -> None:
-        """An instance with two parts orders as many engines as one that fell.
-
-        Nine parts of 60 instances, each with an order of its own, share one
-        in nearly half of all fleets.
-        """
+        """Guards against an instance that is overloaded by two parts."""
         cores = {f'n{number}': 1.0 for number in range(instances)}
         first = {order[0] for order in self.orders(cores)}
         self.assertEqual(len(self.PARTS), len(first))
 
-    def test_a_lost_holder_is_followed_by_one_without_a_part(self) -> None:
+    def test_the_second_instance_of_a_part_is_first_in_none(self) -> None:
         cores = {f'n{number}': 1.0 for number in range(60)}
         orders = self.orders(cores)
         first = {order[0] for order in orders}
@@ -58,7 +54,7 @@
             self.assertNotIn(order[1], first)
             self.assertEqual(sorted(cores), sorted(order))
 
-    def test_stronger_instances_go_first(self) -> None:
+    def test_instances_with_more_cores_come_first(self) -> None:
         cores = {f'n{number}': 1.0 for number in range(60)}
         cores.update({f'strong{number}': 3.0 for number in range(6)})
         first = [order[0] for order in self.orders(cores)]
@@ -69,7 +65,7 @@
         orders = self.orders({'a': 1.0, 'b': 1.0})
         self.assertEqual({2}, {len(order) for order in orders})
 
-    def test_an_undivided_work_keeps_its_order(self) -> None:
+    def test_a_single_part_keeps_the_order(self) -> None:
         cores = {f'n{number}': 1.0 for number in range(60)}
         self.assertEqual(
             candidates.ordered(cores, 's'),
@@ -84,15 +80,15 @@
         self.assertEqual(expected, len(found))
 
     @params((6, 3, 2), (60, 3, 3), (165, 5, 5), (410, 11, 10))
-    def test_no_two_in_one_data_centre(
+    def test_watchers_are_spread_over_data_centres(
         self, instances: int, centres: int, expected: int
     ) -> None:
         cores, centres_by_instance = fleet(instances, centres)
         found = watchers.watchers(cores, centres_by_instance)
-        where = {centres_by_instance[name] for name in found}
-        self.assertEqual(expected, len(where))
+        found_centres = {centres_by_instance[name] for name in found}
+        self.assertEqual(expected, len(found_centres))
 
-    def test_strong_ones_of_each_data_centre(self) -> None:
+    def test_instances_with_more_cores_watch(self) -> None:
         cores, centres = fleet(165, 5)
         cores.update({f'n{number}': 2.15 for number in range(15)})
         found = watchers.watchers(cores, centres)
--- a/packages/yuccarill-core/tests/gateway/test_contents.py
+++ b/packages/yuccarill-core/tests/gateway/test_contents.py
@@ -1,4 +1,4 @@
-"""Test what counts as a repeat of the same request."""
+"""Test which requests have the same content digest."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ContentTest(unittest.TestCase):
-    # Another request, and whether it repeats the first one.
+    # Another request, whether it repeats FIRST.
     @params(
         (FIRST, True),
         (('A.example', '/p?q', 'caller', b'body'), True),
--- a/packages/yuccarill-core/tests/gateway/test_directory.py
+++ b/packages/yuccarill-core/tests/gateway/test_directory.py
@@ -1,10 +1,7 @@
-"""Test which instances callers are sent to.
+"""Test which instance addresses callers receive.
 
-The pattern is that of a large fleet under plain requests: 165 instances in
-five data centres, three of each with 2.15 cores and the others with 0.5; 19
-callers in each, which pick one of the named addresses at random for each new
-connection. The names begin with the data centre, as operators choose them:
-the first 64 of all by text would be those of two data centres.
+Models a large fleet whose callers pick a random address per connection. Names
+begin with the data centre, so sorting them by name would favour a few centres.
 """
 
 from __future__ import annotations
@@ -46,14 +43,14 @@
         )
 
     @params(*CENTRES)
-    def test_most_are_near_and_all_data_centres_are_named(
+    def test_most_are_local_and_all_data_centres_are_included(
         self, centre: DataCentreId
     ) -> None:
         found = self.centres(directory.named(self.places, centre))
         self.assertEqual(directory.MAX_LOCAL_INSTANCES, found[centre])
         self.assertEqual({1}, {found[c] for c in CENTRES if c != centre})
 
-    def test_strong_ones_come_first(self) -> None:
+    def test_instances_with_more_cores_come_first(self) -> None:
         found = directory.named(self.places, CENTRES[0])
         self.assertEqual(
             {2.15}, {self.places[address].cores for address in found[:STRONG]}
@@ -68,24 +65,26 @@
         self.assertEqual(len(CENTRES), len(self.centres(found)))
 
     @params((1, 1), (2, 3), (3, 3))
-    def test_few_instances_are_all_named(
+    def test_few_instances_are_all_included(
         self, per_centre: int, centres: int
     ) -> None:
         places = fleet(per_centre, centres)
         found = directory.named(places, CENTRES[0])
         self.assertEqual(sorted(places), sorted(found))
 
-    def test_a_lost_one_is_replaced_and_the_others_stay(self) -> None:
+    def test_a_lost_instance_is_replaced_and_the_others_stay(self) -> None:
         before = directory.named(self.places, CENTRES[0])
         del self.places[before[5]]
         after = directory.named(self.places, CENTRES[0])
         self.assertEqual(len(before), len(after))
         self.assertEqual(1, len(set(before) - set(after)))
 
-    def test_a_lost_data_centre_leaves_callers_the_others(self) -> None:
+    def test_callers_of_a_lost_data_centre_get_all_others(self) -> None:
         lost = CENTRES[0]
-        left = {a: p for a, p in self.places.items() if p.data_centre != lost}
-        found = directory.named(left, lost)
+        remaining = {
+            a: p for a, p in self.places.items() if p.data_centre != lost
+        }
+        found = directory.named(remaining, lost)
         self.assertEqual(
             directory.MAX_LOCAL_INSTANCES + directory.REMOTE_INSTANCES,
             len(found),
@@ -93,11 +92,9 @@
         self.assertEqual(4, len(self.centres(found)))
 
     def test_load_is_spread(self) -> None:
-        """All callers met in two data centres, most of them far away.
+        """Guards against callers of all data centres sharing a few instances.
 
-        By text order no caller of three data centres had a near instance.
-        What counts is the load of a core: strong instances are named in
-        other data centres as well.
+        The load is compared per core, since strong instances get more callers.
         """
         generator = random.Random(5)
         picks = collections.Counter(
--- a/packages/yuccarill-core/tests/gateway/test_end_ledger.py
+++ b/packages/yuccarill-core/tests/gateway/test_end_ledger.py
@@ -1,4 +1,4 @@
-"""Test what is remembered of ends of targets, and for how long."""
+"""Test how ends of targets are recorded and when they expire."""
 
 from __future__ import annotations
 
@@ -33,15 +33,15 @@
     def end(self, at: float, target: str, *contents: str) -> None:
         self.ledger.report(report(target, *contents), Instant(at))
 
-    # Reports of instances, as target, age and time: the ends they tell of.
+    # Reports as target, age and time; number of distinct ends.
     @params(
         ([('t', 0.0, 1.0), ('t', 0.0, 1.2)], 1),
         ([('t', 0.0, 1.0), ('t', 4.0, 5.1)], 1),
         ([('t', 0.0, 1.0), ('u', 0.0, 1.0)], 2),
-        # A target that is back under its id, and ends again.
+        # A target restarts under its id and ends again.
         ([('t', 0.0, 1.0), ('t', 0.0, 5.0)], 2),
     )
-    def test_one_end_is_counted_once(
+    def test_an_end_is_counted_once(
         self, reports: list[tuple[str, float, float]], count: int
     ) -> None:
         for target, age, at in reports:
@@ -49,49 +49,41 @@
         self.assertEqual(count, len(self.ledger.targets(X)))
 
     def test_a_request_at_two_targets_that_end_together(self) -> None:
-        """A caller was refused for an hour although its request was sound.
+        """Guards against quarantine of a harmless hedged request.
 
-        1. The request is at two targets, the second attempt beside the first,
-           as all targets of its service end in one moment.
-        2. Eight seconds later all end again, under its third attempt.
-        3. Two chances are no proof: it may be sent on, one at a time.
+        Two targets that end together while they run it are one incident.
         """
         for target in ('t9', 't10'):
-            told = EndReport(
+            end_report = EndReport(
                 target=TargetId(target),
                 contents=(X,),
                 requests_by_content={X: RequestId('r')},
             )
-            self.ledger.report(told, Instant(16.005))
+            self.ledger.report(end_report, Instant(16.005))
         self.assertEqual(Verdict.WATCHED, self.ledger.verdict(X))
         self.end(32.01, 't24', 'x')
         self.assertEqual(Verdict.SUSPECT, self.ledger.verdict(X))
         self.end(40.0, 't25', 'x')
         self.assertEqual(Verdict.QUARANTINED, self.ledger.verdict(X))
 
-    def test_a_moment_counts_alike_for_all_that_were_there(self) -> None:
-        """A sound item was held that two jobs have, and the guilty one not.
-
-        1. A request ends three targets in a moment: one chance.
-        2. Two others of one content were at two of these: one chance too.
-        3. Another end has both: neither is the likelier cause.
-        """
+    def test_an_incident_counts_once_for_each_content(self) -> None:
+        """Guards against counting a harmless content of two requests twice."""
         ends = (('t0', 'r1'), ('t1', ''), ('t2', 'r2'))
-        for number, (target, beside) in enumerate(ends):
-            requests = {X: RequestId('r'), P: RequestId(beside)}
+        for number, (target, other_request) in enumerate(ends):
+            requests = {X: RequestId('r'), P: RequestId(other_request)}
             known = {c: r for c, r in requests.items() if r}
-            told = EndReport(
+            end_report = EndReport(
                 target=TargetId(target),
                 contents=tuple(known),
                 requests_by_content=known,
             )
-            self.ledger.report(told, Instant(1.0 + 0.01 * number))
+            self.ledger.report(end_report, Instant(1.0 + 0.01 * number))
         self.end(5.0, 't3', 'x', 'p')
         self.assertEqual(Verdict.SUSPECT, self.ledger.verdict(X))
         self.assertEqual(Verdict.SUSPECT, self.ledger.verdict(P))
 
-    def test_blame_falls_on_what_is_always_there(self) -> None:
-        """A content that others of its kind finish elsewhere is no cause."""
+    def test_a_completed_content_is_cleared(self) -> None:
+        """Guards against blame on a content that completes elsewhere."""
         for number in range(3):
             self.end(float(number), f't{number}', 'x', 'p')
         self.assertEqual(Verdict.SUSPECT, self.ledger.verdict(P))
@@ -99,7 +91,7 @@
         self.assertEqual(Verdict.CLEAR, self.ledger.verdict(P))
         self.assertEqual(Verdict.QUARANTINED, self.ledger.verdict(X))
 
-    def test_reports_of_one_end_are_put_together(self) -> None:
+    def test_reports_of_one_end_are_merged(self) -> None:
         self.end(1.0, 't', 'x')
         self.end(1.1, 't', 'p')
         self.assertEqual(
@@ -107,10 +99,9 @@
             [each.contents for each in self.ledger.reports(Instant(2.0))],
         )
 
-    # When a run of the content was finished, and whether an end at 100 s
-    # counts against it.
+    # Completion time of a run, whether an end at 100 s counts.
     @params((50.0, True), (75.0, False), (99.0, False), (101.0, False))
-    def test_what_a_target_finished_is_no_cause(
+    def test_a_recently_completed_content_is_not_blamed(
         self, completed_at: float, counts: bool
     ) -> None:
         if completed_at < 100.0:
@@ -121,7 +112,7 @@
         verdict = Verdict.WATCHED if counts else Verdict.CLEAR
         self.assertEqual(verdict, self.ledger.verdict(P))
 
-    def test_a_quarantine_ends(self) -> None:
+    def test_a_quarantine_expires(self) -> None:
         for number in range(3):
             self.end(float(number), f't{number}', 'x')
         self.assertEqual(Verdict.QUARANTINED, self.ledger.verdict(X))
@@ -131,20 +122,20 @@
         self.assertEqual(Verdict.CLEAR, self.ledger.verdict(X))
         self.assertTrue(self.ledger.is_clear)
 
-    def test_a_finished_run_does_not_end_a_quarantine(self) -> None:
-        """A late answer of long ago must not let three more targets end."""
+    def test_a_completed_run_does_not_lift_a_quarantine(self) -> None:
+        """Guards against a late response that lifts the quarantine."""
         for number in range(3):
             self.end(float(number), f't{number}', 'x')
         self.ledger.completed(X, Instant(4.0))
         self.assertEqual(Verdict.QUARANTINED, self.ledger.verdict(X))
 
-    def test_an_operator_releases(self) -> None:
+    def test_release_lifts_a_quarantine(self) -> None:
         for number in range(3):
             self.end(float(number), f't{number}', 'x')
         self.ledger.release(X, Instant(4.0))
         self.assertEqual(Verdict.CLEAR, self.ledger.verdict(X))
 
-    def test_ends_of_long_ago_do_not_count(self) -> None:
+    def test_old_ends_do_not_count(self) -> None:
         self.end(0.0, 't', 'x')
         self.ledger.expire(Instant(end_ledger.END_SECONDS))
         self.assertTrue(self.ledger.is_clear)
--- a/packages/yuccarill-core/tests/gateway/test_leadership.py
+++ b/packages/yuccarill-core/tests/gateway/test_leadership.py
@@ -1,4 +1,4 @@
-"""Test when the holder of a duty may order engines."""
+"""Test when the holder of a duty may send orders to engines."""
 
 from __future__ import annotations
 
@@ -29,9 +29,8 @@
 
 
 class OrdersFromTest(unittest.TestCase):
-    # An engine must not get orders of two instances within three seconds.
-    # The last holder may be cut off: it goes on until its order window
-    # ends, unless it told when it stopped.
+    # Guards against orders of two holders to one engine within three seconds.
+    # A partitioned holder continues until its order window ends.
     @params(
         (None, 100.0),
         (last('a'), 100.0),
@@ -70,18 +69,13 @@
         self.assertEqual(may_order, tenure.may_order(Instant(now)))
         self.assertEqual(is_held, tenure.is_held(Instant(now)))
 
-    def test_a_reply_that_took_long_does_not_stretch_the_lease(self) -> None:
-        """A holder that is slow to hear must not outlive its lease.
-
-        1. It sends a renewal at 11, and the store takes it at once.
-        2. The answer comes at 13.4; the lease counts from 11.
-        3. At 13.4 another instance may hold the duty already.
-        """
+    def test_the_lease_counts_from_sending_the_renewal(self) -> None:
+        """Guards against a slow reply that extends the lease."""
         tenure = self.tenure()
         tenure.renew(Instant(11.0))
         self.assertFalse(tenure.is_held(Instant(13.4)))
 
-    def test_an_old_renewal_takes_nothing_back(self) -> None:
+    def test_an_old_renewal_does_not_shorten_the_lease(self) -> None:
         tenure = self.tenure()
         tenure.renew(Instant(12.0))
         tenure.renew(Instant(11.0))
@@ -103,16 +97,16 @@
 
 
 class TwoHoldersTest(unittest.TestCase):
-    # The store takes the keys of a holder away at once while the holder can
-    # not hear of it. The engine sees the old one's last order and the new
-    # one's first: they must lie three seconds apart, wherever in its
-    # renewals the old holder was cut off.
+    # Guards against orders less than three seconds apart if the store deletes
+    # the keys of a partitioned holder at once.
     @params(0.0, 0.3, 0.6, 1.0, 1.29)
-    def test_orders_lie_apart(self, cut_after_renewal: float) -> None:
+    def test_orders_of_two_holders_are_separated(
+        self, cut_after_renewal: float
+    ) -> None:
         old = leadership.Tenure(Epoch(1), POLICY, Instant(0.0), Instant(0.0))
-        taken_at = Instant(cut_after_renewal)
+        deleted_at = Instant(cut_after_renewal)
         first = leadership.orders_from(
-            InstanceId('b'), last('a'), POLICY, taken_at
+            InstanceId('b'), last('a'), POLICY, deleted_at
         )
         steps = [Instant(step * 0.01) for step in range(2000)]
         last_old = max(now for now in steps if old.may_order(now))
--- a/packages/yuccarill-core/tests/gateway/test_parting.py
+++ b/packages/yuccarill-core/tests/gateway/test_parting.py
@@ -1,4 +1,4 @@
-"""Test how contents are kept apart that may be the cause of ends."""
+"""Test which targets run suspected contents."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         self.assertEqual({T, U}, self.runs.targets_with({X, P}))
         self.assertEqual(frozenset(), self.runs.targets_with(set()))
 
-    def test_a_content_runs_until_its_last_run_is_over(self) -> None:
+    def test_a_content_is_running_until_its_last_run_finishes(self) -> None:
         self.runs.finish(T, P)
         self.runs.finish(U, P)
         self.assertTrue(self.runs.is_running(P))
--- a/packages/yuccarill-core/tests/gateway/test_routes.py
+++ b/packages/yuccarill-core/tests/gateway/test_routes.py
@@ -12,7 +12,7 @@
 
 
 def route(name: str, host: str, prefix: str, **more: object) -> routes.Route:
-    """Return a route with what matters here."""
+    """Return a route with default fields."""
     fields: dict = {
         'kind': routes.RouteKind.IDEMPOTENT,
         'shares': (routes.Share(ServiceName('app'), 1.0),),
@@ -71,6 +71,6 @@
         self.assertTrue(50 < drawn.count(ServiceName('little')) < 150)
         self.assertEqual(('much', 'little'), split.services)
 
-    def test_no_weight_is_no_service(self) -> None:
+    def test_a_route_without_shares_has_no_service(self) -> None:
         none = route('r', 'h', '/', shares=())
         self.assertIsNone(none.choose_service(random.Random(1)))
--- a/packages/yuccarill-core/tests/gateway/test_spared_targets.py
+++ b/packages/yuccarill-core/tests/gateway/test_spared_targets.py
@@ -1,9 +1,7 @@
-"""Test which requests are kept from a service's last living target.
+"""Test which requests are kept from a service's last live target.
 
-The pattern: a request ends or silences one target of a small service after the
-other within a second; processes are back after 3 s. Whoever else calls the
-service needs the one that is left, and a sound request that was beside the
-cause must not wait for longer than 3 s.
+A request crashes or silences several targets of a small service within a
+second. A harmless request that ran with it must not wait longer than 3 s.
 """
 
 from __future__ import annotations
@@ -61,8 +59,8 @@
         found = ContentDigest(content)
         return self.spared.are_at_risk(found, ready, Instant(at))
 
-    # Targets, of which some were lost in a moment, and whether the request
-    # has to leave the others alone; by closed ports, and by open ones.
+    # Targets, targets lost at once, whether the request is held back if the
+    # ports of these are closed, and if they are open.
     @params(
         (3, 1, False, False),
         (3, 2, True, True),
@@ -73,7 +71,7 @@
     def test_losses(
         self, targets: int, lost: int, ended: bool, silent: bool
     ) -> None:
-        """The third target ended 0.1 s after two that were one chance."""
+        """Guards against the loss of the last target after one incident."""
         for has_ended, expected in ((True, ended), (False, silent)):
             self.setUp()
             for number in range(lost):
@@ -82,22 +80,20 @@
             self.assertFalse(self.are_at_risk('p', targets, 1.1))
 
     @params((True,), (False,))
-    def test_a_sound_request_beside_the_cause_waits_for_less(
-        self, has_ended: bool
-    ) -> None:
+    def test_a_harmless_request_waits_for_less(self, has_ended: bool) -> None:
         for number in range(2):
             self.lose(number, 1.0, has_ended, X, P)
         self.assertTrue(self.are_at_risk('p', 3, 1.1))
         self.assertFalse(self.are_at_risk('p', 3, 1.0 + MAX_DELAY))
 
-    def test_one_that_was_there_each_time_waits_for_longer(self) -> None:
+    def test_the_likeliest_cause_waits_for_longer(self) -> None:
         self.lose(0, 1.0, True, X, P)
         self.lose(1, 1.0, True, X)
         self.assertTrue(self.are_at_risk('x', 3, 1.0 + MAX_DELAY))
         self.assertFalse(self.are_at_risk('p', 3, 1.1))
 
-    def test_a_target_that_answers_was_not_lost(self) -> None:
-        """Connections were cut, and the callers of a small service refused."""
+    def test_a_target_that_responds_is_not_lost(self) -> None:
+        """Guards against refusing callers when only connections broke."""
         for number in range(2):
             self.lose(number, 1.0, False, X)
         self.doubts.answered(TargetId('t0'))
@@ -105,17 +101,17 @@
 
 
 class DoubtsTest(unittest.TestCase):
-    # Seconds from the first loss at a target to another one, whether the
-    # target answered between, and whether the later one counts.
+    # Seconds between two losses at a target, whether the target responded in
+    # between, whether the later loss counts.
     @params(
         (0.01, False, True),
         (0.5, False, False),
         (0.5, True, True),
     )
-    def test_calls_that_met_no_process_do_not_count(
+    def test_calls_that_reached_no_process_do_not_count(
         self, seconds: float, has_answered: bool, counts: bool
     ) -> None:
-        """Sound requests were held that an open port had broken off."""
+        """Guards against holding requests that reached no process."""
         found = doubts.Doubts()
         found.add(target('t'), {X: RequestId('r')}, Instant(1.0))
         if has_answered:
@@ -124,20 +120,20 @@
         found.add(target('t'), {P: RequestId('q')}, at)
         self.assertEqual(counts, bool(found.lost(P, at)))
 
-    def test_what_a_target_finished_is_not_doubted(self) -> None:
+    def test_a_completed_content_is_not_doubted(self) -> None:
         found = doubts.Doubts()
         found.add(target('t'), {X: RequestId('r')}, Instant(1.0))
         found.completed(X)
         self.assertEqual([], found.lost(X, Instant(1.0)))
 
-    # The process that is listed next, when, and whether it settles the loss.
+    # Next listed process, time of listing, whether it confirms the exit.
     @params(
         (target('u', 't:80'), 4.0, True),
         (target('t'), 4.0, False),
         (target('u'), 4.0, False),
         (target('u', 't:80'), 9.1, False),
     )
-    def test_the_list_settles(
+    def test_the_target_list_settles_doubts(
         self, listed: ListedTarget, at: float, settles: bool
     ) -> None:
         found = doubts.Doubts()
--- a/packages/yuccarill-core/tests/gateway/test_suspicion.py
+++ b/packages/yuccarill-core/tests/gateway/test_suspicion.py
@@ -1,4 +1,4 @@
-"""Test which requests are taken for the cause of targets that ended."""
+"""Test which contents are suspected as the cause of target crashes."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 
 
 class JudgeTest(unittest.TestCase):
-    # The contents at each end, a letter each, and what is thought of them.
+    # Contents of each end, one letter each; expected verdicts.
     @params(
-        # Nothing has ended.
+        # No end.
         ((), {'x': CLEAR}),
         # One content is alone at each end.
         (('x',), {'x': WATCHED}),
         (('x', 'x'), {'x': SUSPECT}),
         (('x', 'x', 'x'), {'x': QUARANTINED}),
-        # Others were beside it once, or twice.
+        # Other contents run with it at one or two ends.
         (('xa', 'xb', 'xc'), {'x': QUARANTINED, 'a': CLEAR, 'c': CLEAR}),
         (('xa', 'xa', 'x'), {'x': QUARANTINED, 'a': CLEAR}),
         (('xa', 'xa'), {'x': SUSPECT, 'a': SUSPECT}),
-        # One beside it each time is as likely, until one comes again.
+        # One that runs with it at each end is as likely the cause.
         (('xa', 'xa', 'xa'), {'x': SUSPECT, 'a': SUSPECT}),
         (('xa', 'xa', 'xa', 'x'), {'x': QUARANTINED, 'a': CLEAR}),
         (('xa',) * 5, {'x': QUARANTINED, 'a': QUARANTINED}),
-        # One that is sent often is at many ends, of which others explain some.
+        # A frequent content is at many ends, some explained by others.
         (('xp', 'xp', 'xp', 'p'), {'p': QUARANTINED, 'x': CLEAR}),
         (('xp', 'xp', 'x', 'xp', 'x'), {'x': QUARANTINED, 'p': CLEAR}),
-        # As many ends of each without the other: one more tells.
+        # As many ends of each without the other: one more decides.
         (('xp', 'xp', 'x', 'xp', 'p'), {'x': SUSPECT, 'p': SUSPECT}),
         (('xp', 'xp', 'x', 'xp', 'p', 'x'), {'x': QUARANTINED, 'p': WATCHED}),
         # Two causes, each at its own ends.
@@ -43,10 +43,10 @@
             ('x', 'y', 'x', 'y', 'x', 'y'),
             {'x': QUARANTINED, 'y': QUARANTINED},
         ),
-        # An end that two share counts for one of them, not known which.
+        # An end that two share counts for one of them, unknown which.
         (('x', 'xy', 'x', 'y', 'y'), {'x': SUSPECT, 'y': SUSPECT}),
         (('x', 'xy', 'x', 'y', 'y', 'x'), {'x': QUARANTINED, 'y': SUSPECT}),
-        # Targets that end in turn of something else, under what runs there.
+        # Targets end for another reason while they run various contents.
         (('ab', 'cd', 'ef', 'gh'), dict.fromkeys('abcdefgh', WATCHED)),
         (('ab', 'bc', 'cd'), {'b': SUSPECT, 'a': WATCHED, 'd': WATCHED}),
     )
@@ -56,33 +56,33 @@
         found = suspicion.judge([frozenset(end) for end in ends])
         self.assertEqual(expected, {c: found.verdict(c) for c in expected})
 
-    # The ends, the moment of each, and what is thought of the contents.
+    # Contents of each end, incident of each end, expected verdicts.
     @params(
-        # Two attempts of one request, side by side, in a moment in which all
-        # targets ended: one chance, not two.
+        # Two concurrent attempts of one request while all targets end: one
+        # incident, not two.
         (('x', 'x', 'x'), (0, 0, 1), {'x': SUSPECT}),
         (('x', 'x'), (0, 0), {'x': WATCHED}),
         (('x', 'x', 'x', 'x'), (0, 0, 1, 2), {'x': QUARANTINED}),
         (('x', 'x', 'x'), (0, 1, 2), {'x': QUARANTINED}),
-        # Another one beside it in as many moments is as likely the cause.
+        # A content at as many incidents is as likely the cause.
         (('xa', 'x', 'xa', 'xa'), (0, 0, 1, 2), {'x': SUSPECT, 'a': SUSPECT}),
     )
-    def test_ends_of_one_moment_count_once(
+    def test_ends_of_one_incident_count_once(
         self,
         ends: tuple[str, ...],
-        moments: tuple[int, ...],
+        incidents: tuple[int, ...],
         expected: dict[str, Verdict],
     ) -> None:
         found = suspicion.judge(
             [frozenset(end) for end in ends],
             incidents=[
-                dict.fromkeys(end, moment)
-                for end, moment in zip(ends, moments, strict=True)
+                dict.fromkeys(end, incident)
+                for end, incident in zip(ends, incidents, strict=True)
             ],
         )
         self.assertEqual(expected, {c: found.verdict(c) for c in expected})
 
-    def test_what_is_quarantined_already_explains_its_ends(self) -> None:
+    def test_a_quarantined_content_explains_its_ends(self) -> None:
         ends = [frozenset('xa'), frozenset('xa'), frozenset('xa')]
         found = suspicion.judge(ends, quarantined=['x'])
         self.assertEqual(QUARANTINED, found.verdict('x'))
--- a/packages/yuccarill-core/tests/gateway/test_targets.py
+++ b/packages/yuccarill-core/tests/gateway/test_targets.py
@@ -1,4 +1,4 @@
-"""Test the list of targets, of which each request asks for one service's."""
+"""Test the target list and its lookup by service."""
 
 from __future__ import annotations
 
@@ -35,27 +35,27 @@
     def ready(self, service: ServiceName = PLAIN) -> list[str]:
         return sorted(self.list.ready(service))
 
-    def test_what_comes_and_goes_is_seen_at_once(self) -> None:
+    def test_changes_are_visible_at_once(self) -> None:
         self.assertEqual(['a', 'b'], self.ready())
         self.list.put(target('c'))
         self.assertEqual(['a', 'b', 'c'], self.ready())
         self.list.remove(TargetId('a'))
         self.assertEqual(['b', 'c'], self.ready())
 
-    def test_one_that_leaves_is_left_out_at_once(self) -> None:
+    def test_a_leaving_target_is_omitted_at_once(self) -> None:
         self.ready()
         self.list.put(msgspec.structs.replace(target('a'), is_leaving=True))
         self.assertEqual(['b'], self.ready())
 
-    def test_an_address_that_went_to_another_service(self) -> None:
-        # A request must not reach a service that its route does not name.
+    def test_a_target_that_moves_to_another_service(self) -> None:
+        # Guards against requests sent to a service that the route lacks.
         self.ready()
         self.list.put(target('a', OTHER))
         self.assertEqual(['b'], self.ready())
         self.assertEqual(['a'], self.ready(OTHER))
 
-    def test_only_changes_of_its_own_count_for_a_service(self) -> None:
-        # Engines' entries change with each load of their weights.
+    def test_changes_are_counted_per_service(self) -> None:
+        # Engine entries change often, with each load of weights.
         before = self.list.changes(PLAIN)
         self.list.put(target('e', OTHER))
         self.list.put(target('a'))
@@ -70,21 +70,22 @@
 
 
 class StartTest(unittest.TestCase):
-    """A process may start again under the id of the one before."""
+    """Guards against mistaking a restarted process for its predecessor."""
 
+    # Whether the start time is reported, and which process; two starts.
     @params(
-        ('told, the same', start(1, 9), start(1, 10), True),
-        ('told, another', start(1, 9), start(2, 10), False),
+        ('reported, same', start(1, 9), start(1, 10), True),
+        ('reported, another', start(1, 9), start(2, 10), False),
         (
-            'told, another that has beaten more often',
+            'reported, another with more heartbeats',
             start(1, 9),
             start(2, 99),
             False,
         ),
-        ('not told, one goes on', start(None, 9), start(None, 9), True),
-        ('not told, counted anew', start(None, 9), start(None, 1), False),
-        ('told only by the later one', start(None, 9), start(2, 10), False),
-        ('told only by the one before', start(2, 9), start(None, 10), False),
+        ('not reported, same', start(None, 9), start(None, 9), True),
+        ('not reported, another', start(None, 9), start(None, 1), False),
+        ('reported only later', start(None, 9), start(2, 10), False),
+        ('reported only before', start(2, 9), start(None, 10), False),
     )
     def test_starts(
         self,
@@ -96,6 +97,6 @@
         self.assertIs(is_same, known.is_same(later))
 
     @params({'address': 'x:80'}, {'service': OTHER})
-    def test_one_elsewhere_is_another(self, changes: dict) -> None:
+    def test_a_moved_target_is_another_start(self, changes: dict) -> None:
         moved = msgspec.structs.replace(target('a'), **changes)
         self.assertFalse(target('a').is_same_start(moved))
--- a/packages/yuccarill-core/tests/scaling/test_sizing.py
+++ b/packages/yuccarill-core/tests/scaling/test_sizing.py
@@ -1,4 +1,4 @@
-"""Test how many targets a load gets, and in which data centres."""
+"""Test the number of targets for a load and their data centres."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 
 
 class SizeTest(unittest.TestCase):
-    # Wanted places, places of a target, part for revocable ones, and how many
-    # targets of all and of regular ones that makes.
+    # Wanted slots, slots per target, price fraction of revocable targets,
+    # expected targets in total and regular ones.
     @params(
         (0.0, 6, None, 1, 1),
         (3.0, 6, None, 1, 1),
@@ -39,7 +39,7 @@
         (36.0, 6, 0.15, 12, 8),
         (0.1, 6, 0.15, 1, 1),
     )
-    def test_half_of_the_places_are_busy(
+    def test_half_of_the_slots_are_busy(
         self,
         wanted: float,
         slots: int,
@@ -57,8 +57,8 @@
 
 
 class SpreadTest(unittest.TestCase):
-    # Targets, least and most of a data centre, those with none to give, and
-    # the targets of a, b and c.
+    # Targets, minimum and maximum per data centre, data centres without
+    # capacity, expected targets of a, b and c.
     @params(
         (3, 1, 16, (), (1, 1, 1)),
         (4, 1, 16, (), (1, 2, 1)),
@@ -71,7 +71,7 @@
         (99, 1, 3, (), (3, 3, 3)),
         (9, 1, 16, CENTRES, (1, 1, 1)),
     )
-    def test_data_centres_get_the_same(
+    def test_targets_are_spread_evenly(
         self,
         count: int,
         least: int,
@@ -86,11 +86,11 @@
 
 class PlaceTest(unittest.TestCase):
     @params(
-        # Revocable ones fill up what regular ones leave.
+        # Revocable targets fill the rest.
         (12, 8, {}, (3, 3, 2), (1, 2, 1)),
-        # Where none are to be had, the others take them.
+        # Other data centres replace one without capacity.
         (12, 8, {TargetKind.REVOCABLE: (B,)}, (3, 3, 2), (2, 0, 2)),
-        # Both kinds together keep within the most.
+        # Both kinds together respect the maximum.
         (40, 8, {}, (3, 3, 2), (7, 7, 8)),
     )
     def test_kinds(
@@ -116,8 +116,8 @@
                 counts, tuple(found[c, kind] for c in CENTRES), kind
             )
 
-    def test_a_data_centre_that_gives_no_more_keeps_its_targets(self) -> None:
-        """Guards against a lack that gives up what still runs."""
+    def test_a_data_centre_without_capacity_keeps_its_targets(self) -> None:
+        """Guards against releasing targets that are running."""
         found = sizing.place(
             sizing.Size(total=15, regular=15),
             bounds(),
--- a/packages/yuccarill-core/tests/speeds/test_book.py
+++ b/packages/yuccarill-core/tests/speeds/test_book.py
@@ -1,7 +1,7 @@
-"""Test that a lasting pace is told from moments and from a fault.
+"""Test the distinction of a lasting pace, a transient slowdown and a fault.
 
-Paces are those of engines: an event each 40 ms, 0.6 to 1.6 times that for
-good, 2.5 times in moments of 0.6 s, 2.2 times and more for seconds by a fault.
+The factors on PACE: 0.6 to 1.6 lasting, 2.5 for transient slowdowns of 0.6 s,
+2.2 and more for faults.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 
 def feed(
     book: book_module.LogPaceBook,
-    begins: float,
-    ends: float,
-    times: float = 1.0,
+    began_at: float,
+    ends_at: float,
+    factor: float = 1.0,
     target: TargetId = E,
     concurrent: int = 4,
     seed: int = 1,
 ) -> float:
-    """Show the events of some runs concurrent each other; return the end."""
+    """Record the events of concurrent runs; return the end time."""
     draw = random.Random(seed)
-    now = begins
-    while now < ends:
-        gap = PACE * times * (1.0 + SLOPE * concurrent)
+    now = began_at
+    while now < ends_at:
+        gap = PACE * factor * (1.0 + SLOPE * concurrent)
         now += gap
         for _ in range(concurrent + 1):
             seconds = gap * draw.uniform(0.9, 1.1)
@@ -46,18 +46,18 @@
 
 class LogPaceBookTest(unittest.TestCase):
     @params(0.6, 1.0, 1.6)
-    def test_a_lasting_pace_is_known_within_a_second(
-        self, times: float
+    def test_a_lasting_pace_is_learned_within_a_second(
+        self, factor: float
     ) -> None:
         book = book_module.LogPaceBook()
-        now = Instant(feed(book, 0.0, 1.0, times))
+        now = Instant(feed(book, 0.0, 1.0, factor))
         found = book.pace(E, 4, now)
-        expected = PACE * times * (1.0 + SLOPE * 4)
+        expected = PACE * factor * (1.0 + SLOPE * 4)
         self.assertAlmostEqual(math.log(expected), math.log(found.pace), 1)
         self.assertLess(found.deviation, 0.1)
         self.assertIs(SpeedState.USUAL, book.state(E, now))
 
-    def test_a_moment_changes_nothing_that_lasts(self) -> None:
+    def test_a_transient_slowdown_keeps_the_lasting_pace(self) -> None:
         book = book_module.LogPaceBook()
         now = feed(book, 0.0, 3.0)
         before = book.pace(E, 4, Instant(now)).pace
@@ -67,7 +67,7 @@
         after = book.pace(E, 4, Instant(now)).pace
         self.assertAlmostEqual(1.0, after / before, 1)
 
-    def test_a_moment_makes_an_estimate_less_sure(self) -> None:
+    def test_a_transient_slowdown_raises_the_deviation(self) -> None:
         book = book_module.LogPaceBook()
         now = feed(book, 0.0, 3.0)
         before = book.pace(E, 4, Instant(now)).deviation
@@ -76,29 +76,29 @@
         self.assertGreater(found.deviation, 2.0 * before)
 
     @params(2.2, 4.0)
-    def test_a_fault_shows_within_a_second(self, times: float) -> None:
+    def test_a_fault_is_detected_within_a_second(self, factor: float) -> None:
         book = book_module.LogPaceBook()
         now = feed(book, 0.0, 3.0)
         usual = book.pace(E, 4, Instant(now)).pace
-        now = feed(book, now, now + 1.0, times)
+        now = feed(book, now, now + 1.0, factor)
         self.assertIs(SpeedState.FAULTY, book.state(E, Instant(now)))
         found = book.pace(E, 4, Instant(now)).pace
-        self.assertAlmostEqual(times, found / usual, delta=0.2 * times)
-        # Its lasting pace is still known once the fault ends.
+        self.assertAlmostEqual(factor, found / usual, delta=0.2 * factor)
+        # The lasting pace is restored once the fault ends_at.
         now = feed(book, now, now + 0.3)
         self.assertIs(SpeedState.USUAL, book.state(E, Instant(now)))
         found = book.pace(E, 4, Instant(now)).pace
         self.assertAlmostEqual(1.0, found / usual, 1)
 
-    def test_an_unseen_fault_is_tried_again(self) -> None:
+    def test_a_fault_without_measurements_expires(self) -> None:
         book = book_module.LogPaceBook()
         now = feed(book, 0.0, 3.0)
         now = feed(book, now, now + 1.0, 3.0)
         later = Instant(now + 10.0)
         self.assertIs(SpeedState.USUAL, book.state(E, later))
 
-    def test_a_pace_that_gets_better_is_taken_soon(self) -> None:
-        """Guards against a target first seen in its fault."""
+    def test_a_faster_pace_is_adopted_soon(self) -> None:
+        """Guards against a lasting pace learned during a fault."""
         book = book_module.LogPaceBook()
         now = feed(book, 0.0, 3.0, 2.5)
         now = feed(book, now, now + 1.5)
@@ -106,33 +106,33 @@
         expected = PACE * (1.0 + SLOPE * 4)
         self.assertAlmostEqual(1.0, found / expected, delta=0.1)
 
-    def test_company_is_learnt_of_all_targets(self) -> None:
+    def test_the_slope_is_learned_from_all_targets(self) -> None:
         book = book_module.LogPaceBook()
         now = 0.0
-        for turn in range(60):
+        for step in range(60):
             for name in ('e', 'f', 'g'):
                 feed(
                     book,
                     now,
                     now + 0.3,
                     target=TargetId(name),
-                    concurrent=(0, 7, 15)[turn % 3],
+                    concurrent=(0, 7, 15)[step % 3],
                 )
             now += 0.3
         self.assertAlmostEqual(SLOPE, book.slope, delta=0.3 * SLOPE)
 
-    def test_an_unknown_target_is_like_the_others(self) -> None:
+    def test_an_unknown_target_gets_the_median_pace(self) -> None:
         book = book_module.LogPaceBook()
         now = Instant(0.0)
-        for name, times in (('a', 0.6), ('b', 1.0), ('c', 1.6)):
-            now = Instant(feed(book, 0.0, 2.0, times, TargetId(name)))
+        for name, factor in (('a', 0.6), ('b', 1.0), ('c', 1.6)):
+            now = Instant(feed(book, 0.0, 2.0, factor, TargetId(name)))
         found = book.pace(TargetId('new'), 4, now)
         expected = PACE * (1.0 + SLOPE * 4)
         self.assertAlmostEqual(1.0, found.pace / expected, delta=0.1)
         self.assertGreater(found.deviation, 0.3)
         self.assertIs(SpeedState.UNKNOWN, book.state(TargetId('new'), now))
 
-    def test_a_new_start_is_forgotten(self) -> None:
+    def test_a_restart_drops_the_estimate(self) -> None:
         book = book_module.LogPaceBook()
         book.follow(E, TargetStart(started_at=1))
         now = Instant(feed(book, 0.0, 2.0))
@@ -141,7 +141,7 @@
         book.follow(E, TargetStart(started_at=2))
         self.assertIs(SpeedState.UNKNOWN, book.state(E, now))
 
-    def test_a_successor_knows_as_much(self) -> None:
+    def test_a_successor_restores_the_estimate(self) -> None:
         book = book_module.LogPaceBook()
         book.follow(E, TargetStart(started_at=1))
         now = Instant(feed(book, 0.0, 2.0, 1.6))
@@ -154,7 +154,7 @@
         known, found = book.pace(E, 0, now), successor.pace(E, 0, then)
         self.assertAlmostEqual(1.0, found.pace / known.pace, delta=0.1)
 
-    def test_a_record_of_an_earlier_start_is_left_out(self) -> None:
+    def test_a_record_of_an_earlier_start_is_ignored(self) -> None:
         book = book_module.LogPaceBook()
         book.follow(E, TargetStart(started_at=1))
         now = Instant(feed(book, 0.0, 2.0, 1.6))
@@ -164,7 +164,7 @@
             successor.restore(record, now)
         self.assertIs(SpeedState.UNKNOWN, successor.state(E, now))
 
-    def test_a_stale_estimate_is_less_sure(self) -> None:
+    def test_a_stale_estimate_has_a_higher_deviation(self) -> None:
         book = book_module.LogPaceBook()
         now = feed(book, 0.0, 2.0)
         soon = book.pace(E, 0, Instant(now)).deviation
--- a/packages/yuccarill-core/tests/usage/test_fleet_time.py
+++ b/packages/yuccarill-core/tests/usage/test_fleet_time.py
@@ -1,4 +1,4 @@
-"""Test what the true time is taken to be, whatever clocks show."""
+"""Test the estimate of the true time from wrong clocks."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 
 
 class AgreedOffsetTest(unittest.TestCase):
-    # Offsets of wall clocks, what was agreed before, what is agreed now.
+    # Offsets of wall clocks, offset agreed before, expected offset.
     @params(
-        # One clock, and nothing before: there is no other.
+        # One clock and no earlier offset.
         ([7.0], None, 7.0),
-        # Its machine's clock jumps: what was agreed goes on.
+        # One clock jumps: the earlier offset is kept.
         ([9.0], 7.0, 7.0),
         ([7.1], 7.0, 7.0),
-        # Two instances only: they agree, or what was agreed goes on.
+        # Two clocks agree, or the earlier offset is kept.
         ([7.0, 7.1], None, 7.05),
         ([7.0, 9.0], 7.0, 7.0),
         ([5.0, 7.0], 7.0, 7.0),
-        # Both were set right after both had been wrong.
+        # Both were corrected.
         ([9.0, 9.0], 7.0, 9.0),
-        # One of many is off, whichever way.
+        # One of many is wrong.
         ([7.0, 7.0, 9.0], None, 7.0),
         ([5.0, 7.0, 7.1], 7.0, 7.0),
         # A third of many jump together.
         ([7.0] * 7 + [9.0] * 3, 7.0, 7.0),
         ([5.0] * 3 + [7.0] * 7, None, 7.0),
-        # Half of them: what was agreed before tells which half.
+        # Half of them jump: the earlier offset decides.
         ([7.0] * 5 + [9.0] * 5, 7.0, 7.0),
         ([5.0] * 5 + [7.0] * 5, 7.0, 7.0),
         # Some ahead, some behind.
@@ -41,7 +41,7 @@
         found = fleet_time.agreed_offset(offsets, before)
         self.assertAlmostEqual(expected, found, delta=0.11)
 
-    def test_half_of_all_clocks_and_nothing_before(self) -> None:
-        # Nobody can tell which half is right; it is one of them, not between.
+    def test_half_of_all_clocks_without_an_earlier_offset(self) -> None:
+        # Either half may be right, but not the mean of both.
         found = fleet_time.agreed_offset([7.0, 7.0, 9.0, 9.0], None)
         self.assertIn(found, (7.0, 9.0))
