--- a/packages/yuccarill-core/src/yuccarill/core/gateway/end_ledger.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/end_ledger.py
@@ -170,7 +170,7 @@
         until = self._quarantined_until.get(content, now)
         return max(0.0, until - now)
 
-    def targets_since(
+    def end_times_since(
         self, content: ContentDigest, since: Instant
     ) -> dict[TargetId, Instant]:
         """Return the end times of targets that ran a content, by target."""
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/spared_targets.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/spared_targets.py
@@ -17,10 +17,10 @@
 # Seconds after a crash in which a request that may be its cause is not sent to
 # the last live target; crashed targets restart within this time, and other
 # clients need the live one.
-PAUSE_SECONDS = 5.0
+HOLD_SECONDS = 5.0
 # The same if another request is as likely the cause; shorter than the timeout
 # of a caller, since the request may be harmless.
-SHARED_PAUSE_SECONDS = 2.8
+SHARED_HOLD_SECONDS = 2.8
 # Live targets with which a suspected request is sent earlier.
 MIN_LIVE_TARGETS = 2
 # Targets lost while they ran a request before the request is held back.
@@ -45,8 +45,8 @@
         Two simultaneous exits do not prove that the request is the cause, but
         they suffice to protect the third target for other clients.
         """
-        since = Instant(now - PAUSE_SECONDS)
-        lost = self._ledger.targets_since(content, since)
+        since = Instant(now - HOLD_SECONDS)
+        lost = self._ledger.end_times_since(content, since)
         silent = {
             doubt.target.id: doubt.at
             for doubt in self._doubts.lost(content, now)
@@ -55,8 +55,8 @@
         if len(lost) < LOST_TARGETS:
             return False
         is_likeliest = self._is_likeliest(content, since, now)
-        pause = PAUSE_SECONDS if is_likeliest else SHARED_PAUSE_SECONDS
-        if now >= max(lost.values()) + pause:
+        hold_seconds = HOLD_SECONDS if is_likeliest else SHARED_HOLD_SECONDS
+        if now >= max(lost.values()) + hold_seconds:
             return False
         end_count = len(self._ledger.targets(content))
         if silent and len(silent) + end_count >= UNCONFIRMED_LOSSES:
--- a/packages/yuccarill-core/src/yuccarill/core/scaling/measure.py
+++ b/packages/yuccarill-core/src/yuccarill/core/scaling/measure.py
@@ -42,7 +42,7 @@
         if self._since is None and (has_work or is_idle):
             self._since = sample.at
 
-    def is_whole(self, now: Instant) -> bool:
+    def has_full_window(self, now: Instant) -> bool:
         """Return whether representative samples cover a whole window."""
         return self._since is not None and now - self._since >= self._window
 
--- a/packages/yuccarill-core/src/yuccarill/core/scaling/scaling.py
+++ b/packages/yuccarill-core/src/yuccarill/core/scaling/scaling.py
@@ -27,11 +27,11 @@
 
     sizing: sizing.SizingPolicy = sizing.SizingPolicy()
     # Surplus targets that are kept.
-    kept_over: int = 1
+    max_surplus_targets: int = 1
     # Time for which fewer targets must suffice before the service shrinks.
     shrink_after: float = 4.0
     # Fraction of the targets that one step may release.
-    shrink_part: float = 0.25
+    max_shrink_fraction: float = 0.25
     # Minimum time between two orders for one data centre and kind.
     order_pause: float = 1.0
     # Time for which a data centre without capacity is skipped.
@@ -150,7 +150,7 @@
                 for place, count in wanted.items()
                 if count > self._counts.get(place, 0)
             }
-        if needed.total + self._policy.kept_over >= ordered:
+        if needed.total + self._policy.max_surplus_targets >= ordered:
             self._shrink_at = None
             return {}
         if not self._may_shrink(measure, now):
@@ -174,13 +174,13 @@
 
     def _shrink(self, needed: sizing.Size, ordered: int) -> sizing.Size:
         """Return the size after one step towards the needed size."""
-        least = math.ceil(ordered * (1.0 - self._policy.shrink_part))
+        least = math.ceil(ordered * (1.0 - self._policy.max_shrink_fraction))
         total = max(needed.total, least)
         revocable = needed.total - needed.regular
         return sizing.Size(total=total, regular=total - revocable)
 
     def _may_shrink(self, measure: WorkMeasure, now: Instant) -> bool:
-        if not measure.is_whole(now):
+        if not measure.has_full_window(now):
             return False
         if self._shrink_at is None:
             self._shrink_at = Instant(now + self._policy.shrink_after)
@@ -196,7 +196,7 @@
         for (centre, kind), until in self._unavailable_until.items():
             if now < until:
                 unavailable.setdefault(kind, set()).add(centre)
-        return sizing.place(
+        return sizing.place_targets(
             needed, bounds, self._centres(), unavailable, self._counts
         )
 
--- a/packages/yuccarill-core/src/yuccarill/core/scaling/sizing.py
+++ b/packages/yuccarill-core/src/yuccarill/core/scaling/sizing.py
@@ -25,9 +25,9 @@
 
     # Fraction of the slots that may be busy on average; leaves headroom for
     # bursts of twice the mean.
-    busy_part: float = 0.5
+    max_busy_fraction: float = 0.5
     # The same for regular targets alone, if all revocable ones are reclaimed.
-    regular_busy_part: float = 0.8
+    max_regular_busy_fraction: float = 0.8
 
 
 class Size(msgspec.Struct, frozen=True, kw_only=True):
@@ -42,14 +42,14 @@
     policy: SizingPolicy, bounds: ScalingBounds, wanted: float, slots: int
 ) -> Size:
     """Return the size for a demand of `wanted` slots."""
-    total = _targets_for(wanted, slots, policy.busy_part)
+    total = _targets_for(wanted, slots, policy.max_busy_fraction)
     regular = total
     if bounds.revocable_part is not None:
-        regular = _targets_for(wanted, slots, policy.regular_busy_part)
+        regular = _targets_for(wanted, slots, policy.max_regular_busy_fraction)
     return Size(total=total, regular=min(total, regular))
 
 
-def place(
+def place_targets(
     needed: Size,
     bounds: ScalingBounds,
     centres: Collection[DataCentreId],
@@ -65,7 +65,7 @@
         for kind, lacking in unavailable.items()
         for centre in lacking
     }
-    regular = spread(
+    regular = spread_evenly(
         needed.regular,
         {
             centre: (
@@ -83,7 +83,7 @@
     }
     if bounds.revocable_part is None:
         return counts
-    revocable = spread(
+    revocable = spread_evenly(
         needed.total - sum(regular.values()),
         {
             centre: _limits(
@@ -100,7 +100,7 @@
     return counts
 
 
-def spread(
+def spread_evenly(
     count: int,
     limits_by_centre: Mapping[DataCentreId, tuple[int, int]],
     bounds: ScalingBounds,
@@ -129,5 +129,5 @@
     return min(least, most), most
 
 
-def _targets_for(wanted: float, slots: int, busy_part: float) -> int:
-    return max(1, math.ceil(wanted / busy_part / max(1, slots)))
+def _targets_for(wanted: float, slots: int, max_busy_fraction: float) -> int:
+    return max(1, math.ceil(wanted / max_busy_fraction / max(1, slots)))
--- a/packages/yuccarill-core/src/yuccarill/core/speeds/book.py
+++ b/packages/yuccarill-core/src/yuccarill/core/speeds/book.py
@@ -38,7 +38,7 @@
 FAULT_SECONDS = 0.7
 # Seconds after which the pace in a fault becomes the lasting pace.
 LASTING_SECONDS = 30.0
-# Time constant of the decay of a fault without measurements, so that the
+# Time constant of the decay of a fault without measurements, so that its
 # target is used again.
 UNSEEN_SECONDS = 3.0
 # Fraction by which one more unit of work slows the others, and its variance.
--- a/packages/yuccarill-core/tests/scaling/test_sizing.py
+++ b/packages/yuccarill-core/tests/scaling/test_sizing.py
@@ -80,7 +80,7 @@
         expected: tuple[int, ...],
     ) -> None:
         limits = dict.fromkeys(CENTRES, (least, most))
-        found = sizing.spread(count, limits, bounds(), unavailable)
+        found = sizing.spread_evenly(count, limits, bounds(), unavailable)
         self.assertEqual(expected, tuple(found[c] for c in CENTRES))
 
 
@@ -101,7 +101,7 @@
         regulars: tuple[int, ...],
         revocables: tuple[int, ...],
     ) -> None:
-        found = sizing.place(
+        found = sizing.place_targets(
             sizing.Size(total=total, regular=regular),
             bounds(most=10, revocable_part=0.15),
             CENTRES,
@@ -118,7 +118,7 @@
 
     def test_a_data_centre_without_capacity_keeps_its_targets(self) -> None:
         """Guards against releasing targets that are running."""
-        found = sizing.place(
+        found = sizing.place_targets(
             sizing.Size(total=15, regular=15),
             bounds(),
             CENTRES,
