--- a/packages/yuccarill-core/src/yuccarill/core/accounts/decision.py
+++ b/packages/yuccarill-core/src/yuccarill/core/accounts/decision.py
@@ -8,7 +8,7 @@
 
 
 class KeyStanding(enum.Enum):
-    """Name the state of a key in the configuration in force here."""
+    """Name the state of a key in the configuration of this instance."""
 
     HELD = 'held by an account'
     # Held by an account in an earlier version of the configuration.
@@ -42,7 +42,7 @@
     # If false, an instance partitioned from the store keeps admitting the
     # accounts that it knows.
     is_strict: bool = False
-    # Seconds.
+    # Seconds since the configuration was confirmed; applies if strict.
     max_age: float = 5.0
 
 
--- a/packages/yuccarill-core/src/yuccarill/core/accounts/directory.py
+++ b/packages/yuccarill-core/src/yuccarill/core/accounts/directory.py
@@ -50,7 +50,7 @@
         return self._accounts_by_key.get(key)
 
     def was_removed(self, key: KeyDigest) -> bool:
-        """Return whether only an earlier version is known to hold a key."""
+        """Return whether an earlier version held a key that this one lacks."""
         return key in self._removed
 
     def follow(self, before: AccountDirectory) -> None:
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/abandoned.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/abandoned.py
@@ -13,8 +13,8 @@
 # Seconds for which a target may keep executing an abandoned run; equals the
 # silence after which a run is abandoned.
 ABANDONED_SECONDS = 2.0
-MAX_ABANDONED = 1024
-# Unsettled failed runs of one content that block further attempts.
+MAX_ABANDONED_RUNS = 1024
+# Unexpired failed runs of one content that block further attempts.
 MAX_UNSETTLED = 2
 
 
@@ -49,7 +49,7 @@
     ) -> None:
         """Record a run whose response is no longer awaited."""
         self._expire(now)
-        if len(self._runs) >= MAX_ABANDONED:
+        if len(self._runs) >= MAX_ABANDONED_RUNS:
             self._settle(self._runs.popleft())
         until = Instant(now + ABANDONED_SECONDS)
         self._runs.append(
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/attempts.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/attempts.py
@@ -46,7 +46,7 @@
         self.in_flight -= 1
 
     def withdraw(self) -> None:
-        """Uncount an attempt that reached no target."""
+        """Remove an attempt that reached no target from the counts."""
         self.started -= 1
         self.in_flight -= 1
 
@@ -63,7 +63,7 @@
         return Next.START
 
     def wakes_at(self) -> Instant:
-        """Return when `next` changes without an attempt ending."""
+        """Return when `next` may change while no attempt ends."""
         if self.started >= self.max_attempts or not self.may_hedge:
             return self.deadline
         hedge_at = Instant(self.last_start + self.hedge_delay)
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/candidates.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/candidates.py
@@ -62,10 +62,10 @@
     }
 
 
-def _rank(first_of: str | None, part: str) -> int:
-    if first_of is None:
+def _rank(own_part: str | None, part: str) -> int:
+    if own_part is None:
         return 1
-    return 0 if first_of == part else 2
+    return 0 if own_part == part else 2
 
 
 def _rounded_log2(cores: float) -> int:
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/contents.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/contents.py
@@ -22,8 +22,8 @@
     hashed = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (host.lower(), target, caller):
         data = part.encode()
-        # Without length prefixes, moving bytes from one part to the next
-        # would keep the digest.
+        # Without length prefixes, requests whose parts are split at different
+        # bytes would have the same digest.
         hashed.update(len(data).to_bytes(_LENGTH_BYTES))
         hashed.update(data)
     hashed.update(body)
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/directory.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/directory.py
@@ -17,7 +17,8 @@
 # Bounded, since each instance has its own connection pool to the targets and
 # more instances mean more handshakes.
 MAX_LOCAL_INSTANCES = 12
-# Instances in other data centres, for failover if the caller's own is lost.
+# Further instances, spread over all data centres; for failover if the caller's
+# own is lost.
 REMOTE_INSTANCES = 4
 
 
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/doubts.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/doubts.py
@@ -21,13 +21,13 @@
 DOUBT_SECONDS = 8.0
 # Bounds memory while the network drops many connections.
 MAX_DOUBTS = 256
-# Seconds within which all connections of an exited process break. A connection
-# to a silent target that is lost later never reached a process.
+# Seconds within which all connections of an exited process break. Requests
+# that are lost later, at a target still silent, never reached a process.
 LOSS_SECONDS = 0.1
 
 
 class Doubt(msgspec.Struct, kw_only=True):
-    """Describe lost calls to a target whose process may have exited."""
+    """Describe requests lost at a target whose process may have exited."""
 
     target: ListedTarget
     requests_by_content: dict[ContentDigest, RequestId]
@@ -54,7 +54,7 @@
         requests_by_content: dict[ContentDigest, RequestId],
         at: Instant,
     ) -> None:
-        """Record lost calls to a target whose port is open."""
+        """Record requests lost at a target whose port is open."""
         self._expire(at)
         if any(
             doubt.is_silent
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/end_ledger.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/end_ledger.py
@@ -22,16 +22,15 @@
     from collections.abc import Iterable
 
 MAX_ENDS = 256
-# Contents of one end.
-MAX_CONTENTS = 64
-# Seconds for which an end counts; finds a request that crashes a target every
-# few minutes, not one whose target crashes twice a day.
+MAX_CONTENTS_PER_END = 64
+# Seconds for which an end counts; covers a request sent every few minutes and
+# excludes targets that crash twice a day for another reason.
 END_SECONDS = 1800.0
 # Seconds within which the ends of two targets of one request are one incident.
 # Covers the network and scheduling delay of detection; a request that crashes
 # its targets rarely crashes two of them so close together.
 SAME_INCIDENT_SECONDS = 0.05
-MAX_COMPLETED = 1024
+MAX_COMPLETED_CONTENTS = 1024
 # Seconds after a completed run in which its content is not blamed for an end.
 # Bounded, since a new version of the service may crash on the same content.
 COMPLETED_SECONDS = 30.0
@@ -39,8 +38,8 @@
 # shorter than the restart of a target, which may keep its id.
 SAME_END_SECONDS = 1.5
 MAX_QUARANTINED = 512
-# Gives operators time for a fix; a caller that keeps sending the request
-# crashes at most three targets in this time.
+# Gives operators time for a fix and limits the crashes by a caller that keeps
+# sending the request.
 QUARANTINE_SECONDS = 3600.0
 
 
@@ -103,17 +102,17 @@
         if end is None:
             end = _End(target=report.target, at=at, contents={})
             self._ends.append(end)
-        for content in report.contents[:MAX_CONTENTS]:
+        for content in report.contents[:MAX_CONTENTS_PER_END]:
             if not self._was_completed(content, end.at):
                 request = report.requests_by_content.get(content)
                 end.contents[content] = request
         self._judge(now)
 
     def completed(self, content: ContentDigest, now: Instant) -> bool:
-        """Record a completed run; return if it was suspected."""
+        """Record a completed run; return whether its content was suspected."""
         self._completed_at[content] = now
         self._completed_at.move_to_end(content)
-        if len(self._completed_at) > MAX_COMPLETED:
+        if len(self._completed_at) > MAX_COMPLETED_CONTENTS:
             self._completed_at.popitem(last=False)
         was_suspected = self.verdict(content) in (
             Verdict.WATCHED,
@@ -152,7 +151,7 @@
         self._judge(now)
 
     def expire(self, now: Instant) -> list[ContentDigest]:
-        """Drop old ends; return the contents whose quarantine expired."""
+        """Drop expired ends and quarantines; return the released contents."""
         ended = [
             content
             for content, until in self._quarantined_until.items()
@@ -208,7 +207,7 @@
         return self._quarantined_until.keys()
 
     def reports(self, now: Instant) -> tuple[EndReport, ...]:
-        """Return all ends as reports for an instance that just started."""
+        """Return reports of the ends with contents for a new instance."""
         return tuple(
             EndReport(
                 target=end.target,
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/leadership.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/leadership.py
@@ -21,7 +21,7 @@
     """Record the last holder of a duty; outlives the lease."""
 
     instance: InstanceId
-    # The process that held the duty; a restarted process lost its runs.
+    # The process that held the duty; its runs are lost if it restarted.
     incarnation: Incarnation
     # Seconds from the holder's last order to its release of the duty; infinity
     # if it never sent one, None if it did not release the duty.
@@ -29,8 +29,8 @@
     # Seconds that the holder still had to wait for its predecessor when the
     # record was written; 0 once it may send orders.
     waits: float = 0.0
-    # Peer address of the instance that replicates the holder's texts; empty if
-    # no instance is known to have all of them.
+    # Peer address of the instance that replicates the texts generated for the
+    # holder; empty if no instance is known to have all texts.
     standby: str = ''
     # Store revision that wrote this record.
     revision: Revision = Revision(0)
@@ -40,9 +40,9 @@
     """Configure the lease and the handover pause, in seconds."""
 
     lease: float
-    # Time after sending a renewal in which orders may be sent. Shorter than
-    # the lease, since a successor waits this long: the store may delete a
-    # holder's keys long before the holder learns of it.
+    # Time after sending a renewal in which orders may be sent. A successor
+    # waits this long, since the store may delete a holder's keys before the
+    # holder learns of it; so it is shorter than the lease.
     order_window: float
     # Minimum time between orders of two holders to one engine.
     handover_pause: float
@@ -65,7 +65,7 @@
         self._last_order_at: Instant | None = None
 
     def renew(self, sent_at: Instant) -> None:
-        """Extend the lease by a renewal that the store confirmed."""
+        """Extend the lease after the store confirmed a renewal."""
         # The lease starts when the renewal is sent. If it started at the
         # reply, a slow reply would extend the lease past the successor's
         # takeover, and two holders would send orders to the same engine.
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/partitions.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/partitions.py
@@ -16,17 +16,15 @@
     from yuccarill.core.ids import ModelName
     from yuccarill.core.ids import TargetId
 
-# Engines from which a service is partitioned.
-LARGE_ENGINES = 600
-# Maximum number of engines per part.
-PART_ENGINES = 300
+MIN_PARTITIONED_ENGINES = 600
+MAX_ENGINES_PER_PART = 300
 # Bounded, since one transaction writes a job with the shares of all parts.
 MAX_PARTS = 15
-# Listed engines from which a starting service may become large.
+# Listed engines from which on a starting service may become partitioned.
 _MANY_ENGINES = 100
 # Seconds without a newly listed engine before the number of parts is decided.
-# The longer one covers two refreshes of a peer's copy of the target list;
-# deciding too early gives all engines of a new fleet to one holder.
+# With many engines, covers two refreshes of a peer's copy of the target list;
+# a premature decision gives all engines of a new fleet to one holder.
 _FEW_SETTLE_SECONDS = 1.0
 _MANY_SETTLE_SECONDS = 3.2
 # Precedes the part number; not valid in configured service names.
@@ -46,14 +44,14 @@
 
 def division_for(engines: int) -> Division:
     """Return the division of a service with a number of engines."""
-    if engines < LARGE_ENGINES:
+    if engines < MIN_PARTITIONED_ENGINES:
         return WHOLE
-    parts = min(MAX_PARTS, math.ceil(engines / PART_ENGINES))
+    parts = min(MAX_PARTS, math.ceil(engines / MAX_ENGINES_PER_PART))
     return Division(parts=parts, is_by_items=True)
 
 
 def encode(division: Division) -> bytes:
-    """Encode a division; one by models as a plain number of parts."""
+    """Encode a division; a division by models as its number of parts."""
     if not division.is_by_items:
         return msgspec.msgpack.encode(division.parts)
     return msgspec.msgpack.encode(division)
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/spared_targets.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/spared_targets.py
@@ -18,14 +18,14 @@
 # the last live target; crashed targets restart within this time, and other
 # clients need the live one.
 HOLD_SECONDS = 5.0
-# The same if another request is as likely the cause; shorter than the timeout
-# of a caller, since the request may be harmless.
+# Replaces HOLD_SECONDS if another request is at least as likely the cause;
+# shorter than a caller's timeout, since the request may be harmless.
 SHARED_HOLD_SECONDS = 2.8
-# Live targets with which a suspected request is sent earlier.
+# Live targets from which on a request that may be the cause is not held.
 MIN_LIVE_TARGETS = 2
-# Targets lost while they ran a request before the request is held back.
+# Targets lost while they ran a request from which on the request is held.
 LOST_TARGETS = 2
-# Lost targets, with at least one unconfirmed exit, after which a request is
+# Lost targets, with at least one unconfirmed exit, from which on a request is
 # sent to no target until the target list confirms or refutes the exit.
 UNCONFIRMED_LOSSES = 3
 
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/suspicion.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/suspicion.py
@@ -18,11 +18,11 @@
     from collections.abc import Mapping
     from collections.abc import Sequence
 
-# Ends with one content after which it is quarantined. Two may be a
-# coincidence: each of the two ends may have a different cause.
+# Ends after which a content that was running at each is quarantined. Two may
+# be a coincidence: each of the two ends may have a different cause.
 QUARANTINE_ENDS = 3
-# The same if another content was running at each of these ends, since one of
-# the two may be harmless; running each alone finds the cause.
+# Replaces QUARANTINE_ENDS if another content is equally likely the cause: one
+# of the two may be harmless, and running each alone finds the cause.
 SHARED_QUARANTINE_ENDS = 5
 # Ends after which a content is not sent to the last live target.
 SUSPECT_ENDS = 2
@@ -32,9 +32,9 @@
     """State how a content may be sent to targets."""
 
     CLEAR = 'clear'
-    # Running at one end: one attempt at a time.
+    # Running at one end, or unlikely the cause: one attempt at a time.
     WATCHED = 'watched'
-    # Running at two ends: one attempt at a time, never at the last target.
+    # Running at two or more ends: one at a time, never at the last target.
     SUSPECT = 'suspect'
     # Not sent to any target.
     QUARANTINED = 'quarantined'
@@ -87,7 +87,7 @@
         to_quarantine = _contents_to_quarantine(ends_by_content)
         if not to_quarantine:
             break
-        # Likeliest first, since the ends it explains may clear others.
+        # Repeated, since ends with a quarantined content may clear others.
         found |= to_quarantine
     verdicts = {
         content: _verdict(content, ends_by_content)
@@ -110,7 +110,7 @@
 def _contents_to_quarantine(
     ends_by_content: dict[ContentDigest, frozenset[int]],
 ) -> set[ContentDigest]:
-    """Return the likeliest cause and its rivals if its ends suffice."""
+    """Return the likeliest content with enough ends, and its rivals."""
     most_first = sorted(
         ends_by_content, key=lambda c: (-len(ends_by_content[c]), c)
     )
@@ -130,16 +130,16 @@
 ) -> list[ContentDigest]:
     """Return the contents that are equally likely the cause of the same ends.
 
-    A rival was running at as many ends, and too few ends of the content remain
-    without the rival. Running each of them alone finds the cause.
+    A rival was running at no fewer ends, and the content has fewer than
+    QUARANTINE_ENDS without the rival. Running each alone finds the cause.
     """
     own = ends_by_content[content]
     return [
         other
-        for other, numbers in ends_by_content.items()
+        for other, ends in ends_by_content.items()
         if other != content
-        and len(numbers) >= len(own)
-        and len(own - numbers) < QUARANTINE_ENDS
+        and len(ends) >= len(own)
+        and len(own - ends) < QUARANTINE_ENDS
     ]
 
 
@@ -152,5 +152,5 @@
         return Verdict.WATCHED
     # Another content that was running at all these ends and at further ones is
     # the likelier cause.
-    is_unlikely = any(own < numbers for numbers in ends_by_content.values())
+    is_unlikely = any(own < ends for ends in ends_by_content.values())
     return Verdict.WATCHED if is_unlikely else Verdict.SUSPECT
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/targets.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/targets.py
@@ -28,7 +28,7 @@
     def is_same(self, later: TargetStart) -> bool:
         """Return whether a later report comes from the same process."""
         if self.started_at != later.started_at:
-            # A process reports its start time always or never.
+            # A process reports its start time in all heartbeats or in none.
             return False
         if self.started_at is not None:
             return True
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/watchers.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/watchers.py
@@ -11,10 +11,10 @@
 
     from yuccarill.core.ids import DataCentreId
 
-# Two tolerate the failure of one. Each additional watcher adds a billed store
-# call per change, since a watch ends with each change.
+# Tolerates the failure of one. A watch ends with each change, so each watcher
+# costs a billed store call per change.
 MIN_WATCHERS = 2
-# Adds one watcher per this many instances, which poll the watchers.
+# Instances per additional watcher; the other instances poll the watchers.
 INSTANCES_PER_WATCHER = 50
 _PURPOSE = 'watch'
 
--- a/packages/yuccarill-core/src/yuccarill/core/scaling/plan.py
+++ b/packages/yuccarill-core/src/yuccarill/core/scaling/plan.py
@@ -21,14 +21,14 @@
 class ScalingBounds(msgspec.Struct, frozen=True, kw_only=True):
     """Hold the configured limits of each data centre."""
 
-    # Number of targets of both kinds together.
+    # Limits of both kinds together; regular targets alone reach `least`.
     least: int
     most: int
     # Seconds from an order until a new target accepts requests.
     boot_seconds: float
     # Price per second by data centre; 1 if not given.
     prices_by_centre: dict[DataCentreId, float] = {}
-    # Fraction of that price for a revocable target; None disables them.
+    # Revocable price as a fraction of the regular one; None disables the kind.
     revocable_part: float | None = None
 
     def price(self, centre: DataCentreId) -> float:
--- a/packages/yuccarill-core/src/yuccarill/core/scaling/scaling.py
+++ b/packages/yuccarill-core/src/yuccarill/core/scaling/scaling.py
@@ -36,7 +36,7 @@
     order_pause: float = 1.0
     # Time for which a data centre without capacity is skipped.
     unavailable_for: float = 10.0
-    # Time beyond the start of a target after which an order is repeated.
+    # Time after `boot_seconds` until unlisted targets are ordered again.
     missing_after: float = 4.0
 
 
@@ -48,7 +48,7 @@
         self._policy = policy
         # Ordered targets, as far as known to this holder.
         self._counts: Counts = {}
-        # Earliest next order; only places to which this holder sent one.
+        # Time of the earliest next order, for places ordered by this holder.
         self._may_order_at: dict[Place, Instant] = {}
         self._unavailable_until: dict[Place, Instant] = {}
         # When a place began to have fewer targets than ordered.
@@ -110,7 +110,7 @@
                 until = Instant(now + self._policy.unavailable_for)
                 self._unavailable_until[place] = until
                 if order.count <= self._counts.get(place, 0):
-                    # Earlier targets are lost as well and not replaced.
+                    # Unlisted targets are not replaced without capacity.
                     self._counts[place] = self._listed.get(place, 0)
             case OrderEnd.BUSY | OrderEnd.UNKNOWN:
                 pass
@@ -118,9 +118,9 @@
     def _adopt_listed(self, bounds: ScalingBounds, now: Instant) -> None:
         """Raise the ordered counts to the listed ones.
 
-        A place without an order of this holder is raised at once, any other
-        one after the start timeout: a lasting surplus stems from an order
-        without a response or from an earlier holder.
+        A place without an order of this holder is raised at once, others after
+        the start timeout: a lasting surplus stems from an order without a
+        response or from an earlier holder.
         """
         start_timeout = bounds.boot_seconds + self._policy.missing_after
         self._surplus_since = {
@@ -204,7 +204,7 @@
         return {centre for centre, _ in self._counts}
 
     def _clamp(self, bounds: ScalingBounds, place: Place, count: int) -> int:
-        """Return a count within the limits of both kinds together."""
+        """Limit a count to the bounds of its data centre."""
         other_count = sum(
             known
             for other, known in self._counts.items()
--- a/packages/yuccarill-core/src/yuccarill/core/scaling/sizing.py
+++ b/packages/yuccarill-core/src/yuccarill/core/scaling/sizing.py
@@ -26,7 +26,7 @@
     # Fraction of the slots that may be busy on average; leaves headroom for
     # bursts of twice the mean.
     max_busy_fraction: float = 0.5
-    # The same for regular targets alone, if all revocable ones are reclaimed.
+    # Fraction of busy regular slots if all revocable targets are reclaimed.
     max_regular_busy_fraction: float = 0.8
 
 
@@ -108,7 +108,7 @@
 ) -> dict[DataCentreId, int]:
     """Divide targets evenly within the limits, the cheapest centres first.
 
-    A data centre without capacity keeps its minimum; the others take its part.
+    A data centre without capacity keeps its minimum; the others take the rest.
     """
     counts = {centre: limits[0] for centre, limits in limits_by_centre.items()}
     by_price = sorted(counts, key=lambda c: (bounds.price(c), c))
--- a/packages/yuccarill-core/src/yuccarill/core/speeds/book.py
+++ b/packages/yuccarill-core/src/yuccarill/core/speeds/book.py
@@ -38,10 +38,10 @@
 FAULT_SECONDS = 0.7
 # Seconds after which the pace in a fault becomes the lasting pace.
 LASTING_SECONDS = 30.0
-# Time constant of the decay of a fault without measurements, so that its
-# target is used again.
+# Time constant with which a fault expires without measurements; otherwise a
+# recovered target would never be used again.
 UNSEEN_SECONDS = 3.0
-# Fraction by which one more unit of work slows the others, and its variance.
+# Fraction by which each concurrent unit slows a unit, and its variance.
 _INITIAL_SLOPE = 0.01
 _INITIAL_SLOPE_VARIANCE = 0.01**2
 MIN_SLOPE = 0.005
@@ -58,7 +58,7 @@
     start: TargetStart = TargetStart()
     log_pace: float | None = None
     variance: float = _PRIOR
-    # Smoothed deviation from `log_pace` during outliers, and its start.
+    # Smoothed deviation of outliers from `log_pace`; time of the first one.
     shift: float = 0.0
     shifted_at: Instant | None = None
     measured_at: Instant = Instant(-math.inf)
@@ -90,11 +90,11 @@
 class LogPaceBook:
     """Estimate the speed of the targets of one service.
 
-    A scalar Kalman filter on the logarithm of each pace, whose measurements
-    are gated by their normalised innovation, and a second one on the slope
-    that all targets share. Source: Bar-Shalom, Li and Kirubarajan,
+    Applies a scalar Kalman filter to the logarithm of each pace, gated by the
+    normalised innovation of a measurement, and another to the slope that all
+    targets share. Source: Bar-Shalom, Li and Kirubarajan,
     Estimation with Applications to Tracking and Navigation, 2001, sections
-    5.2 and 5.4 (innovations), 11.7 (manoeuvres found by their length).
+    5.2 and 5.4 (innovations), 11.7 (manoeuvres detected by duration).
     """
 
     def __init__(self) -> None:
@@ -117,7 +117,7 @@
     def saw(
         self, target: TargetId, seconds: float, concurrent: int, now: Instant
     ) -> None:
-        """Record the duration of a unit among a number of concurrent ones."""
+        """Record the duration of a unit and its number of concurrent units."""
         speed = self._speeds_by_id.setdefault(target, _Speed())
         if not speed.units:
             speed.window_began_at = now
@@ -157,7 +157,7 @@
     def _track_shift(
         self, speed: _Speed, innovation: float, now: Instant
     ) -> None:
-        """Track a shift of the pace; adopt a lasting one."""
+        """Track outliers; adopt their pace if they last."""
         if speed.shifted_at is None or speed.shift * innovation < 0.0:
             speed.shifted_at = now
             speed.shift = innovation
@@ -165,7 +165,6 @@
         duration = now - speed.shifted_at
         is_fault = speed.shift > 0.0
         if duration > (LASTING_SECONDS if is_fault else FAULT_SECONDS):
-            # The lasting pace has changed.
             assert speed.log_pace is not None
             speed.log_pace += speed.shift
             speed.variance = _PRIOR / 4.0
@@ -186,13 +185,13 @@
 
     @property
     def slope(self) -> float:
-        """Return the fraction by which one more unit slows the others."""
+        """Return the fraction by which each concurrent unit slows a unit."""
         return self._slope
 
     def pace(
         self, target: TargetId, concurrent: int, now: Instant
     ) -> PaceEstimate:
-        """Return the pace of one more unit among concurrent ones."""
+        """Return the pace of a unit that runs with concurrent units."""
         speed = self._speeds_by_id.get(target)
         log_slowdown = math.log1p(self._slope * concurrent)
         if speed is None or speed.log_pace is None:
--- a/packages/yuccarill-core/src/yuccarill/core/speeds/median.py
+++ b/packages/yuccarill-core/src/yuccarill/core/speeds/median.py
@@ -9,7 +9,7 @@
 
 
 def median_low(values: Collection[float]) -> float:
-    """Return the low median of at least one value.
+    """Return the lower of the two middle values, or the middle one.
 
     Replaces `statistics.median_low`, whose import costs memory.
     """
--- a/packages/yuccarill-core/src/yuccarill/core/usage/counts.py
+++ b/packages/yuccarill-core/src/yuccarill/core/usage/counts.py
@@ -69,7 +69,7 @@
     def take(
         self, source: Incarnation, counts_by_window: CountsByWindow
     ) -> bool:
-        """Merge the cumulative counts of a process; return if any is new."""
+        """Merge the counts of a process; return whether any is new."""
         is_new = False
         for window, counts in counts_by_window.items():
             known = self.sources_by_window.setdefault(window, {})
@@ -88,7 +88,7 @@
         return found
 
     def close(self, before: WindowNumber) -> None:
-        """Drop the windows before one."""
+        """Drop the windows before the given one."""
         for window in list(self.sources_by_window):
             if window < before:
                 del self.sources_by_window[window]
--- a/packages/yuccarill-core/src/yuccarill/core/usage/fleet_time.py
+++ b/packages/yuccarill-core/src/yuccarill/core/usage/fleet_time.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-# Maximum difference of two correct clocks; above NTP accuracy, below a jump.
+# Maximum difference of two correct clocks; larger than the error of NTP.
 SKEW_SECONDS = 0.25
 
 
--- a/packages/yuccarill-core/tests/gateway/test_abandoned.py
+++ b/packages/yuccarill-core/tests/gateway/test_abandoned.py
@@ -56,9 +56,9 @@
         self.assertEqual(expected, self.runs.take(T, NOW, now))
 
     def test_memory_is_bounded(self) -> None:
-        for number in range(2 * abandoned.MAX_ABANDONED):
+        for number in range(2 * abandoned.MAX_ABANDONED_RUNS):
             self.runs.note(T, ContentDigest(f'c{number}'), R, True, NOW, NOW)
         self.assertEqual(
-            abandoned.MAX_ABANDONED, len(self.runs.take(T, NOW, NOW))
+            abandoned.MAX_ABANDONED_RUNS, len(self.runs.take(T, NOW, NOW))
         )
         self.assertEqual(0, len(self.runs._failed_by_content))
--- a/packages/yuccarill-core/tests/gateway/test_end_ledger.py
+++ b/packages/yuccarill-core/tests/gateway/test_end_ledger.py
@@ -152,5 +152,5 @@
         )
         self.assertLessEqual(len(self.ledger.targets(X)), end_ledger.MAX_ENDS)
         self.assertLessEqual(
-            len(self.ledger._completed_at), end_ledger.MAX_COMPLETED
+            len(self.ledger._completed_at), end_ledger.MAX_COMPLETED_CONTENTS
         )
--- a/packages/yuccarill-core/tests/gateway/test_spared_targets.py
+++ b/packages/yuccarill-core/tests/gateway/test_spared_targets.py
@@ -1,7 +1,7 @@
 """Test which requests are kept from a service's last live target.
 
 A request crashes or silences several targets of a small service within a
-second. A harmless request that ran with it must not wait longer than 3 s.
+second. A harmless request that ran at these targets is held for at most 3 s.
 """
 
 from __future__ import annotations
@@ -80,13 +80,13 @@
             self.assertFalse(self.are_at_risk('p', targets, 1.1))
 
     @params((True,), (False,))
-    def test_a_harmless_request_waits_for_less(self, has_ended: bool) -> None:
+    def test_a_harmless_request_is_held_briefly(self, has_ended: bool) -> None:
         for number in range(2):
             self.lose(number, 1.0, has_ended, X, P)
         self.assertTrue(self.are_at_risk('p', 3, 1.1))
         self.assertFalse(self.are_at_risk('p', 3, 1.0 + MAX_DELAY))
 
-    def test_the_likeliest_cause_waits_for_longer(self) -> None:
+    def test_the_likeliest_cause_is_held_longer(self) -> None:
         self.lose(0, 1.0, True, X, P)
         self.lose(1, 1.0, True, X)
         self.assertTrue(self.are_at_risk('x', 3, 1.0 + MAX_DELAY))
--- a/packages/yuccarill-core/tests/gateway/test_suspicion.py
+++ b/packages/yuccarill-core/tests/gateway/test_suspicion.py
@@ -24,11 +24,11 @@
         (('x',), {'x': WATCHED}),
         (('x', 'x'), {'x': SUSPECT}),
         (('x', 'x', 'x'), {'x': QUARANTINED}),
-        # Other contents run with it at one or two ends.
+        # Other contents are running at one or two of the ends.
         (('xa', 'xb', 'xc'), {'x': QUARANTINED, 'a': CLEAR, 'c': CLEAR}),
         (('xa', 'xa', 'x'), {'x': QUARANTINED, 'a': CLEAR}),
         (('xa', 'xa'), {'x': SUSPECT, 'a': SUSPECT}),
-        # One that runs with it at each end is as likely the cause.
+        # Two contents at the same ends are equally likely the cause.
         (('xa', 'xa', 'xa'), {'x': SUSPECT, 'a': SUSPECT}),
         (('xa', 'xa', 'xa', 'x'), {'x': QUARANTINED, 'a': CLEAR}),
         (('xa',) * 5, {'x': QUARANTINED, 'a': QUARANTINED}),
@@ -43,7 +43,7 @@
             ('x', 'y', 'x', 'y', 'x', 'y'),
             {'x': QUARANTINED, 'y': QUARANTINED},
         ),
-        # An end that two share counts for one of them, unknown which.
+        # A shared end counts for either of its contents, but not for both.
         (('x', 'xy', 'x', 'y', 'y'), {'x': SUSPECT, 'y': SUSPECT}),
         (('x', 'xy', 'x', 'y', 'y', 'x'), {'x': QUARANTINED, 'y': SUSPECT}),
         # Targets end for another reason while they run various contents.
@@ -64,7 +64,7 @@
         (('x', 'x'), (0, 0), {'x': WATCHED}),
         (('x', 'x', 'x', 'x'), (0, 0, 1, 2), {'x': QUARANTINED}),
         (('x', 'x', 'x'), (0, 1, 2), {'x': QUARANTINED}),
-        # A content at as many incidents is as likely the cause.
+        # Contents at equally many incidents are equally likely the cause.
         (('xa', 'x', 'xa', 'xa'), (0, 0, 1, 2), {'x': SUSPECT, 'a': SUSPECT}),
     )
     def test_ends_of_one_incident_count_once(
--- a/packages/yuccarill-core/tests/scaling/test_scaling.py
+++ b/packages/yuccarill-core/tests/scaling/test_scaling.py
@@ -34,9 +34,9 @@
 class World:
     """Simulate the platform."""
 
-    def __init__(self, each: int = 8) -> None:
+    def __init__(self, count: int = 8) -> None:
         self.now = Instant(100.0)
-        self.listed = {(centre, REGULAR): each for centre in CENTRES}
+        self.listed = {(centre, REGULAR): count for centre in CENTRES}
         self.sent: list[tuple[Instant, plan.TargetOrder]] = []
         self.end = OrderEnd.ACCEPTED
         self.executes_orders = True
--- a/packages/yuccarill-core/tests/speeds/test_book.py
+++ b/packages/yuccarill-core/tests/speeds/test_book.py
@@ -84,7 +84,7 @@
         self.assertIs(SpeedState.FAULTY, book.state(E, Instant(now)))
         found = book.pace(E, 4, Instant(now)).pace
         self.assertAlmostEqual(factor, found / usual, delta=0.2 * factor)
-        # The lasting pace is restored once the fault ends_at.
+        # The lasting pace is restored once the fault ends.
         now = feed(book, now, now + 0.3)
         self.assertIs(SpeedState.USUAL, book.state(E, Instant(now)))
         found = book.pace(E, 4, Instant(now)).pace
@@ -145,7 +145,7 @@
         book = book_module.LogPaceBook()
         book.follow(E, TargetStart(started_at=1))
         now = Instant(feed(book, 0.0, 2.0, 1.6))
-        # Another machine's clock.
+        # The successor has a different clock.
         then = Instant(5000.0)
         successor = book_module.LogPaceBook()
         for record in book.records(now):
--- a/packages/yuccarill-core/tests/usage/test_counts.py
+++ b/packages/yuccarill-core/tests/usage/test_counts.py
@@ -55,13 +55,13 @@
         """
         for seed in range(50):
             draw = random.Random(seed)
-            owns = [counts.OwnCounts() for _ in range(10)]
+            processes = [counts.OwnCounts() for _ in range(10)]
             book = counts.UsageBook()
             in_flight: list = []
             for _ in range(300):
                 number = draw.randrange(10)
-                owns[number].add(W, AccountName(draw.choice('abc')))
-                copied = {W: dict(owns[number].counts_by_window[W])}
+                processes[number].add(W, AccountName(draw.choice('abc')))
+                copied = {W: dict(processes[number].counts_by_window[W])}
                 in_flight.append((Incarnation(f's{number}'), copied))
                 draw.shuffle(in_flight)
                 if draw.random() < 0.5:
@@ -70,7 +70,7 @@
                     successor = counts.UsageBook()
                     successor.merge(book.sources_by_window)
                     book = successor
-            for number, own in enumerate(owns):
+            for number, own in enumerate(processes):
                 if own.counts_by_window:
                     book.take(Incarnation(f's{number}'), own.counts_by_window)
             self.assertEqual(300, sum(book.totals(W).values()))
--- a/packages/yuccarill-core/tests/usage/test_fleet_time.py
+++ b/packages/yuccarill-core/tests/usage/test_fleet_time.py
@@ -21,18 +21,18 @@
         ([7.0, 7.1], None, 7.05),
         ([7.0, 9.0], 7.0, 7.0),
         ([5.0, 7.0], 7.0, 7.0),
-        # Both were corrected.
+        # Both clocks were corrected.
         ([9.0, 9.0], 7.0, 9.0),
-        # One of many is wrong.
+        # One of many clocks is wrong.
         ([7.0, 7.0, 9.0], None, 7.0),
         ([5.0, 7.0, 7.1], 7.0, 7.0),
         # A third of many jump together.
         ([7.0] * 7 + [9.0] * 3, 7.0, 7.0),
         ([5.0] * 3 + [7.0] * 7, None, 7.0),
-        # Half of them jump: the earlier offset decides.
+        # Half of the clocks jump: the earlier offset is kept.
         ([7.0] * 5 + [9.0] * 5, 7.0, 7.0),
         ([5.0] * 5 + [7.0] * 5, 7.0, 7.0),
-        # Some ahead, some behind.
+        # Some clocks are ahead, some behind.
         ([5.0] * 3 + [7.0] * 4 + [9.0] * 3, 7.0, 7.0),
     )
     def test_offset(
