--- a/packages/yuccarill-core/src/yuccarill/core/calls/__init__.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on callers' requests."""
+"""Admit, route and retry callers' requests."""
--- a/packages/yuccarill-core/src/yuccarill/core/calls/admission.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/admission.py
@@ -1,4 +1,4 @@
-"""Admit calls up to a limit and queue the rest, by class and share."""
+"""Admit calls up to a concurrency limit; queue the rest by caller share."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 
 T = TypeVar('T')
 
-_ORDER = (CallerClass.LATENCY, CallerClass.INTERNAL)
+_CLASSES_BY_PRIORITY = (CallerClass.LATENCY, CallerClass.INTERNAL)
 
 
 class AdmissionPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Bound what waits."""
+    """Configure admission and its queue."""
 
+    # Maximum number of queued calls.
     queued: int = 1024
-    # One admission in so many goes to the internal class if it waits, so
-    # that calls which may wait are not starved.
+    # Every n-th admission prefers the internal class, to prevent starvation.
     internal_turn: int = 10
-    # Times the limit up to which the latency class goes on.
+    # Factor on the limit up to which the latency class is admitted.
     headroom: float = 2.0
-    # Seconds that a call with no measured latency is taken to need.
+    # Seconds assumed for a call while no latency is measured.
     latency: float = 0.1
 
 
 class Waiting(msgspec.Struct, Generic[T], eq=False):
-    """Hold one call that waits."""
+    """Describe a call that is offered for admission."""
 
     item: T
     caller: CallerId
@@ -44,14 +44,14 @@
 
 
 class _ClassQueue(Generic[T]):
-    """Take turns between callers by their shares."""
+    """Queue calls of one class with fair queueing by caller share."""
 
     def __init__(self) -> None:
         self._waiting_by_caller: dict[
             CallerId, collections.deque[Waiting[T]]
         ] = {}
-        self._time_by_caller: dict[CallerId, float] = {}
-        self._time = 0.0
+        self._virtual_time_by_caller: dict[CallerId, float] = {}
+        self._virtual_time = 0.0
         self.count = 0
 
     def push(self, waiting: Waiting[T]) -> None:
@@ -59,63 +59,63 @@
         if queue is None:
             queue = collections.deque()
             self._waiting_by_caller[waiting.caller] = queue
-            self._time_by_caller[waiting.caller] = self._time
+            self._virtual_time_by_caller[waiting.caller] = self._virtual_time
         queue.append(waiting)
         self.count += 1
 
     def pop(self) -> Waiting[T] | None:
-        """Return the next call of the caller that got least so far."""
+        """Remove and return the next call of the caller served least."""
         while self._waiting_by_caller:
             caller = min(
                 self._waiting_by_caller,
-                key=lambda c: (self._time_by_caller[c], c),
+                key=lambda c: (self._virtual_time_by_caller[c], c),
             )
             queue = self._waiting_by_caller[caller]
             waiting = queue.popleft()
-            self._time = self._time_by_caller[caller]
+            self._virtual_time = self._virtual_time_by_caller[caller]
             if waiting.is_queued:
-                self._time_by_caller[caller] += 1.0 / waiting.share
+                self._virtual_time_by_caller[caller] += 1.0 / waiting.share
                 self.count -= 1
             if not queue:
-                self._drop(caller)
+                self._remove_caller(caller)
             if waiting.is_queued:
                 return waiting
         return None
 
     def shed(self) -> Waiting[T] | None:
-        """Take the newest call of the caller that waits with most."""
+        """Remove and return the newest call of the caller with most queued."""
         while self._waiting_by_caller:
             caller = max(
                 self._waiting_by_caller,
-                key=lambda c: (self._weight(c), c),
+                key=lambda c: (self._queued_per_share(c), c),
             )
             queue = self._waiting_by_caller[caller]
             waiting = queue.pop()
             if not queue:
-                self._drop(caller)
+                self._remove_caller(caller)
             if waiting.is_queued:
                 self.count -= 1
                 return waiting
         return None
 
-    def _weight(self, caller: CallerId) -> float:
+    def _queued_per_share(self, caller: CallerId) -> float:
         queue = self._waiting_by_caller[caller]
         return len(queue) / queue[0].share
 
-    def _drop(self, caller: CallerId) -> None:
+    def _remove_caller(self, caller: CallerId) -> None:
         del self._waiting_by_caller[caller]
-        del self._time_by_caller[caller]
+        del self._virtual_time_by_caller[caller]
 
 
 class Admission(Generic[T]):
-    """Decide which calls go on, wait or are refused."""
+    """Decide which calls are admitted, queued or refused."""
 
     def __init__(self, policy: AdmissionPolicy) -> None:
         self._policy = policy
-        self._queues = {c: _ClassQueue[T]() for c in _ORDER}
-        self._turns = itertools.count(1)
-        self._gap = 0.0
-        self._admitted_at: Instant | None = None
+        self._queues = {c: _ClassQueue[T]() for c in _CLASSES_BY_PRIORITY}
+        self._admission_numbers = itertools.count(1)
+        self._mean_interval = 0.0
+        self._last_admitted_at: Instant | None = None
         self.in_flight = 0
 
     @property
@@ -129,22 +129,22 @@
         latency: float,
         now: Instant,
     ) -> list[Waiting[T]]:
-        """Queue a call; return calls that are refused instead.
+        """Queue a call and return the calls refused because of it.
 
-        The refused one may be the call itself.
+        The refused call may be the new one itself.
         """
         latency = latency or self._policy.latency
         if self.in_flight >= limit * self._headroom(waiting.caller_class):
             wait = self.expected_wait(waiting.caller_class)
             if now + wait + latency > waiting.deadline:
-                # It would be late after waiting and after running. Told
-                # now, its caller still has the time to come back.
+                # The call would miss its deadline. An early refusal leaves
+                # its caller time to retry.
                 return [waiting]
         waiting.is_queued = True
         self._queues[waiting.caller_class].push(waiting)
         if self.queued <= self._policy.queued:
             return []
-        for caller_class in reversed(_ORDER):
+        for caller_class in reversed(_CLASSES_BY_PRIORITY):
             shed = self._queues[caller_class].shed()
             if shed is not None:
                 shed.is_queued = False
@@ -154,68 +154,68 @@
     def admit(
         self, limit: float, latency: float, now: Instant
     ) -> tuple[list[Waiting[T]], list[Waiting[T]]]:
-        """Return the calls that go on now, and those given up."""
+        """Return the calls to start now and those given up as too late."""
         latency = latency or self._policy.latency
         admitted: list[Waiting[T]] = []
         given_up: list[Waiting[T]] = []
-        while (waiting := self._next(limit)) is not None:
+        while (waiting := self._pop_next(limit)) is not None:
             waiting.is_queued = False
             if now + latency > waiting.deadline:
                 given_up.append(waiting)
                 continue
             self.in_flight += 1
             admitted.append(waiting)
-            self._note_gap(now)
+            self._record_admission(now)
         return admitted, given_up
 
     def finish(self) -> None:
-        """Free the place of an admitted call."""
+        """Release the slot of an admitted call."""
         self.in_flight -= 1
 
     def withdraw(self, waiting: Waiting[T]) -> None:
-        """Take back a call that no longer waits."""
+        """Remove a call from the queue if it is still queued."""
         if waiting.is_queued:
             waiting.is_queued = False
             self._queues[waiting.caller_class].count -= 1
 
     def expected_wait(self, caller_class: CallerClass) -> float:
-        """Return the seconds that a new call of a class would wait."""
+        """Return the seconds that a new call of a class would be queued."""
         ahead = self._queues[CallerClass.LATENCY].count
-        gap = self._gap
+        interval = self._mean_interval
         if caller_class is CallerClass.INTERNAL:
             ahead += self._queues[CallerClass.INTERNAL].count
         else:
-            gap *= 1.0 + 1.0 / self._policy.internal_turn
-        return ahead * gap
+            interval *= 1.0 + 1.0 / self._policy.internal_turn
+        return ahead * interval
 
     def _headroom(self, caller_class: CallerClass) -> float:
-        # An instance whose limit came out low by chance would let riders
-        # wait while others send calls that may wait. What its latency
-        # class takes beyond the limit shows up at the targets, and all
-        # instances then send less of the internal class.
+        # An instance with too low a limit would queue latency calls while
+        # other instances run internal ones. Latency calls above the limit
+        # raise the load that targets report, and all instances then admit
+        # fewer internal calls.
         if caller_class is CallerClass.LATENCY:
             return self._policy.headroom
         return 1.0
 
-    def _next(self, limit: float) -> Waiting[T] | None:
-        latency = self._queues[CallerClass.LATENCY]
+    def _pop_next(self, limit: float) -> Waiting[T] | None:
+        latency_queue = self._queues[CallerClass.LATENCY]
         if self.in_flight >= limit:
             if self.in_flight < limit * self._policy.headroom:
-                return latency.pop()
+                return latency_queue.pop()
             return None
-        internal = self._queues[CallerClass.INTERNAL]
-        if next(self._turns) % self._policy.internal_turn == 0:
-            return internal.pop() or latency.pop()
-        return latency.pop() or internal.pop()
+        internal_queue = self._queues[CallerClass.INTERNAL]
+        if next(self._admission_numbers) % self._policy.internal_turn == 0:
+            return internal_queue.pop() or latency_queue.pop()
+        return latency_queue.pop() or internal_queue.pop()
 
-    def _note_gap(self, now: Instant) -> None:
-        """Measure the seconds between admissions."""
-        if self._admitted_at is not None and self.queued:
-            gap = now - self._admitted_at
-            self._gap += 0.05 * (gap - self._gap)
-        self._admitted_at = now
+    def _record_admission(self, now: Instant) -> None:
+        """Update the average of seconds between admissions."""
+        if self._last_admitted_at is not None and self.queued:
+            interval = now - self._last_admitted_at
+            self._mean_interval += 0.05 * (interval - self._mean_interval)
+        self._last_admitted_at = now
 
 
 def retry_after(wait: float) -> float:
-    """Return when a refused caller had best come back, in seconds."""
+    """Return the seconds after which a refused caller should retry."""
     return float(min(max(math.ceil(wait), 1), 30))
--- a/packages/yuccarill-core/src/yuccarill/core/calls/attempt.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/attempt.py
@@ -1,4 +1,4 @@
-"""The steps of one attempt and what may be said when it fails."""
+"""Define the steps of one attempt."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Step(enum.IntEnum):
-    """Say how far an attempt got, in the order it happens."""
+    """List the steps of an attempt in the order they happen."""
 
     ACCEPTED = 1
     QUEUED = 2
@@ -19,7 +19,7 @@
 
 
 def may_have_run(step: Step) -> bool:
-    """Tell whether a byte can have reached the target."""
-    # A connection that is open may have taken bytes that its target acts
-    # on, whatever is known of them here.
+    """Return whether a byte can have reached the target."""
+    # The target may act on bytes written to an open connection, even if the
+    # write fails here.
     return step >= Step.SENDING
--- a/packages/yuccarill-core/src/yuccarill/core/calls/budget.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/budget.py
@@ -1,4 +1,4 @@
-"""Keep extra attempts to a part of the first ones."""
+"""Limit extra attempts to a fraction of the first attempts."""
 
 from __future__ import annotations
 
@@ -6,34 +6,34 @@
 
 
 class BudgetPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Set how many extra attempts there may be."""
+    """Configure a budget of extra attempts."""
 
-    # Extra attempts for each first one.
+    # Extra attempts per first attempt.
     ratio: float = 0.1
-    # Extra attempts saved up at most.
+    # Maximum number of saved extra attempts.
     reserve: float = 10.0
 
 
 class AttemptBudget:
-    """Save up for extra attempts with each first one."""
+    """Grant extra attempts in proportion to first attempts."""
 
     def __init__(self, policy: BudgetPolicy) -> None:
         self._policy = policy
         self._saved = policy.reserve
 
-    def deposit(self, part: float = 1.0) -> None:
-        """Count a first attempt, of which only a part is saved up."""
-        saved = self._saved + part * self._policy.ratio
+    def deposit(self, factor: float = 1.0) -> None:
+        """Credit a first attempt, scaled by a factor."""
+        saved = self._saved + factor * self._policy.ratio
         self._saved = min(saved, self._policy.reserve)
 
-    def cut(self, saved: float) -> None:
-        """Forget what was saved up beyond a number of attempts."""
-        self._saved = min(self._saved, saved)
+    def cap(self, maximum: float) -> None:
+        """Reduce the saved extra attempts to a maximum."""
+        self._saved = min(self._saved, maximum)
 
     def withdraw(self) -> bool:
-        """Tell whether an extra attempt may be made, and count it."""
-        # When all targets fail, every call would be sent three times, and
-        # targets that come back meet three times their load.
+        """Take an extra attempt if one is left; return whether it was."""
+        # Without a budget, retries multiply the load of failing targets and
+        # prevent their recovery.
         if self._saved < 1.0:
             return False
         self._saved -= 1.0
--- a/packages/yuccarill-core/src/yuccarill/core/calls/dispatcher.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/dispatcher.py
@@ -1,4 +1,4 @@
-"""Decide on the calls of one service or model at one instance."""
+"""Dispatch the calls of one service or model at one instance."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Policy(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the policies of every part."""
+    """Configure a dispatcher."""
 
     routing: pool.RoutingPolicy = pool.RoutingPolicy()
     admission: admission.AdmissionPolicy = admission.AdmissionPolicy()
@@ -37,7 +37,7 @@
 
 
 class Dispatcher(Generic[T]):
-    """Tie admission, routing and extra attempts together."""
+    """Combine admission, routing and extra attempts."""
 
     def __init__(self, policy: Policy, generator: random.Random) -> None:
         self.policy = policy
@@ -46,7 +46,7 @@
         self.retries = budget.AttemptBudget(policy.retries)
         self.hedges = budget.AttemptBudget(policy.hedges)
         self._admission = admission.Admission[T](policy.admission)
-        self._slow = hedging.HedgeTimer(policy.hedging)
+        self._hedge_timer = hedging.HedgeTimer(policy.hedging)
 
     @property
     def in_flight(self) -> int:
@@ -58,13 +58,13 @@
 
     @property
     def expected(self) -> float:
-        """Return the seconds that a call needs, 0 if it is not known."""
+        """Return the mean latency in seconds, 0 if unknown."""
         return self.pool.latency
 
     def offer(
         self, waiting: admission.Waiting[T], now: Instant
     ) -> list[admission.Waiting[T]]:
-        """Take a call; return the calls that are refused for it."""
+        """Queue a call and return the calls refused because of it."""
         return self._admission.offer(
             waiting, self.limit.value, self.expected, now
         )
@@ -72,7 +72,7 @@
     def admit(
         self, now: Instant
     ) -> tuple[list[admission.Waiting[T]], list[admission.Waiting[T]]]:
-        """Return the calls that go on now, and those given up."""
+        """Return the calls to start now and those given up as too late."""
         admitted, given_up = self._admission.admit(
             self.limit.value, self.expected, now
         )
@@ -82,24 +82,24 @@
         return admitted, given_up
 
     def withdraw(self, waiting: admission.Waiting[T]) -> None:
-        """Take back a call that no longer waits."""
+        """Remove a call from the queue if it is still queued."""
         self._admission.withdraw(waiting)
 
     def finish(self) -> None:
-        """Free the place of an admitted call."""
+        """Release the slot of an admitted call."""
         self._admission.finish()
 
     def retry_after(self, waiting: admission.Waiting[T]) -> float:
-        """Return when a refused caller had best come back, in seconds."""
+        """Return the seconds after which a refused caller should retry."""
         wait = self._admission.expected_wait(waiting.caller_class)
         return admission.retry_after(wait)
 
     def hedge_after(self) -> float | None:
-        """Return the seconds after which an attempt counts as slow."""
+        """Return the seconds after which an attempt is hedged, if at all."""
         if self._admission.queued:
-            # Others wait for the place that a second attempt would take.
+            # A hedge would take the slot of a queued call.
             return None
-        return self._slow.seconds()
+        return self._hedge_timer.delay()
 
     def answer(
         self,
@@ -108,10 +108,10 @@
         report: LoadReport | None,
         now: Instant,
     ) -> None:
-        """Learn from an attempt that was answered."""
+        """Record an answered attempt."""
         self.pool.answer(target, seconds, report, now)
-        self._slow.answer(seconds)
-        self.limit.answer(seconds, report, self.in_flight, now)
+        self._hedge_timer.record_latency(seconds)
+        self.limit.record_answer(seconds, report, self.in_flight, now)
 
     def fail(
         self,
@@ -120,9 +120,9 @@
         seconds: float,
         now: Instant,
     ) -> None:
-        """Learn from an attempt that failed."""
+        """Record a failed attempt."""
         self.pool.fail(target, failure, now)
         if failure is pool.Failure.TIMED_OUT:
-            # Only answers would be counted otherwise, and the limit would
+            # Without timeouts, the limit would see only fast answers and
             # grow while every slow call is given up.
-            self.limit.answer(seconds, None, self.in_flight, now)
+            self.limit.record_answer(seconds, None, self.in_flight, now)
--- a/packages/yuccarill-core/src/yuccarill/core/calls/hedging.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/hedging.py
@@ -1,4 +1,4 @@
-"""Decide when a slow repeatable call is sent a second time."""
+"""Decide when a slow repeatable call is hedged."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class HedgePolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Set after which latency a call is hedged."""
+    """Configure after which latency a call is hedged."""
 
     percentile: float = 0.95
     samples: int = 256
@@ -16,25 +16,24 @@
 
 
 class HedgeTimer:
-    """Measure the latency after which a call counts as slow."""
+    """Compute the hedge delay as a percentile of recent latencies."""
 
     def __init__(self, policy: HedgePolicy) -> None:
         self._policy = policy
-        self._recent: collections.deque[float] = collections.deque(
+        self._recent_latencies: collections.deque[float] = collections.deque(
             maxlen=policy.samples
         )
-        self._seconds: float | None = None
-        self._until_next = policy.min_samples
-
-    def answer(self, seconds: float) -> None:
-        """Learn from an attempt's latency."""
-        self._recent.append(seconds)
-        self._until_next -= 1
-        if self._until_next <= 0:
-            self._until_next = self._policy.min_samples
-            place = int(self._policy.percentile * len(self._recent))
-            self._seconds = sorted(self._recent)[place]
-
-    def seconds(self) -> float | None:
-        """Return the latency of a slow call, or none if not measured."""
-        return self._seconds
+        self._delay: float | None = None
+        self._samples_until_update = policy.min_samples
+
+    def record_latency(self, seconds: float) -> None:
+        self._recent_latencies.append(seconds)
+        self._samples_until_update -= 1
+        if self._samples_until_update <= 0:
+            self._samples_until_update = self._policy.min_samples
+            index = int(self._policy.percentile * len(self._recent_latencies))
+            self._delay = sorted(self._recent_latencies)[index]
+
+    def delay(self) -> float | None:
+        """Return the hedge delay in seconds, None with too few samples."""
+        return self._delay
--- a/packages/yuccarill-core/src/yuccarill/core/calls/ledger.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/ledger.py
@@ -1,4 +1,4 @@
-"""Remember non-repeatable requests so that each starts at most once."""
+"""Record non-repeatable requests so that each starts at most once."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Stage(enum.Enum):
-    """Say how far a remembered request got."""
+    """List the states of a recorded request."""
 
     RUNNING = 'running'
     ANSWERED = 'answered'
@@ -29,7 +29,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """Hold a whole answer of a target."""
+    """Store a complete answer of a target."""
 
     status: int
     content_type: str
@@ -37,63 +37,63 @@
 
 
 class Record(msgspec.Struct):
-    """Hold what is known of one request."""
+    """Store the state of one request."""
 
     digest: int
     stage: Stage = Stage.RUNNING
-    # Dropped before its record where answers take too much memory.
+    # Dropped before the record if answers exceed their memory limit.
     answer: Answer | None = None
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """Bound what a ledger holds."""
+    """Limit what a ledger stores."""
 
     records: int = 65_536
     answer_bytes: int = 8 * 1024 * 1024
-    # Seconds for which records outlive their ticket.
+    # Seconds for which records are kept after their ticket expires.
     grace: float = 300.0
-    # Seconds from a ticket's issue to its expiry, at most.
+    # Maximum seconds from a ticket's issue to its expiry.
     ticket_lifetime: float = 60.0
 
 
-class _Page(msgspec.Struct):
+class _TicketEntry(msgspec.Struct):
     expires_at: WallTime
     records_by_id: dict[RequestId, Record] = {}
 
 
 class Ledger:
-    """Decide whether a request may start here."""
+    """Decide whether a non-repeatable request may start here."""
 
     def __init__(self, limits: Limits = Limits()) -> None:
         self._limits = limits
-        self._pages_by_ticket: dict[Ticket, _Page] = {}
+        self._entries_by_ticket: dict[Ticket, _TicketEntry] = {}
         self._expiries: list[tuple[WallTime, int, Ticket]] = []
         self._answered: collections.deque[Record] = collections.deque()
         self._answer_bytes = 0
-        self._count = 0
-        self._issued = 0
-        self._closed_through = 0
+        self._record_count = 0
+        self._last_serial = 0
+        self._last_closed_serial = 0
 
     def __len__(self) -> int:
-        return self._count
+        return self._record_count
 
     def issue(
         self, home: InstanceId, incarnation: Incarnation, now: WallTime
     ) -> Ticket:
-        """Return a new ticket that callers will use."""
-        self._issued += 1
+        """Return a new ticket for callers' requests."""
+        self._last_serial += 1
         expires_at = math.floor(now + self._limits.ticket_lifetime)
         return Ticket(
             home=home,
             incarnation=incarnation,
-            serial=self._issued,
+            serial=self._last_serial,
             expires_at=WallTime(expires_at),
         )
 
     def find(self, ticket: Ticket, request_id: RequestId) -> Record | None:
-        """Return the record of an earlier try."""
-        page = self._pages_by_ticket.get(ticket)
-        return page.records_by_id.get(request_id) if page else None
+        """Return the record of an earlier submission, or None."""
+        entry = self._entries_by_ticket.get(ticket)
+        return entry.records_by_id.get(request_id) if entry else None
 
     def begin(
         self,
@@ -102,21 +102,20 @@
         digest: int,
         now: WallTime,
     ) -> Record | None:
-        """Return the record of an earlier try, or none and start one.
+        """Return the record of an earlier submission, or start one.
 
         Raises TicketError, TicketExpired, Overloaded.
         """
         self._expire(now)
         record = self.find(ticket, request_id)
         if record is None:
-            self._start(ticket, request_id, digest, now)
+            self._start_record(ticket, request_id, digest, now)
             return None
         if record.digest != digest:
-            # The first request's answer under this number would reach a
-            # caller that asked for something else.
+            # The caller would get the answer of a different request.
             raise errors.TicketError(
-                'The ticket has another request under this number; number '
-                'each request anew.'
+                'The ticket already has another request with this ID; use '
+                'a new ID for each request.'
             )
         return record
 
@@ -128,8 +127,8 @@
         answer: Answer | None = None,
     ) -> None:
         """Record how a started request ended."""
-        page = self._pages_by_ticket[ticket]
-        record = page.records_by_id[request_id]
+        entry = self._entries_by_ticket[ticket]
+        record = entry.records_by_id[request_id]
         record.stage = stage
         if answer is not None:
             record.answer = answer
@@ -137,7 +136,7 @@
             self._answer_bytes += len(answer.body)
             self._drop_answers()
 
-    def _start(
+    def _start_record(
         self,
         ticket: Ticket,
         request_id: RequestId,
@@ -145,57 +144,56 @@
         now: WallTime,
     ) -> None:
         if now >= ticket.expires_at:
-            # Its records may be gone, and one of them may have been this
-            # request's.
+            # The record of an earlier submission may have been dropped.
             raise errors.TicketExpired(
-                'The ticket has expired and an earlier try may have run; '
-                'ask for addresses to get another for new requests.'
+                'The ticket has expired and an earlier attempt may have run; '
+                'request addresses to get another for new requests.'
             )
         if (
-            ticket.serial > self._issued
+            ticket.serial > self._last_serial
             or ticket.expires_at > now + self._limits.ticket_lifetime
         ):
-            # A made-up expiry would keep records for ever.
+            # A forged expiry would keep records indefinitely.
             raise errors.TicketError(
-                'This instance did not issue the ticket; ask for addresses.'
+                'This instance did not issue the ticket; request addresses.'
             )
-        if self._count >= self._limits.records:
-            # A refusal must stay true for copies of the request still on
-            # their way, and there is no room to remember it. No request
-            # under the tickets issued so far will start any more.
-            self._closed_through = self._issued
-        if ticket.serial <= self._closed_through:
+        if self._record_count >= self._limits.records:
+            # A delayed copy of a refused request must not start later, and
+            # a full ledger cannot record the refusal, so no new request
+            # starts under the tickets issued so far.
+            self._last_closed_serial = self._last_serial
+        if ticket.serial <= self._last_closed_serial:
             raise errors.Overloaded(
-                'Too many requests are remembered here; ask for addresses '
-                'to get another ticket.',
+                'This instance has too many recorded requests; request '
+                'addresses to get another ticket.',
                 retry_after=FULL_RETRY_SECONDS,
             )
-        # Recorded before the first byte is sent: a repeat that arrives
-        # while the first try is on its way would run the charge again.
-        self._page(ticket).records_by_id[request_id] = Record(digest)
-        self._count += 1
-
-    def _page(self, ticket: Ticket) -> _Page:
-        page = self._pages_by_ticket.get(ticket)
-        if page is None:
-            page = _Page(ticket.expires_at)
-            self._pages_by_ticket[ticket] = page
-            entry = (ticket.expires_at, ticket.serial, ticket)
-            heapq.heappush(self._expiries, entry)
-        return page
+        # Recorded before the first byte is sent: otherwise a repeat that
+        # arrives during the first submission would run the request again.
+        self._get_entry(ticket).records_by_id[request_id] = Record(digest)
+        self._record_count += 1
+
+    def _get_entry(self, ticket: Ticket) -> _TicketEntry:
+        entry = self._entries_by_ticket.get(ticket)
+        if entry is None:
+            entry = _TicketEntry(ticket.expires_at)
+            self._entries_by_ticket[ticket] = entry
+            expiry = (ticket.expires_at, ticket.serial, ticket)
+            heapq.heappush(self._expiries, expiry)
+        return entry
 
     def _expire(self, now: WallTime) -> None:
         while self._expiries:
             expires_at, _, ticket = self._expiries[0]
             if now < expires_at + self._limits.grace:
                 break
-            page = self._pages_by_ticket[ticket]
-            records = page.records_by_id.values()
+            entry = self._entries_by_ticket[ticket]
+            records = entry.records_by_id.values()
             if any(r.stage is Stage.RUNNING for r in records):
                 break
             heapq.heappop(self._expiries)
-            del self._pages_by_ticket[ticket]
-            self._count -= len(records)
+            del self._entries_by_ticket[ticket]
+            self._record_count -= len(records)
             for record in records:
                 self._drop_answer(record)
         while self._answered and self._answered[0].answer is None:
--- a/packages/yuccarill-core/src/yuccarill/core/calls/load.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/load.py
@@ -1,4 +1,4 @@
-"""Estimate a target's load from reports that lag."""
+"""Estimate a target's load from delayed reports."""
 
 from __future__ import annotations
 
@@ -8,14 +8,13 @@
 
 from yuccarill.core.ids import Instant
 
-# Seconds after which half of what a report says of others' calls is taken
-# to have changed.
+# Seconds in which the weight of a load report halves.
 HALF_LIFE = 2.0
 HEADER = 'Yuccarill-Load'
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """Hold what a target says of itself."""
+    """Store the load that a target reports."""
 
     in_flight: int
     queued: int
@@ -26,7 +25,7 @@
 
 
 def parse(text: str) -> LoadReport | None:
-    """Read a report as replies carry it, or none if it is not valid."""
+    """Parse the header of a load report; return None if invalid."""
     in_flight, _, queued = text.partition(',')
     if not (in_flight.isdecimal() and queued.isdecimal()):
         return None
@@ -34,29 +33,29 @@
 
 
 class TargetLoad:
-    """Track the calls that one target has."""
+    """Track the calls of this and other instances at one target."""
 
     def __init__(self) -> None:
         self.own = 0
         self._others = 0.0
         self._reported_at = Instant(-math.inf)
 
-    def report(self, report: LoadReport, now: Instant) -> float:
-        """Take a report, which counts this instance's calls too.
+    def record_report(self, report: LoadReport, now: Instant) -> float:
+        """Record a report and return the number of other instances' calls.
 
-        Returns the calls of other instances.
+        The report includes this instance's calls.
         """
         self._others = float(max(0, report.total - self.own))
         self._reported_at = now
         return self._others
 
-    def estimate(self, now: Instant, usual: float = 0.0) -> float:
-        """Return the calls that the target probably has.
+    def estimate(self, now: Instant, mean_others: float = 0.0) -> float:
+        """Return the estimated number of calls at the target.
 
-        `usual` is what other instances usually have at a target.
+        `mean_others` is the mean number of other instances' calls at a target.
         """
-        # Own calls are known at once. Without them all instances would
-        # send to the target that last said it was idle, until it says
-        # otherwise. An old report says no more than the usual.
-        part: float = 0.5 ** ((now - self._reported_at) / HALF_LIFE)
-        return self.own + part * self._others + (1.0 - part) * usual
+        # Without counting its calls, every instance would send to the target
+        # that last reported itself idle until the next report. The estimate
+        # decays from the last report to the mean.
+        weight: float = 0.5 ** ((now - self._reported_at) / HALF_LIFE)
+        return self.own + weight * self._others + (1.0 - weight) * mean_others
--- a/packages/yuccarill-core/src/yuccarill/core/calls/member.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/member.py
@@ -1,4 +1,4 @@
-"""What is known of one target that calls may be sent to."""
+"""Track one target of a pool."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import TargetId
 
-_LATENCY_PART = 0.2
+_LATENCY_SMOOTHING = 0.2
 _MAX_SLOWNESS = 20.0
 
 
 class Member:
-    """Hold one target's load, latency and failures."""
+    """Track one target's load, latency and failures."""
 
     __slots__ = (
         'ejections',
@@ -38,23 +38,23 @@
         self.group: list[Member] | None = None
         self.position = 0
 
-    def cost(self, now: Instant, usual: float, latency: float) -> float:
-        """Return what one more call costs here, in calls.
+    def cost(self, now: Instant, mean_others: float, latency: float) -> float:
+        """Return the cost of one more call at the target, in calls.
 
-        `usual` and `latency` are those of all targets.
+        `mean_others` and `latency` are means over all targets.
         """
         slowness = 1.0
         if self.latency and latency:
-            # A target that once had a short call is no better for it, and
-            # would draw calls until its next answer.
+            # A low latency earns no bonus: one short call would attract
+            # calls until the next answer.
             slowness = max(slowness, self.latency / latency)
             slowness = min(slowness, _MAX_SLOWNESS)
-        load = self.load.estimate(now, usual)
+        load = self.load.estimate(now, mean_others)
         return (load + 1.0) * slowness + self.penalty
 
 
-def average(known: float, value: float) -> float:
-    """Return an average that follows its last values."""
-    if not known:
+def update_average(average: float, value: float) -> float:
+    """Return the exponential moving average after a new value."""
+    if not average:
         return value
-    return known + _LATENCY_PART * (value - known)
+    return average + _LATENCY_SMOOTHING * (value - average)
--- a/packages/yuccarill-core/src/yuccarill/core/calls/paths.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/paths.py
@@ -1,4 +1,4 @@
-"""Tell which paths of a service run at most once."""
+"""Check request paths and tell which may run more than once."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
 
 
 def check(path: str) -> str:
-    """Return a path that every target reads in one way.
+    """Return a path that all targets interpret alike.
 
     Raises RequestError.
     """
-    # A target may resolve a/../charges to charges, which is not the path
-    # that was looked up here: a charge would pass for repeatable.
+    # A target may resolve a/../charges to charges, so that a non-repeatable
+    # request would pass for repeatable.
     parts = path.split('/')
     if any(part in _DOTS for part in parts[:-1]) or parts[-1] in _DOTS[1:]:
         raise errors.RequestError(
-            'The path has an empty part or dots; write it out.'
+            'The path has an empty or dot segment; send it normalized.'
         )
     return path
 
 
 def is_repeatable(path: str, not_repeatable: Iterable[str]) -> bool:
-    """Tell whether a call of a path may run more than once."""
-    parts = _parts(path)
-    for place in not_repeatable:
-        prefix = _parts(place)
+    """Return whether a call of a path may run more than once."""
+    parts = _split(path)
+    for listed_path in not_repeatable:
+        prefix = _split(listed_path)
         if parts[: len(prefix)] == prefix:
             return False
     return True
 
 
-def _parts(path: str) -> list[str]:
+def _split(path: str) -> list[str]:
     return path.strip('/').split('/')
--- a/packages/yuccarill-core/src/yuccarill/core/calls/pool.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/pool.py
@@ -1,4 +1,4 @@
-"""Choose targets of one service or model, at a cost that does not grow."""
+"""Choose targets at a cost that does not grow with their number."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Failure(enum.Enum):
-    """Say how a target failed an attempt."""
+    """List the ways in which a target fails an attempt."""
 
     NOT_CONNECTED = 'not connected'
     CUT = 'cut'
@@ -35,26 +35,26 @@
 
 
 class RoutingPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Set how targets are chosen and set aside."""
+    """Configure how targets are chosen and ejected."""
 
-    # Calls that a target elsewhere must have fewer to be chosen.
+    # Cost of a target in another data centre, in calls.
     far_penalty: float = 1.5
-    # The part of the targets that is never ejected.
+    # Fraction of the targets that is never ejected.
     floor: float = 0.5
-    # Seconds of the first ejection; each further one in a row doubles it.
+    # Seconds of the first ejection, doubled by each consecutive one.
     ejection: float = 1.0
     max_ejection: float = 30.0
-    # Seconds over which a new or returned target comes to its full share.
+    # Seconds in which a new or returned target ramps up to its full share.
     slow_start: float = 10.0
     slow_start_penalty: float = 2.0
-    # Calls that a target with a cached prefix may have more.
+    # Cost reduction of a target with a cached prefix, in calls.
     prefix_bonus: float = 2.0
-    # Calls that a target with an open, idle connection may have more. Less
-    # than one, so that none waits behind another for its sake.
+    # Cost reduction of a target with an open, idle connection, in calls; less
+    # than 1, so that no call queues for the sake of a connection.
     open_bonus: float = 0.5
 
 
-# A timeout alone may be one long call; a second one in a row is not.
+# One timeout may be a long call, so only consecutive ones eject a target.
 _WEIGHT_BY_FAILURE = {
     Failure.NOT_CONNECTED: 2,
     Failure.CUT: 2,
@@ -62,16 +62,16 @@
     Failure.REFUSED: 1,
 }
 _EJECTION_WEIGHT = 2
-_SAMPLES = 2
-_REMEMBERED = 64
-# Light targets that are kept for urgent calls, and that one looks at.
-_RESERVED = 4
-_URGENT_LOOKS = 8
-_LOAD_PART = 0.02
+_SAMPLE_SIZE = 2
+_MAX_LIGHTLY_LOADED = 64
+# Lightly loaded targets reserved for urgent calls, and considered by each.
+_RESERVED_FOR_URGENT = 4
+_URGENT_CANDIDATES = 8
+_LOAD_SMOOTHING = 0.02
 
 
 class Pool:
-    """Hold the targets that can answer the same calls."""
+    """Track and choose among the targets of one service or model."""
 
     def __init__(
         self, policy: RoutingPolicy, generator: random.Random
@@ -81,26 +81,26 @@
         self._members_by_id: dict[TargetId, Member] = {}
         self._near: list[Member] = []
         self._far: list[Member] = []
-        self._returns: list[tuple[Instant, TargetId]] = []
-        self._light: collections.deque[Member] = collections.deque(
-            maxlen=_REMEMBERED
+        self._ejection_ends: list[tuple[Instant, TargetId]] = []
+        self._lightly_loaded: collections.deque[Member] = collections.deque(
+            maxlen=_MAX_LIGHTLY_LOADED
         )
         self._latency = 0.0
         self._ring = prefixes.PrefixRing()
-        # Calls that other instances usually have at a target.
-        self._usual = 0.0
+        # Mean number of other instances' calls at a target.
+        self._mean_others = 0.0
 
     def __len__(self) -> int:
         return len(self._members_by_id)
 
     @property
     def usable(self) -> int:
-        """Count the targets that are not ejected."""
+        """Return the number of targets that are not ejected."""
         return len(self._near) + len(self._far)
 
     @property
     def latency(self) -> float:
-        """Return the usual latency in seconds, 0 if it is not known."""
+        """Return the mean latency in seconds, 0 if unknown."""
         return self._latency
 
     def update(
@@ -109,12 +109,10 @@
         here: DataCentreId,
         now: Instant,
     ) -> None:
-        """Take the targets of a new configuration."""
+        """Apply the targets of a new configuration."""
         is_first = not self._members_by_id
         for target in self._members_by_id.keys() - centres_by_id.keys():
-            # Taken out of the lists that choices are made from: it gets
-            # no new work from now on.
-            self._take_out(self._members_by_id.pop(target))
+            self._remove_from_group(self._members_by_id.pop(target))
         for target, centre in centres_by_id.items():
             if target in self._members_by_id:
                 continue
@@ -124,15 +122,15 @@
             self._members_by_id[target] = member
             if not is_first:
                 member.started_at = now
-            self._put_in(member)
+            self._add_to_group(member)
         near = [m.id for m in self._near]
         self._ring.update(near or list(self._members_by_id))
 
     def forget(self, target: TargetId) -> None:
-        """Forget a target, so that it is new at the next update."""
+        """Remove a target, so that the next update adds it as new."""
         member = self._members_by_id.pop(target, None)
         if member is not None:
-            self._take_out(member)
+            self._remove_from_group(member)
 
     def choose(
         self,
@@ -142,23 +140,23 @@
         prefix: str | None = None,
         connected: Collection[TargetId] = (),
     ) -> TargetId | None:
-        """Return a target with probably little load, or none.
+        """Return a target with a low estimated cost, or None.
 
-        A prefix is what engines may have cached of a prompt; connected are
-        those to which a connection is open and idle.
+        `prefix` is the start of a prompt that engines may have cached;
+        `connected` are the targets with an open, idle connection.
         """
         self._return_ejected(now)
         best: Member | None = None
         best_cost = math.inf
-        likely = self._ring.find(prefix) if prefix else None
-        if likely in tried:
-            likely = None
-        candidates = self._candidates(tried, is_urgent, likely)
-        candidates += self._connected(connected, tried)
+        prefix_target = self._ring.find(prefix) if prefix else None
+        if prefix_target in tried:
+            prefix_target = None
+        candidates = self._candidates(tried, is_urgent, prefix_target)
+        candidates += self._connected_members(connected, tried)
         for member in candidates:
-            cost = member.cost(now, self._usual, self._latency)
-            cost += self._slow_start(member, now)
-            if member.id == likely:
+            cost = member.cost(now, self._mean_others, self._latency)
+            cost += self._slow_start_cost(member, now)
+            if member.id == prefix_target:
                 cost -= self._policy.prefix_bonus
             if member.id in connected:
                 cost -= self._policy.open_bonus
@@ -167,17 +165,19 @@
         return best.id if best is not None else None
 
     def estimate(self, target: TargetId, now: Instant) -> float:
-        """Return the calls that a target probably has."""
-        return self._members_by_id[target].load.estimate(now, self._usual)
+        """Return the estimated number of calls at a target."""
+        return self._members_by_id[target].load.estimate(
+            now, self._mean_others
+        )
 
     def send(self, target: TargetId) -> None:
-        """Count an attempt from before its first byte."""
+        """Count an attempt; call this before its first byte is sent."""
         member = self._members_by_id.get(target)
         if member is not None:
             member.load.own += 1
 
     def give_up(self, target: TargetId) -> None:
-        """Take back an attempt whose end says nothing of its target."""
+        """Stop counting an attempt that ended without a target result."""
         member = self._members_by_id.get(target)
         if member is not None:
             member.load.own = max(0, member.load.own - 1)
@@ -189,23 +189,23 @@
         report: LoadReport | None,
         now: Instant,
     ) -> None:
-        """Learn from an attempt that was answered."""
+        """Record an answered attempt."""
         self.give_up(target)
         member = self._members_by_id.get(target)
         if member is None:
             return
         member.weight = 0
         member.ejections = 0
-        member.latency = member_module.average(member.latency, seconds)
-        self._latency = member_module.average(self._latency, seconds)
+        member.latency = member_module.update_average(member.latency, seconds)
+        self._latency = member_module.update_average(self._latency, seconds)
         if report is not None:
-            others = member.load.report(report, now)
-            self._usual += _LOAD_PART * (others - self._usual)
-            if others <= self._usual and member.group is not None:
-                self._light.append(member)
+            others = member.load.record_report(report, now)
+            self._mean_others += _LOAD_SMOOTHING * (others - self._mean_others)
+            if others <= self._mean_others and member.group is not None:
+                self._lightly_loaded.append(member)
 
     def fail(self, target: TargetId, failure: Failure, now: Instant) -> None:
-        """Learn from an attempt that failed."""
+        """Record a failed attempt."""
         self.give_up(target)
         member = self._members_by_id.get(target)
         if member is None:
@@ -218,91 +218,91 @@
         self,
         tried: frozenset[TargetId],
         is_urgent: bool,
-        likely: TargetId | None,
+        prefix_target: TargetId | None,
     ) -> list[Member]:
         found = []
-        if likely is not None:
-            member = self._members_by_id[likely]
+        if prefix_target is not None:
+            member = self._members_by_id[prefix_target]
             if member.group is not None:
                 found.append(member)
         for group in (self._near, self._far):
-            if len(group) <= _SAMPLES:
+            if len(group) <= _SAMPLE_SIZE:
                 found += group
             else:
-                found += self._generator.sample(group, _SAMPLES)
-        # Two random picks out of many hardly ever hit a target of which
-        # something is known. One that just answered has a free place;
-        # source: Mitzenmacher, Prabhakar and Shah, Load balancing with
-        # memory, 2002.
-        looked_at = _URGENT_LOOKS if is_urgent else 1
-        if is_urgent or len(self._light) > _RESERVED:
-            found += self._take_light(looked_at)
+                found += self._generator.sample(group, _SAMPLE_SIZE)
+        # Random samples of many targets rarely include one with a recent
+        # report. A target that just answered has a free slot. Source:
+        # Mitzenmacher, Prabhakar, Shah, Load balancing with memory, 2002.
+        count = _URGENT_CANDIDATES if is_urgent else 1
+        if is_urgent or len(self._lightly_loaded) > _RESERVED_FOR_URGENT:
+            found += self._pop_lightly_loaded(count)
         untried = [member for member in found if member.id not in tried]
         if untried or not tried:
             return untried
         return [m for m in self._near + self._far if m.id not in tried]
 
-    def _connected(
+    def _connected_members(
         self, connected: Collection[TargetId], tried: frozenset[TargetId]
     ) -> list[Member]:
-        # Sixty instances with a request each four seconds opened a
-        # connection for most of them: two random picks out of 17 targets
-        # hardly ever hit one that was still open.
+        # Random samples rarely include a connected target, so instances with
+        # few requests would open a connection for most of them.
         found = [
             self._members_by_id[target]
             for target in connected
             if target in self._members_by_id and target not in tried
         ]
         usable = [member for member in found if member.group is not None]
-        if len(usable) <= _SAMPLES:
+        if len(usable) <= _SAMPLE_SIZE:
             return usable
-        return self._generator.sample(usable, _SAMPLES)
+        return self._generator.sample(usable, _SAMPLE_SIZE)
 
-    def _take_light(self, count: int) -> list[Member]:
+    def _pop_lightly_loaded(self, count: int) -> list[Member]:
         taken: list[Member] = []
-        while self._light and len(taken) < count:
-            member = self._light.pop()
+        while self._lightly_loaded and len(taken) < count:
+            member = self._lightly_loaded.pop()
             if member.group is not None:
                 taken.append(member)
-        # All but the newest stay for the next calls.
-        self._light.extend(reversed(taken[1:]))
+        # Keep all but the newest for the next calls.
+        self._lightly_loaded.extend(reversed(taken[1:]))
         return taken
 
-    def _slow_start(self, member: Member, now: Instant) -> float:
-        # All instances see a target come at once; without this it gets
-        # their whole load while its caches are still cold.
-        left = 1.0 - (now - member.started_at) / self._policy.slow_start
-        return max(0.0, left) * self._policy.slow_start_penalty
+    def _slow_start_cost(self, member: Member, now: Instant) -> float:
+        # All instances discover a target at once; without a slow start it
+        # would get their whole load while its caches are cold.
+        remaining = 1.0 - (now - member.started_at) / self._policy.slow_start
+        return max(0.0, remaining) * self._policy.slow_start_penalty
 
     def _eject(self, member: Member, now: Instant) -> None:
-        # Ejecting most targets sends everybody's load to the last ones,
-        # which then fail too; a bad target costs a retry.
+        # Ejecting most targets would overload the remaining ones; keeping a
+        # failing target costs only a retry.
         if self.usable - 1 < self._policy.floor * len(self):
             return
-        self._take_out(member)
+        self._remove_from_group(member)
         member.weight = 0
         seconds = min(
             self._policy.ejection * 2.0**member.ejections,
             self._policy.max_ejection,
         )
         member.ejections += 1
-        heapq.heappush(self._returns, (Instant(now + seconds), member.id))
+        heapq.heappush(
+            self._ejection_ends, (Instant(now + seconds), member.id)
+        )
 
     def _return_ejected(self, now: Instant) -> None:
-        while self._returns and self._returns[0][0] <= now:
-            _, target = heapq.heappop(self._returns)
+        while self._ejection_ends and self._ejection_ends[0][0] <= now:
+            _, target = heapq.heappop(self._ejection_ends)
             member = self._members_by_id.get(target)
             if member is not None and member.group is None:
                 member.started_at = now
-                self._put_in(member)
+                self._add_to_group(member)
 
-    def _put_in(self, member: Member) -> None:
+    def _add_to_group(self, member: Member) -> None:
         group = self._far if member.penalty else self._near
         member.group = group
         member.position = len(group)
         group.append(member)
 
-    def _take_out(self, member: Member) -> None:
+    def _remove_from_group(self, member: Member) -> None:
         group = member.group
         if group is None:
             return
--- a/packages/yuccarill-core/src/yuccarill/core/calls/prefixes.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/prefixes.py
@@ -1,4 +1,4 @@
-"""Say which engine probably has a prompt's prefix in its cache."""
+"""Map prompt prefixes to the engines that probably cache them."""
 
 from __future__ import annotations
 
@@ -12,37 +12,37 @@
 
     from yuccarill.core.ids import TargetId
 
-# Characters of a prompt that calls for the same cache entries share.
+# Leading characters of a prompt by which an engine is chosen.
 PREFIX_LENGTH = 256
-# Places of one engine on the ring, so that engines get equal parts.
-_PLACES = 16
+# Points of one engine on the ring; many even out the engines' parts.
+_POINTS_PER_ENGINE = 16
 
 
 class PrefixRing:
-    """Place prefixes on engines so that few move when one comes or goes.
+    """Map prefixes to engines by consistent hashing.
 
-    All instances place a prefix on the same engine without a word between
-    them. A wrong belief costs the time to fill a cache, nothing else.
+    All instances map a prefix to the same engine without coordination. A
+    wrong mapping costs only the time to fill a cache.
     """
 
     def __init__(self) -> None:
-        self._places: list[tuple[int, TargetId]] = []
+        self._points: list[tuple[int, TargetId]] = []
 
     def update(self, engines: Iterable[TargetId]) -> None:
-        """Take the engines that there are."""
-        self._places = sorted(
+        """Replace the engines of the ring."""
+        self._points = sorted(
             (_hash(f'{engine}/{number}'), engine)
             for engine in engines
-            for number in range(_PLACES)
+            for number in range(_POINTS_PER_ENGINE)
         )
 
     def find(self, prompt: str) -> TargetId | None:
-        """Return the engine of a prompt's prefix, or none."""
-        if not self._places:
+        """Return the engine of a prompt's prefix, None without engines."""
+        if not self._points:
             return None
         key = (_hash(prompt[:PREFIX_LENGTH]), '')
-        place = bisect.bisect(self._places, key)
-        return self._places[place % len(self._places)][1]
+        index = bisect.bisect(self._points, key)
+        return self._points[index % len(self._points)][1]
 
 
 def _hash(text: str) -> int:
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/second_attempts.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/second_attempts.py
@@ -44,8 +44,8 @@
         """Note whether second attempts are bounded, and return it."""
         if is_bounded and not self._was_bounded:
             # What was saved up in quiet times would be sent all at once.
-            self._retries.cut(0.0)
-            self._hedges.cut(0.0)
+            self._retries.cap(0.0)
+            self._hedges.cap(0.0)
         self._was_bounded = is_bounded
         return is_bounded
 
--- a/packages/yuccarill-core/tests/calls/test_extra_attempts.py
+++ b/packages/yuccarill-core/tests/calls/test_extra_attempts.py
@@ -27,10 +27,10 @@
 class HedgingTest(unittest.TestCase):
     def test_waits_for_the_measured_percentile(self) -> None:
         timer = hedging.HedgeTimer(hedging.HedgePolicy())
-        self.assertIsNone(timer.seconds())
+        self.assertIsNone(timer.delay())
         for n in range(100):
-            timer.answer(n / 100)
-        self.assertAlmostEqual(0.95, timer.seconds() or 0.0, delta=0.05)
+            timer.record_latency(n / 100)
+        self.assertAlmostEqual(0.95, timer.delay() or 0.0, delta=0.05)
 
 
 class DeadlinesTest(unittest.TestCase):
--- a/packages/yuccarill-core/tests/calls/test_limit.py
+++ b/packages/yuccarill-core/tests/calls/test_limit.py
@@ -27,7 +27,7 @@
         for _ in range(10):
             busy = int(made.value) if in_flight is None else in_flight
             now = Instant(start + window * 0.5)
-            made.answer(seconds, report, busy, now)
+            made.record_answer(seconds, report, busy, now)
 
 
 class LimitTest(unittest.TestCase):
