--- a/packages/yuccarill-core/src/yuccarill/core/capacity/__init__.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Divide a service's capacity among instances and accounts."""
+"""Divide a service's capacity among instances and client accounts."""
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/broker.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/broker.py
@@ -1,4 +1,4 @@
-"""Divide a service's capacity among the instances that ask for it."""
+"""Divide a service's capacity among the instances that request it."""
 
 from __future__ import annotations
 
@@ -28,39 +28,38 @@
 
 
 class BrokerPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Set what is lent and for how long."""
+    """Configure how much capacity is lent and for how long."""
 
     estimate: estimate.EstimatePolicy = estimate.EstimatePolicy()
     shares: fairness.SharePolicy = fairness.SharePolicy()
-    # Seconds for which a report counts, and a grant may be used.
+    # Seconds for which a report and its grant are valid.
     valid_for: float = 1.0
-    # Seconds of reports that a new broker needs before it lends.
+    # Seconds for which a new broker collects reports before it lends.
     warm_up: float = 1.0
-    # Seconds between two divisions.
+    # Minimum seconds between two divisions.
     period: float = 0.05
-    # Classes of which all instances are told.
+    # Maximum number of classes whose admitted part all instances receive.
     classes: int = 128
-    # Part of the capacity below which demand needs no division.
+    # Fraction of the capacity up to which demand needs no division.
     spare_part: float = 0.8
-    # Second attempts that are lent for each request that is finished. Most
-    # instances need less than their part.
+    # Second attempts lent per finished request.
     second_part: float = 0.14
-    # Bounds of what is told to those that are refused, in seconds.
+    # Bounds of the retry delay of refused requests, in seconds.
     min_retry: float = 0.05
     max_retry: float = 10.0
 
 
 class Lease(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what one instance was lent last."""
+    """Store the latest report of an instance and the rate lent to it."""
 
     report: DemandReport
-    # Requests a second of the classes that ask for more.
+    # Requests a second lent to classes with excess demand.
     rate: float
     until: Instant
 
 
 class CapacityBroker:
-    """Lend one service's capacity in leases that expire."""
+    """Lend one service's capacity to instances in leases that expire."""
 
     def __init__(self, service: ServiceName, policy: BrokerPolicy) -> None:
         self.service = service
@@ -73,38 +72,38 @@
         self._division = fairness.Division(
             rates_by_class={}, levels_by_priority={}
         )
-        # Requests a second of the classes that ask for more.
+        # Requests a second for all classes with excess demand.
         self._lendable = 0.0
-        # What part of their requests the largest of these may send.
+        # Fraction of requests that the largest of these classes may send.
         self._largest_parts: dict[DemandClass, float] = {}
 
     def lend(
         self, report: DemandReport, places: int, instances: int, now: Instant
     ) -> CapacityGrant:
-        """Answer a report with what its instance may use from now on.
+        """Return the grant for the instance that sent a report.
 
-        Instances are those that serve; a broker that others come before may
-        hear only some of them, and lends no more than their part.
+        `instances` is the number that serve. A fallback broker may receive
+        reports from only a part of them, and lends only that part.
         """
-        self._take(report, now)
+        self._record_report(report, now)
         usable = float(places)
         if report.passed_over:
-            asking = len(self.leases_by_instance)
-            usable *= min(1.0, asking / max(1, instances))
+            reporting = len(self.leases_by_instance)
+            usable *= min(1.0, reporting / max(1, instances))
         if now < self._lends_from:
-            return self._nothing_yet(report)
+            return self._empty_grant(report)
         self._divide(usable, now)
         if self._totals.offered <= self.capacity * self._policy.spare_part:
-            return self._all(report)
-        return self._part(report)
+            return self._unlimited_grant(report)
+        return self._limited_grant(report)
 
     def _divide(self, places: float, now: Instant) -> None:
-        """Divide the capacity anew, at most once a period."""
+        """Divide the capacity, at most once a period."""
         if now < self._divides_at:
             return
         self._divides_at = Instant(now + self._policy.period)
-        reports = [each.report for each in self.leases_by_instance.values()]
-        self._estimate.learn(reports, places, self._short_part(), now)
+        reports = [lease.report for lease in self.leases_by_instance.values()]
+        self._estimate.update(reports, places, self._capped_part(), now)
         self._totals = Totals(reports)
         self._division = fairness.divide(
             self._totals.offered_by_class,
@@ -114,39 +113,39 @@
         )
         rates = self._division.rates_by_class
         offered = self._totals.offered_by_class
-        short = [key for key in rates if _is_short(offered[key], rates[key])]
-        self._lendable = sum(rates[key] for key in short)
+        capped = [key for key in rates if _is_capped(offered[key], rates[key])]
+        self._lendable = sum(rates[key] for key in capped)
         largest = heapq.nlargest(
-            self._policy.classes, short, key=lambda key: offered[key]
+            self._policy.classes, capped, key=lambda key: offered[key]
         )
-        self._largest_parts = {key: self._part_of(key) for key in largest}
+        self._largest_parts = {key: self._lent_part(key) for key in largest}
 
-    def _short_part(self) -> float:
+    def _capped_part(self) -> float:
         return self._lendable / self.capacity if self.capacity else 1.0
 
     def overview(self) -> tuple[ClassOverview, ...]:
-        """Return what the whole fleet is asked for and lent."""
+        """Return the offered and lent rates of the fleet by class."""
         rates = self._division.rates_by_class
         return tuple(
             ClassOverview(
                 priority=key.priority,
                 account=key.account,
                 offered=offered,
-                lent=rates[key] if _is_short(offered, rates[key]) else None,
+                lent=rates[key] if _is_capped(offered, rates[key]) else None,
             )
             for key, offered in self._totals.offered_by_class.items()
         )
 
     def lent(self) -> float:
-        """Return the requests a second that are lent, all leases together."""
-        return sum(each.rate for each in self.leases_by_instance.values())
+        """Return the requests a second lent by all leases."""
+        return sum(lease.rate for lease in self.leases_by_instance.values())
 
     @property
     def capacity(self) -> float:
         """Return the requests a second that the service can serve."""
         return self._estimate.rate
 
-    def _nothing_yet(self, report: DemandReport) -> CapacityGrant:
+    def _empty_grant(self, report: DemandReport) -> CapacityGrant:
         return CapacityGrant(
             service=self.service,
             number=report.number,
@@ -154,7 +153,7 @@
             valid_for=0.0,
         )
 
-    def _take(self, report: DemandReport, now: Instant) -> None:
+    def _record_report(self, report: DemandReport, now: Instant) -> None:
         if not self.leases_by_instance:
             self._lends_from = Instant(now + self._policy.warm_up)
         self.leases_by_instance = {
@@ -162,17 +161,17 @@
             for instance, lease in self.leases_by_instance.items()
             if now < lease.until
         }
-        known = self.leases_by_instance.get(report.instance)
-        if known is not None and known.report.number >= report.number:
+        previous = self.leases_by_instance.get(report.instance)
+        if previous is not None and previous.report.number >= report.number:
             return
         self.leases_by_instance[report.instance] = Lease(
             report=report,
-            rate=0.0 if known is None else known.rate,
+            rate=0.0 if previous is None else previous.rate,
             until=Instant(now + self._policy.valid_for),
         )
 
-    def _all(self, report: DemandReport) -> CapacityGrant:
-        self._note(report, 0.0)
+    def _unlimited_grant(self, report: DemandReport) -> CapacityGrant:
+        self._record_rate(report, 0.0)
         return CapacityGrant(
             service=self.service,
             number=report.number,
@@ -182,11 +181,11 @@
             free_part=self._free_part(),
         )
 
-    def _part(self, report: DemandReport) -> CapacityGrant:
+    def _limited_grant(self, report: DemandReport) -> CapacityGrant:
         rates = _rates(report.demands, self._totals, self._division)
         rate = sum(rates.values())
-        part = self._part_left(report.instance, rate)
-        self._note(report, rate * part)
+        part = self._available_part(report.instance, rate)
+        self._record_rate(report, rate * part)
         return CapacityGrant(
             service=self.service,
             number=report.number,
@@ -194,7 +193,7 @@
                 ClassGrant(
                     demand_class=each,
                     rate=rates[each] * part,
-                    part=self._part_of(each),
+                    part=self._lent_part(each),
                 )
                 for each in rates
             ),
@@ -215,21 +214,21 @@
             free_part=self._free_part(),
         )
 
-    def _part_of(self, demand_class: DemandClass) -> float:
+    def _lent_part(self, demand_class: DemandClass) -> float:
         offered = self._totals.offered_by_class[demand_class]
         return self._division.rates_by_class[demand_class] / offered
 
-    def _part_left(self, instance: InstanceId, rate: float) -> float:
-        """Return the part of a rate that the others' leases leave."""
+    def _available_part(self, instance: InstanceId, rate: float) -> float:
+        """Return the fraction of a rate that other leases leave available."""
         if rate <= 0.0:
             return 1.0
         others = self.lent() - self.leases_by_instance[instance].rate
         return min(1.0, max(0.0, self._lendable - others) / rate)
 
     def _second_rate(self, report: DemandReport) -> float:
-        """Return an instance's part of the fleet's second attempts."""
-        # Half of them go where targets refused most of late: with equal
-        # parts, most would lie with instances that need none.
+        """Return an instance's second attempts a second."""
+        # Half of the fleet's budget goes to instances by their refused
+        # requests: equal parts would mostly go to instances that need none.
         part = 0.5 / len(self.leases_by_instance)
         if self._totals.refused > 0.0:
             part += 0.5 * report.refused / self._totals.refused
@@ -241,20 +240,20 @@
             return 0.0
         return max(0.0, 1.0 - self._totals.offered / capacity)
 
-    def _note(self, report: DemandReport, rate: float) -> None:
+    def _record_rate(self, report: DemandReport, rate: float) -> None:
         lease = self.leases_by_instance[report.instance]
         self.leases_by_instance[report.instance] = Lease(
             report=lease.report, rate=rate, until=lease.until
         )
 
     def _retry_after(self) -> float:
-        # What is refused in a second takes so long to serve.
+        # Seconds that the service needs to serve one second's excess demand.
         wait = self._totals.offered / max(self.capacity, 0.001) - 1.0
         return min(max(wait, self._policy.min_retry), self._policy.max_retry)
 
 
 class Totals:
-    """Add up what all instances are asked for."""
+    """Sum the demand that all instances report."""
 
     def __init__(self, reports: Iterable[DemandReport]) -> None:
         self.offered_by_class: dict[DemandClass, float] = {}
@@ -272,7 +271,7 @@
         key = demand.demand_class
         offered = self.offered_by_class.get(key, 0.0)
         self.offered_by_class[key] = offered + demand.offered
-        # Instances count the same small accounts.
+        # Instances report the same small accounts, so the counts overlap.
         accounts = self.accounts_by_class.get(key, 1)
         self.accounts_by_class[key] = max(accounts, demand.accounts)
 
@@ -282,16 +281,16 @@
     totals: Totals,
     division: fairness.Division,
 ) -> dict[DemandClass, float]:
-    """Return an instance's part of the classes that ask for too much."""
+    """Return an instance's rates for the classes with excess demand."""
     rates: dict[DemandClass, float] = {}
     for each in demands:
         key = each.demand_class
         offered = totals.offered_by_class.get(key, 0.0)
         rate = division.rates_by_class.get(key, 0.0)
-        if _is_short(offered, rate):
+        if _is_capped(offered, rate):
             rates[key] = rate * each.offered / offered
     return rates
 
 
-def _is_short(offered: float, rate: float) -> bool:
+def _is_capped(offered: float, rate: float) -> bool:
     return rate < 0.999 * offered
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/bucket.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/bucket.py
@@ -1,4 +1,4 @@
-"""Let requests through at a rate, with small bursts."""
+"""Limit a rate with a token bucket."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from yuccarill.core.ids import Instant
 
 
-# Seconds until a token are rounded, and a timer may be a little early.
+# Covers rounding errors and timers that fire slightly early.
 _TOLERANCE = 1e-6
 
 
 class RateBucket:
-    """Collect tokens at a rate up to a depth."""
+    """Implement a token bucket with a rate and a depth."""
 
     def __init__(
         self, rate: float, depth: float, tokens: float, now: Instant
@@ -20,37 +20,37 @@
         self._rate = rate
         self._depth = depth
         self._tokens = tokens
-        self._filled_at = now
+        self._refilled_at = now
 
     @property
     def rate(self) -> float:
-        """Return the tokens a second."""
+        """Return the rate in tokens a second."""
         return self._rate
 
     def set_rate(self, rate: float, depth: float, now: Instant) -> None:
-        """Change the rate from now on."""
-        self._fill(now)
+        """Change the rate and depth from now on."""
+        self._refill(now)
         self._rate = rate
         self._depth = depth
         self._tokens = min(self._tokens, depth)
 
-    def take(self, now: Instant) -> bool:
-        """Take a token, if there is one."""
-        self._fill(now)
+    def try_take(self, now: Instant) -> bool:
+        """Take a token if one is available; return whether it was."""
+        self._refill(now)
         if self._tokens < 1.0 - _TOLERANCE:
             return False
         self._tokens -= 1.0
         return True
 
     def seconds_until(self, count: int, now: Instant) -> float:
-        """Return the seconds until so many tokens will have come."""
-        self._fill(now)
-        lacking = count - self._tokens
-        if lacking <= 0.0:
+        """Return the seconds until a number of tokens is available."""
+        self._refill(now)
+        missing = count - self._tokens
+        if missing <= 0.0:
             return 0.0
-        return lacking / self._rate if self._rate > 0.0 else math.inf
+        return missing / self._rate if self._rate > 0.0 else math.inf
 
-    def _fill(self, now: Instant) -> None:
-        seconds = max(0.0, now - self._filled_at)
+    def _refill(self, now: Instant) -> None:
+        seconds = max(0.0, now - self._refilled_at)
         self._tokens = min(self._depth, self._tokens + seconds * self._rate)
-        self._filled_at = now
+        self._refilled_at = now
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/congestion.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/congestion.py
@@ -1,4 +1,4 @@
-"""Notice that a service has less room than it is asked for."""
+"""Detect that demand exceeds a service's capacity."""
 
 from __future__ import annotations
 
@@ -11,47 +11,47 @@
 
 
 class CongestionPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Set what counts as a sign of congestion."""
+    """Configure what counts as congestion."""
 
-    # Times the usual seconds of service.
+    # Multiple of the usual service time above which answers count as slow.
     slowness: float = 2.5
-    # Answers within the average that slowness is told from.
+    # Minimum number of averaged answers for a judgement of slowness.
     min_samples: float = 4.0
-    # Part of the usual seconds of service that a new time replaces.
+    # Weight of a new sample in the usual service time.
     usual_part: float = 0.01
-    # Seconds after the last sign for which a service counts as congested.
+    # Seconds after the last sign in which a service counts as congested.
     memory: float = 2.0
     # Seconds over which answers are averaged.
     average: float = 0.35
 
 
 class CongestionSigns:
-    """Learn from attempts whether a service is congested."""
+    """Detect from attempts whether a service is congested."""
 
     def __init__(self, policy: CongestionPolicy, now: Instant) -> None:
         self._policy = policy
-        self._until = Instant(-math.inf)
-        # Seconds of service a second; over the finished a second, the mean.
-        self._busy = meters.RateMeter(policy.average, now)
+        self._congested_until = Instant(-math.inf)
+        # Service seconds a second; divided by the finished rate, the mean.
+        self._service_time = meters.RateMeter(policy.average, now)
         self._recent: float | None = None
         self._usual: float | None = None
         self._finished = meters.RateMeter(policy.average, now)
         self._refused = meters.RateMeter(policy.average, now)
-        self._level = meters.LevelMeter(policy.average, now)
+        self._in_flight_meter = meters.LevelMeter(policy.average, now)
         self.in_flight = 0
-        # Requests that all targets run at once, 0 if it is not known.
+        # Requests that all targets can run at once, 0 if unknown.
         self.places = 0
 
     @property
     def service_seconds(self) -> float | None:
-        """Return the seconds that targets take now, if that is known."""
+        """Return the recent mean service time in seconds, None if unknown."""
         return self._recent
 
     def is_congested(self, now: Instant) -> bool:
-        return now < self._until
+        return now < self._congested_until
 
     def mean_in_flight(self, now: Instant) -> float:
-        return self._level.average(now)
+        return self._in_flight_meter.average(now)
 
     def finished_rate(self, now: Instant) -> float:
         return self._finished.rate(now)
@@ -60,39 +60,39 @@
         return self._refused.rate(now)
 
     def started(self, now: Instant) -> None:
-        """Learn that an attempt is sent."""
+        """Record that an attempt is sent."""
         self.in_flight += 1
-        self._level.set(self.in_flight, now)
+        self._in_flight_meter.set(self.in_flight, now)
         if self.in_flight > self.places > 0:
-            self._see(now)
+            self._mark_congested(now)
 
     def ended(self, now: Instant) -> None:
-        """Learn that an attempt is over."""
+        """Record that an attempt is over."""
         self.in_flight = max(0, self.in_flight - 1)
-        self._level.set(self.in_flight, now)
+        self._in_flight_meter.set(self.in_flight, now)
 
     def finished(self, seconds: float, now: Instant) -> None:
-        """Learn from the time that an attempt took."""
-        self._finished.note(now)
-        self._busy.note(now, seconds)
-        self._recent = self._busy.rate(now) / self._finished.rate(now)
+        """Record the service time of an answered attempt."""
+        self._finished.record(now)
+        self._service_time.record(now, seconds)
+        self._recent = self._service_time.rate(now) / self._finished.rate(now)
         if self._usual is None:
             self._usual = seconds
         samples = self._finished.rate(now) * self._policy.average
         is_slow = self._recent > self._policy.slowness * self._usual
         if is_slow and samples >= self._policy.min_samples:
-            self._see(now)
+            self._mark_congested(now)
         if not self.is_congested(now):
             self._usual += self._policy.usual_part * (seconds - self._usual)
 
     def refused(self, now: Instant) -> None:
-        """Learn that a target had no room."""
-        self._refused.note(now)
-        self._see(now)
+        """Record that a target refused an attempt for lack of capacity."""
+        self._refused.record(now)
+        self._mark_congested(now)
 
     def told(self, now: Instant) -> None:
-        """Learn from another instance that the service is congested."""
-        self._see(now)
+        """Record another instance's notice that the service is congested."""
+        self._mark_congested(now)
 
-    def _see(self, now: Instant) -> None:
-        self._until = Instant(now + self._policy.memory)
+    def _mark_congested(self, now: Instant) -> None:
+        self._congested_until = Instant(now + self._policy.memory)
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/demand.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/demand.py
@@ -1,4 +1,4 @@
-"""Measure what an instance is asked for, by class."""
+"""Measure an instance's demand by class."""
 
 from __future__ import annotations
 
@@ -11,55 +11,55 @@
 
 
 class DemandPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Set how long and of how many accounts demand is remembered."""
+    """Configure the measurement of demand."""
 
     # Seconds over which requests are averaged.
     average: float = 0.5
-    # Accounts that are told apart; the others are one class a priority.
+    # Accounts measured separately; the rest are combined per priority.
     accounts: int = 64
-    # Requests a second below which an account is forgotten.
+    # Requests a second below which an account is no longer measured.
     forgotten: float = 0.02
 
 
 class DemandMeter:
-    """Tell the accounts that ask for most from the rest."""
+    """Measure demand by class within bounded memory."""
 
     def __init__(self, policy: DemandPolicy) -> None:
         self._policy = policy
         self._meters_by_class: dict[DemandClass, meters.RateMeter] = {}
-        # Classes whose requests were counted with the rest.
+        # Classes that are combined, by priority.
         self._rest_by_priority: dict[int, set[DemandClass]] = {}
 
-    def note(self, demand_class: DemandClass, now: Instant) -> None:
-        """Count a request that came."""
+    def record(self, demand_class: DemandClass, now: Instant) -> None:
+        """Count an arrived request."""
         meter = self._meters_by_class.get(demand_class)
         if meter is None and self._is_full(demand_class, now):
-            demand_class = self._put_with_rest(demand_class)
+            demand_class = self._add_to_rest(demand_class)
             meter = self._meters_by_class.get(demand_class)
         if meter is None:
             meter = meters.RateMeter(self._policy.average, now)
             self._meters_by_class[demand_class] = meter
-        meter.note(now)
+        meter.record(now)
 
     def offered(self, now: Instant) -> float:
-        """Return the requests a second of all classes."""
+        """Return the total requests a second."""
         return sum(m.rate(now) for m in self._meters_by_class.values())
 
     def demands(self, now: Instant) -> tuple[ClassDemand, ...]:
-        """Return what each class asks for, and forget those that left."""
-        self._forget(now)
+        """Return the demand of each class; drop inactive classes."""
+        self._drop_inactive(now)
         found = tuple(
             ClassDemand(
                 demand_class=each,
                 offered=meter.rate(now),
-                accounts=self._accounts(each),
+                accounts=self._account_count(each),
             )
             for each, meter in self._meters_by_class.items()
         )
         self._rest_by_priority.clear()
         return found
 
-    def _accounts(self, demand_class: DemandClass) -> int:
+    def _account_count(self, demand_class: DemandClass) -> int:
         if demand_class.account is not None:
             return 1
         rest = self._rest_by_priority.get(demand_class.priority, ())
@@ -70,16 +70,16 @@
             return False
         if len(self._meters_by_class) < self._policy.accounts:
             return False
-        self._forget(now)
+        self._drop_inactive(now)
         return len(self._meters_by_class) >= self._policy.accounts
 
-    def _put_with_rest(self, demand_class: DemandClass) -> DemandClass:
+    def _add_to_rest(self, demand_class: DemandClass) -> DemandClass:
         rest = self._rest_by_priority.setdefault(demand_class.priority, set())
         if len(rest) < self._policy.accounts:
             rest.add(demand_class)
         return DemandClass(priority=demand_class.priority)
 
-    def _forget(self, now: Instant) -> None:
+    def _drop_inactive(self, now: Instant) -> None:
         self._meters_by_class = {
             each: meter
             for each, meter in self._meters_by_class.items()
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/fairness.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/fairness.py
@@ -1,4 +1,4 @@
-"""Divide an amount among those that want parts of it."""
+"""Divide capacity by priority and max-min fairness."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 K = TypeVar('K', bound='Hashable')
 
-# Calls that a text needs go before callers' requests, up to a part: they may
-# come some seconds later, but without any of them a whole step waits.
+# Priority of calls that text generation depends on. They precede callers'
+# requests up to a fixed part, since a whole step waits for the last of them.
 INTERNAL_PRIORITY = -1
 
 
@@ -25,15 +25,15 @@
     amount: float,
     weights_by_key: Mapping[K, float] | None = None,
 ) -> dict[K, float]:
-    """Divide an amount so that no part can grow without a smaller one.
+    """Divide an amount by weighted max-min fairness.
 
-    Nobody gets more than it wants; what one leaves goes to the others by
-    their weights, 1 where none is given. Source: Bertsekas and Gallager,
+    No key gets more than it wants; the surplus goes to the other keys by
+    weight, by default 1. Source: Bertsekas and Gallager,
     Data Networks, 1992, section 6.5.2.
     """
     weights = weights_by_key or {}
     parts = dict.fromkeys(wanted_by_key, 0.0)
-    # Those that are satisfied first come first.
+    # Keys that want least per weight are satisfied first.
     by_need = sorted(
         wanted_by_key,
         key=lambda key: wanted_by_key[key] / weights.get(key, 1.0),
@@ -49,22 +49,22 @@
 
 
 class SharePolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Set how much the more urgent priorities leave to the others."""
+    """Configure the division among priorities and accounts."""
 
-    # Part of the capacity that the less urgent ones get at least.
+    # Minimum fraction of the capacity for less urgent priorities.
     floor: float = 0.1
-    # Part that calls which a text needs may take before callers' requests.
+    # Maximum fraction that internal calls take before callers' requests.
     internal_part: float = 0.2
-    # Part of a class's requests that is served at least, of the part that is
-    # served of its whole priority: a large account isn't starved.
+    # Minimum served fraction of a class relative to the served fraction of its
+    # priority; prevents starvation of a large account.
     least_part: float = 0.3
 
 
 class Division(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what each class gets of a capacity, in requests a second."""
+    """Store the rate of each class, in requests a second."""
 
     rates_by_class: dict[DemandClass, float]
-    # What one account gets at most.
+    # Maximum rate of one account.
     levels_by_priority: dict[int, float]
 
 
@@ -74,53 +74,53 @@
     capacity: float,
     policy: SharePolicy,
 ) -> Division:
-    """Divide a capacity by priority, and within one by account."""
+    """Divide a capacity by priority, and each priority's part by account."""
     wanted_by_priority: dict[int, dict[DemandClass, float]] = {}
     for demand_class, wanted in wanted_by_class.items():
         classes = wanted_by_priority.setdefault(demand_class.priority, {})
         classes[demand_class] = wanted
-    amounts = by_priority(
+    amounts = divide_by_priority(
         {p: sum(c.values()) for p, c in wanted_by_priority.items()},
         capacity,
         policy,
     )
     division = Division(rates_by_class={}, levels_by_priority={})
-    for priority, wanted_here in wanted_by_priority.items():
-        weights = {c: float(accounts_by_class.get(c, 1)) for c in wanted_here}
+    for priority, demands in wanted_by_priority.items():
+        weights = {c: float(accounts_by_class.get(c, 1)) for c in demands}
         amount = amounts[priority]
         least = policy.least_part * min(
-            1.0, amount / max(sum(wanted_here.values()), 0.001)
+            1.0, amount / max(sum(demands.values()), 0.001)
         )
-        beyond = max_min(
-            {each: (1.0 - least) * wanted_here[each] for each in wanted_here},
-            amount - least * sum(wanted_here.values()),
+        extra_by_class = max_min(
+            {each: (1.0 - least) * demands[each] for each in demands},
+            amount - least * sum(demands.values()),
             weights,
         )
-        for each, part in beyond.items():
-            rate = least * wanted_here[each] + part
+        for each, part in extra_by_class.items():
+            rate = least * demands[each] + part
             division.rates_by_class[each] = rate
         division.levels_by_priority[priority] = max(
-            beyond[each] / weights[each] for each in beyond
+            extra_by_class[each] / weights[each] for each in extra_by_class
         )
     return division
 
 
-def by_priority(
+def divide_by_priority(
     wanted_by_priority: Mapping[int, float],
     capacity: float,
     policy: SharePolicy,
 ) -> dict[int, float]:
-    """Give the more urgent first, and leave the others a floor."""
+    """Serve urgent priorities first, leaving a floor to the others."""
     amounts: dict[int, float] = {}
     left = max(0.0, capacity)
-    later = sum(wanted_by_priority.values())
+    less_urgent = sum(wanted_by_priority.values())
     for priority in sorted(wanted_by_priority):
         wanted = wanted_by_priority[priority]
-        later -= wanted
-        kept = policy.floor
+        less_urgent -= wanted
+        reserved_part = policy.floor
         if priority == INTERNAL_PRIORITY:
-            kept = 1.0 - policy.internal_part
-        floor = min(max(0.0, later), kept * left)
+            reserved_part = 1.0 - policy.internal_part
+        floor = min(max(0.0, less_urgent), reserved_part * left)
         amounts[priority] = min(wanted, left - floor)
         left -= amounts[priority]
     return amounts
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/gate.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/gate.py
@@ -1,4 +1,4 @@
-"""Define what a gate is asked, and what it answers."""
+"""Define the requests to a capacity gate and its rulings."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Answer(enum.Enum):
-    """Say what is to become of a request now."""
+    """List the possible decisions on a request."""
 
     SEND = 'send'
     WAIT = 'wait'
@@ -20,23 +20,23 @@
 
 
 class CapacityRequest(msgspec.Struct, kw_only=True, eq=False):
-    """Hold one request that wants to be sent to a service."""
+    """Describe a request to be sent to a service."""
 
     id: RequestId
     demand_class: DemandClass
     arrived_at: Instant
-    # When its answer stops being worth its full value to the caller.
+    # Instant after which the answer has less value to the caller.
     wanted_by: Instant
-    # When its caller gives up.
+    # Instant at which the caller gives up.
     deadline: Instant
 
 
 class Ruling(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold a decision and the prediction that it was made by."""
+    """Store a decision on a request and the prediction behind it."""
 
     answer: Answer
-    # Seconds that the request would wait.
+    # Seconds that the request is expected to wait.
     predicted_wait: float = 0.0
-    # Seconds after which a refused caller had best come back.
+    # Seconds after which a refused caller should retry.
     retry_after: float = 0.0
     cause: str = ''
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/gate_policy.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/gate_policy.py
@@ -1,4 +1,4 @@
-"""Set how a gate decides."""
+"""Configure a capacity gate."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class GatePolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Set how a gate decides; its parts have policies of their own."""
+    """Configure a capacity gate and its parts."""
 
     demand: demand.DemandPolicy = demand.DemandPolicy()
     signs: congestion.CongestionPolicy = congestion.CongestionPolicy()
     throttle: local_limit.ThrottlePolicy = local_limit.ThrottlePolicy()
     lanes: lanes.LanePolicy = lanes.LanePolicy()
     second: second_attempts.SecondPolicy = second_attempts.SecondPolicy()
-    # Times the mean seconds of service that a request may take.
+    # Multiple of the mean service time that is reserved for a request.
     margin: float = 2.0
-    # Seconds after which refused callers may come back while nobody lends.
+    # Maximum retry delay in seconds without a broker's grant.
     local_retry: float = 0.3
     min_retry: float = 0.05
-    # Part of a caller's time left within which it is to come back.
+    # Fraction of a caller's remaining time within which it should retry.
     retry_part: float = 1.0 / 3.0
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/lanes.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/lanes.py
@@ -1,4 +1,4 @@
-"""Keep the requests of each class to the rate that it was lent."""
+"""Limit the requests of each class to its lent rate."""
 
 from __future__ import annotations
 
@@ -23,19 +23,20 @@
 
 
 class LanePolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Set the bursts that are let through."""
+    """Configure the bursts and the number of lanes."""
 
+    # Minimum burst, in requests.
     burst: float = 3.0
-    # Seconds of a rate that may be sent at once.
+    # Seconds of the lent rate that may be sent at once.
     burst_seconds: float = 0.1
-    # The same for accounts that ask for less than their part.
+    # Minimum burst of accounts within their share.
     level_burst: float = 3.0
-    # Lanes of accounts that ask for less than their part.
+    # Maximum number of lanes for accounts within their share.
     lanes: int = 256
 
 
 class Lane(msgspec.Struct, kw_only=True, eq=False):
-    """Hold one class's rate and the requests that wait for it."""
+    """Store one class's rate limit and waiting requests."""
 
     bucket: bucket.RateBucket
     waiting: collections.deque[CapacityRequest]
@@ -46,71 +47,71 @@
 
 
 class Lanes:
-    """Hold the lanes of the grant in force."""
+    """Track the lanes of the current grant."""
 
     def __init__(self, policy: LanePolicy, generator: random.Random) -> None:
         self._policy = policy
         self._generator = generator
         self.lanes_by_class: dict[DemandClass, Lane] = {}
-        self._open_by_class: dict[DemandClass, Lane] = {}
+        self._level_lanes_by_class: dict[DemandClass, Lane] = {}
         self._levels_by_priority: dict[int, float] = {}
         self._parts_by_class: dict[DemandClass, float] = {}
 
-    def take(
+    def apply_grant(
         self, grant: CapacityGrant, now: Instant
     ) -> list[CapacityRequest]:
-        """Go by a new grant; return what waited in lanes that are gone."""
+        """Apply a new grant; return the waiting requests of removed lanes."""
         self._levels_by_priority = {
             each.priority: each.level for each in grant.levels
         }
         self._parts_by_class = {
             each.demand_class: each.part for each in grant.parts
         }
-        before = self.lanes_by_class
+        previous = self.lanes_by_class
         self.lanes_by_class = {}
         for each in grant.grants:
             key = each.demand_class
             depth = self._depth(each.rate)
-            lane = before.pop(key, None)
+            lane = previous.pop(key, None)
             if lane is None:
-                lane = self._lane(
-                    each.rate, depth, self._tokens(each.part), now
+                lane = self._new_lane(
+                    each.rate, depth, self._draw_tokens(each.part), now
                 )
             lane.bucket.set_rate(each.rate, depth, now)
             self.lanes_by_class[key] = lane
-        gone = [*before.values(), *self._open_by_class.values()]
-        self._open_by_class.clear()
-        return [each for lane in gone for each in lane.waiting]
+        removed = [*previous.values(), *self._level_lanes_by_class.values()]
+        self._level_lanes_by_class.clear()
+        return [each for lane in removed for each in lane.waiting]
 
     def find(self, demand_class: DemandClass, now: Instant) -> Lane | None:
-        """Return the lane of a class, none if nothing bounds it."""
+        """Return the lane of a class, None if the class is unlimited."""
         lane = self.lanes_by_class.get(demand_class)
         if lane is None:
-            lane = self._open_by_class.get(demand_class)
+            lane = self._level_lanes_by_class.get(demand_class)
         if lane is not None:
             return lane
-        rest = self._rest(demand_class)
-        if rest is not None:
-            return rest
+        shared = self._shared_lane(demand_class)
+        if shared is not None:
+            return shared
         if demand_class.priority not in self._levels_by_priority:
             return None
-        if len(self._open_by_class) >= self._policy.lanes:
-            self._drop_one()
-        lane = self._open(demand_class, now)
-        self._open_by_class[demand_class] = lane
+        if len(self._level_lanes_by_class) >= self._policy.lanes:
+            self._remove_idle_lane()
+        lane = self._new_level_lane(demand_class, now)
+        self._level_lanes_by_class[demand_class] = lane
         return lane
 
-    def is_short(self, demand_class: DemandClass) -> bool:
-        """Tell whether a class asks for more than it is lent."""
+    def is_capped(self, demand_class: DemandClass) -> bool:
+        """Return whether a class requests more than it is lent."""
         return (
             demand_class in self.lanes_by_class
             or demand_class in self._parts_by_class
         )
 
-    def is_drawn(self, demand_class: DemandClass) -> bool | None:
-        """Draw whether to send a request of a class that has no lane.
+    def draw_admission(self, demand_class: DemandClass) -> bool | None:
+        """Decide at random whether to send a request that has no lane.
 
-        None where the class may send all that it asks for.
+        Returns None if its class has a lane or no limit.
         """
         part = self._parts_by_class.get(demand_class)
         if part is None or demand_class in self.lanes_by_class:
@@ -118,38 +119,38 @@
         return self._generator.random() < part
 
     def overview(
-        self, asked: ClassDemand, refused: float, now: Instant
+        self, demand: ClassDemand, refused: float, now: Instant
     ) -> ClassOverview:
-        """Return what a class asks for, gets and waits for."""
-        key = asked.demand_class
+        """Return the demand, lent rate and queue of a class."""
+        key = demand.demand_class
         lane = self.lanes_by_class.get(key)
         wait = 0.0 if lane is None else lane.wait_for_next(now)
         return ClassOverview(
             priority=key.priority,
             account=key.account,
-            offered=asked.offered,
+            offered=demand.offered,
             lent=None if lane is None else lane.bucket.rate,
             refused=refused,
             waiting=0 if lane is None else len(lane.waiting),
             predicted_wait=None if math.isinf(wait) else wait,
         )
 
-    def all(self) -> itertools.chain[Lane]:
-        """Return every lane that may hold waiting requests."""
+    def iterate(self) -> itertools.chain[Lane]:
+        """Return an iterator over all lanes."""
         return itertools.chain(
-            self.lanes_by_class.values(), self._open_by_class.values()
+            self.lanes_by_class.values(), self._level_lanes_by_class.values()
         )
 
     def clear(self) -> list[CapacityRequest]:
-        """Forget every lane and return what waited."""
-        waiting = [each for lane in self.all() for each in lane.waiting]
+        """Remove every lane and return the waiting requests."""
+        waiting = [each for lane in self.iterate() for each in lane.waiting]
         self.lanes_by_class.clear()
-        self._open_by_class.clear()
+        self._level_lanes_by_class.clear()
         self._levels_by_priority.clear()
         self._parts_by_class.clear()
         return waiting
 
-    def _rest(self, demand_class: DemandClass) -> Lane | None:
+    def _shared_lane(self, demand_class: DemandClass) -> Lane | None:
         if demand_class.account is None:
             return None
         for key, lane in self.lanes_by_class.items():
@@ -157,23 +158,22 @@
                 return lane
         return None
 
-    def _drop_one(self) -> None:
-        for key, lane in self._open_by_class.items():
+    def _remove_idle_lane(self) -> None:
+        for key, lane in self._level_lanes_by_class.items():
             if not lane.waiting:
-                del self._open_by_class[key]
+                del self._level_lanes_by_class[key]
                 return
 
-    def _open(self, demand_class: DemandClass, now: Instant) -> Lane:
+    def _new_level_lane(self, demand_class: DemandClass, now: Instant) -> Lane:
         level = self._levels_by_priority.get(demand_class.priority, 0.0)
         burst = max(self._policy.level_burst, self._depth(level))
-        return self._lane(level, burst, burst, now)
+        return self._new_lane(level, burst, burst, now)
 
-    def _tokens(self, part: float) -> float:
-        """Draw what a lane holds that has long been in use.
+    def _draw_tokens(self, part: float) -> float:
+        """Return random initial tokens, as in a lane in steady state.
 
-        Most instances are lent less than a request in a grant's time: with
-        nothing, or all with one, the fleet would send too little or too
-        much at first.
+        Most instances are lent less than one request per grant: with no token
+        or one each, the fleet would at first send too little or too much.
         """
         has_one = self._generator.random() < part
         return self._generator.random() + has_one
@@ -181,7 +181,7 @@
     def _depth(self, rate: float) -> float:
         return max(self._policy.burst, rate * self._policy.burst_seconds)
 
-    def _lane(
+    def _new_lane(
         self, rate: float, depth: float, tokens: float, now: Instant
     ) -> Lane:
         return Lane(
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/local_limit.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/local_limit.py
@@ -1,4 +1,4 @@
-"""Refuse at an instance what targets would refuse, while nobody lends."""
+"""Throttle requests at an instance that has no broker's grant."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
 
 
 class ThrottlePolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Set how far an instance goes beyond what targets accept."""
+    """Configure how far an instance exceeds what targets accept."""
 
-    # Requests sent for each one that targets accepted.
+    # Requests sent per request that targets accepted.
     ratio: float = 1.3
-    # The same while answers come later than they are wanted.
+    # The same while answers are late.
     late_ratio: float = 0.7
-    # Seconds over which requests are counted.
+    # Seconds over which requests are averaged.
     window: float = 1.0
-    # Refusals within the window that one target may cause by itself, as when
-    # it is being stopped.
+    # Refusals within the window below which nothing is throttled, since a
+    # single stopping target can cause them.
     min_refused: float = 1.5
-    # Seconds between two divisions among accounts.
+    # Minimum seconds between two divisions among accounts.
     period: float = 0.05
     shares: fairness.SharePolicy = fairness.SharePolicy()
 
 
 class LocalThrottle:
-    """Refuse at random the part that targets can't take.
+    """Refuse at random the requests that targets can't serve.
 
-    It falls on the classes that ask this instance for most. Source: Beyer
-    and others, Site Reliability Engineering, 2016, chapter 21, client-side
-    throttling. It needs no whole place an instance.
+    Refusals fall on the classes with most demand at this instance. Source:
+    Beyer and others, Site Reliability Engineering, 2016, chapter 21,
+    client-side throttling. Works with less than one slot per instance.
     """
 
     def __init__(
@@ -54,9 +54,9 @@
         self._divides_at = now
         self._ratio = policy.ratio
 
-    def note(self, now: Instant) -> None:
-        """Count a request that is sent on, or refused elsewhere."""
-        self._offered.note(now)
+    def record(self, now: Instant) -> None:
+        """Count a request on which the throttle does not decide."""
+        self._offered.record(now)
 
     def offer(
         self,
@@ -65,44 +65,44 @@
         is_late: bool,
         now: Instant,
     ) -> bool:
-        """Count a request; tell whether it is sent on."""
-        self._offered.note(now)
+        """Count a request and return whether to send it."""
+        self._offered.record(now)
         self._ratio = self._policy.ratio
         if is_late:
             self._ratio = self._policy.late_ratio
-        part = self._part(demand_class, demands, now)
+        part = self._class_part_to_refuse(demand_class, demands, now)
         if part > 0.0 and self._generator.random() < part:
-            # Refused here, so that no target could accept it.
-            self._refused.note(now)
+            # Counts as not accepted by targets.
+            self._refused.record(now)
             return False
         return True
 
-    def refused(self, now: Instant) -> None:
-        """Learn that a target had no room for a request."""
-        self._refused.note(now)
+    def record_refusal(self, now: Instant) -> None:
+        """Count a request that a target refused for lack of capacity."""
+        self._refused.record(now)
 
-    def is_bounding(self, now: Instant) -> bool:
-        """Tell whether targets refuse more than one of them would."""
+    def is_active(self, now: Instant) -> bool:
+        """Return whether there are more refusals than one target causes."""
         refused = self._refused.rate(now) * self._policy.window
         return refused >= self._policy.min_refused
 
-    def refused_part(self, now: Instant) -> float:
-        """Return the part of all requests to refuse."""
-        if not self.is_bounding(now):
+    def part_to_refuse(self, now: Instant) -> float:
+        """Return the fraction of all requests to refuse."""
+        if not self.is_active(now):
             return 0.0
         window = self._policy.window
         offered = self._offered.rate(now) * window
         accepted = max(0.0, offered - self._refused.rate(now) * window)
-        beyond = offered - self._ratio * accepted
-        return max(0.0, beyond) / (offered + 1.0)
+        excess = offered - self._ratio * accepted
+        return max(0.0, excess) / (offered + 1.0)
 
-    def _part(
+    def _class_part_to_refuse(
         self,
         demand_class: DemandClass,
         demands: demand.DemandMeter,
         now: Instant,
     ) -> float:
-        part = self.refused_part(now)
+        part = self.part_to_refuse(now)
         if part <= 0.0:
             return 0.0
         if now >= self._divides_at:
@@ -116,9 +116,9 @@
         self, demands: demand.DemandMeter, part: float, now: Instant
     ) -> None:
         self._divides_at = Instant(now + self._policy.period)
-        found = demands.demands(now)
-        self._offered_by_class = {e.demand_class: e.offered for e in found}
-        accounts = {e.demand_class: e.accounts for e in found}
+        measured = demands.demands(now)
+        self._offered_by_class = {e.demand_class: e.offered for e in measured}
+        accounts = {e.demand_class: e.accounts for e in measured}
         offered = sum(self._offered_by_class.values())
         self._rates_by_class = fairness.divide(
             self._offered_by_class,
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/messages.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/messages.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of a service's capacity."""
+"""Define the messages between instances about a service's capacity."""
 
 from __future__ import annotations
 
@@ -10,69 +10,69 @@
 
 
 class DemandClass(msgspec.Struct, frozen=True, kw_only=True):
-    """Name whose requests share one part of a service's capacity."""
+    """Identify requests that share one part of a service's capacity."""
 
-    # 0 is the most urgent of callers' requests; calls that a text needs go
-    # before them.
+    # 0 is the most urgent priority of callers' requests; calls that text
+    # generation depends on precede it.
     priority: int
-    # None for requests without an account, and for the smallest accounts
-    # together.
+    # None for requests without an account, and for the combined smallest
+    # accounts.
     account: AccountName | None = None
 
 
 class ClassDemand(msgspec.Struct, frozen=True, kw_only=True):
-    """Say what one class asks of an instance."""
+    """Report the demand of one class at an instance."""
 
     demand_class: DemandClass
-    # Requests a second that came, those that were refused included.
+    # Arrived requests a second, including refused ones.
     offered: float
-    # Accounts that the class holds together.
+    # Number of accounts in the class.
     accounts: int = 1
-    # Requests that wait now.
+    # Number of waiting requests.
     waiting: int = 0
 
 
 class DemandReport(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell the broker of a service what an instance is asked for."""
+    """Report an instance's demand to the broker of a service."""
 
     service: ServiceName
     instance: InstanceId
-    # Grows with each report, so that one that arrives late is left out.
+    # Increases with each report, so that a delayed report is ignored.
     number: int
     demands: tuple[ClassDemand, ...]
-    # Requests of this instance at targets, on the average of late.
+    # Recent average of this instance's requests at targets.
     in_flight: float
     # Seconds within which callers want their answers.
     wanted_seconds: float = 0.0
-    # Requests a second that targets finished, and refused for want of room.
+    # Requests a second that targets finished, and refused as over capacity.
     finished: float = 0.0
     refused: float = 0.0
-    # Instances that come before the one that is asked and did not answer.
+    # Number of preceding brokers in the ranking that did not answer.
     passed_over: int = 0
 
 
 class ClassGrant(msgspec.Struct, frozen=True, kw_only=True):
-    """Say how much of a service's capacity one class may use."""
+    """Lend one class a rate of requests."""
 
     demand_class: DemandClass
-    # Requests a second that may be sent.
+    # Requests a second.
     rate: float
-    # The part of the class's requests that this is.
+    # Fraction of the class's requests that the rate covers.
     part: float
 
 
 class ClassPart(msgspec.Struct, frozen=True, kw_only=True):
-    """Say what part of a class's requests may be sent."""
+    """Admit a fraction of one class's requests."""
 
     demand_class: DemandClass
     part: float
 
 
 class PriorityLevel(msgspec.Struct, frozen=True, kw_only=True):
-    """Say up to where a priority's accounts get all that they ask for."""
+    """Set the rate up to which a priority's accounts are fully served."""
 
     priority: int
-    # Requests a second of one account over the whole fleet.
+    # Requests a second of one account in the whole fleet.
     level: float
 
 
@@ -80,21 +80,21 @@
     """Lend an instance a part of a service's capacity."""
 
     service: ServiceName
-    # The number of the report that this answers.
+    # Number of the report that the grant answers.
     number: int
-    # The classes that ask for more than their part.
+    # Classes with excess demand.
     grants: tuple[ClassGrant, ...]
-    # The same of classes that the instance did not report: where there are
-    # many accounts, most of an instance's requests are the first of theirs.
+    # Classes with excess demand that the instance did not report: with many
+    # accounts, most requests at an instance are the first of their account.
     parts: tuple[ClassPart, ...] = ()
     levels: tuple[PriorityLevel, ...] = ()
-    # Seconds from the sending of the report for which it may be used.
+    # Seconds of validity, from the sending of the report.
     valid_for: float
-    # False where the service has room for all that is asked.
+    # False if the service can serve all demand.
     is_congested: bool = True
-    # Second attempts a second that the instance may make.
+    # Second attempts a second that the instance may send.
     second_rate: float = 0.0
-    # Seconds after which capacity is expected for those that are refused.
+    # Seconds after which capacity for refused requests is expected.
     retry_after: float = 0.0
-    # The part of the service's capacity that nobody uses.
+    # Unused fraction of the service's capacity.
     free_part: float = 0.0
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/meters.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/meters.py
@@ -1,4 +1,4 @@
-"""Average over the last moments."""
+"""Compute exponential moving averages over time."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class RateMeter:
-    """Average how often something happens in a second."""
+    """Average the rate of events."""
 
     def __init__(self, seconds: float, now: Instant) -> None:
         self._seconds = seconds
         self._rate = 0.0
         self._at = now
 
-    def note(self, now: Instant, count: float = 1.0) -> None:
+    def record(self, now: Instant, count: float = 1.0) -> None:
         """Count one or more events."""
         self._rate = self.rate(now) + count / self._seconds
         self._at = now
 
     def rate(self, now: Instant) -> float:
-        """Return the events a second."""
+        """Return the average events a second."""
         return self._rate * math.exp(-max(0.0, now - self._at) / self._seconds)
 
 
 class LevelMeter:
-    """Average a number over time, the last moments weighing most."""
+    """Average a level over time."""
 
     def __init__(self, seconds: float, now: Instant) -> None:
         self._seconds = seconds
@@ -35,12 +35,11 @@
         self._at = now
 
     def set(self, level: float, now: Instant) -> None:
-        """Change the number from now on."""
+        """Change the level from now on."""
         self._average = self.average(now)
         self._level = level
         self._at = now
 
     def average(self, now: Instant) -> float:
-        """Return what the number was lately."""
-        left = math.exp(-max(0.0, now - self._at) / self._seconds)
-        return self._level + left * (self._average - self._level)
+        decay = math.exp(-max(0.0, now - self._at) / self._seconds)
+        return self._level + decay * (self._average - self._level)
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/overview.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/overview.py
@@ -1,4 +1,4 @@
-"""Show operators who is lent what of a service, who waits and why."""
+"""Show operators how a service's capacity is lent and used."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 
 
 class ClassOverview(msgspec.Struct, frozen=True, kw_only=True):
-    """Show one priority and account; rates are requests a second."""
+    """Summarize one priority and account; rates are requests a second."""
 
     priority: int
-    # None for the smallest accounts together, and for none.
+    # None for requests without an account and the combined smallest accounts.
     account: AccountName | None
     offered: float
-    # None where nothing bounds it.
+    # None if unlimited.
     lent: float | None = None
     refused: float = 0.0
     waiting: int = 0
-    # Seconds that one more request would wait, none if for ever.
+    # Seconds that one more request would wait, None if indefinitely.
     predicted_wait: float | None = 0.0
 
 
 class ServiceOverview(msgspec.Struct, frozen=True, kw_only=True):
-    """Show one service as an instance knows it."""
+    """Summarize one service as observed by an instance."""
 
     service: ServiceName
     is_congested: bool
-    # What lends to this instance, none if the local limit decides.
+    # Broker that lends to this instance, None if the local limit decides.
     broker: str | None
     places: int
     in_flight: int
-    # Seconds that targets take.
+    # Mean service time of targets.
     service_seconds: float | None
     classes: tuple[ClassOverview, ...]
-    # Of the broker, where this instance is it: what the service can serve,
-    # what is lent of it, and what the whole fleet is asked for.
+    # Set only where this instance is the broker: the service's capacity, the
+    # lent rate and the demand of the fleet.
     capacity: float | None = None
     lent: float | None = None
     fleet: tuple[ClassOverview, ...] = ()
--- a/packages/yuccarill-core/src/yuccarill/core/flow/__init__.py
+++ b/packages/yuccarill-core/src/yuccarill/core/flow/__init__.py
@@ -1,1 +1,1 @@
-"""Bound what is held for slow readers and writers."""
+"""Limit the time and memory spent on slow readers and writers."""
--- a/packages/yuccarill-core/src/yuccarill/core/flow/budget.py
+++ b/packages/yuccarill-core/src/yuccarill/core/flow/budget.py
@@ -1,4 +1,4 @@
-"""Bound what a process holds for others."""
+"""Limit the memory that a process uses for requests and answers."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 HolderId = NewType('HolderId', int)
 
-# Bytes that a process takes with nothing held.
+# Bytes that a process uses without buffered data.
 BASE_BYTES = 64 << 20
-# Room that one long body needs, however small the machine is.
+# Minimum bound of a process, so that a body of maximum length fits.
 MIN_PROCESS_BYTES = 16 << 20
-# Bytes of one answer that are taken in ahead of its client.
+# Bytes of a resumable answer that are buffered ahead of its client.
 REQUEST_BYTES = 256 << 10
-# Parts of what a process may hold.
+# Divisors of the process bound.
 CONNECTION_PART = 8
 ACCOUNT_PART = 2
-# Part of its bound at which a process takes nothing in ahead any more.
+# Divisor of a bound for the level above which reading ahead pauses.
 AHEAD_PART = 2
 
 
 class MemoryBounds(msgspec.Struct, frozen=True, kw_only=True):
-    """Set how many bytes may be held, from the machine's memory."""
+    """Store the maximum numbers of buffered bytes."""
 
     request: int
     connection: int
@@ -37,8 +37,8 @@
 
 
 def bounds(memory: int) -> MemoryBounds:
-    """Return the bounds for a machine with some bytes of memory."""
-    # What is held may be there twice while it is copied for a socket.
+    """Return the bounds for a machine's memory in bytes."""
+    # Buffered data may exist twice while it is copied to a socket.
     process = max(MIN_PROCESS_BYTES, (memory - BASE_BYTES) // 2)
     return MemoryBounds(
         request=REQUEST_BYTES,
@@ -49,45 +49,45 @@
 
 
 class Holding(enum.Enum):
-    """Say what bytes are held for."""
+    """List the kinds of buffered data."""
 
-    # A body that a client still sends, or that no target has taken.
+    # A body that is incomplete or not yet sent to a target.
     REQUEST_BODY = 'request body'
-    # An answer that its client has not read.
+    # Part of an answer that the client has not read.
     ANSWER = 'answer'
 
 
 class Pressure(enum.Enum):
-    """Say what is to be done for bytes that come."""
+    """List the reactions to received bytes."""
 
     NONE = 'none'
-    # Read no more from whoever sends them.
+    # Stop reading from the sender.
     PAUSE = 'pause'
-    # Give up what holds them.
+    # Drop requests, as chosen by `MemoryBudget.drops`.
     DROP = 'drop'
 
 
 class Stage(enum.Enum):
-    """Say how far a request is."""
+    """List the stages of a request."""
 
-    # Its body is not whole; nothing of it has run.
+    # The body is incomplete; nothing has run.
     ARRIVING = 'arriving'
-    # It is served, and ends by its own deadline.
+    # A target serves the request, which ends by its own deadline.
     SERVED = 'served'
-    # Its client reads the answer.
+    # The client reads the answer.
     ANSWERED = 'answered'
-    # As before, and the client can ask for the rest.
+    # The client reads the answer and can resume it.
     RESUMABLE = 'resumable'
 
 
-# Those that may be given up, the least harmful first. A body that is still
-# sent belongs to a client that works; one that reads slowly has had its turn.
+# Stages that may be dropped, the least harmful first: a resumed answer goes
+# on, an arriving request hasn't run, an unread answer is lost.
 DROP_ORDER = (Stage.RESUMABLE, Stage.ARRIVING, Stage.ANSWERED)
 
 
 @dataclasses.dataclass
 class Holder:
-    """Hold the account of one connection's request."""
+    """Track the bytes buffered for one connection's request."""
 
     id: HolderId
     account: AccountName | None = None
@@ -102,23 +102,22 @@
 
 
 class Scope(enum.Enum):
-    """Name a bound."""
+    """List the bounds that cause drops."""
 
     ACCOUNT = 'account'
     PROCESS = 'process'
 
 
 class Drop(msgspec.Struct, frozen=True, kw_only=True):
-    """Name a holder that is to be given up, and why."""
+    """Name a holder to drop and the exceeded bound."""
 
     holder: HolderId
     stage: Stage
-    # The bound that was passed.
     scope: Scope
 
 
 class MemoryBudget:
-    """Account for what is held, and decide who goes over a bound."""
+    """Count buffered bytes and choose which holders to drop."""
 
     def __init__(self, bounds: MemoryBounds) -> None:
         self.bounds = bounds
@@ -127,7 +126,7 @@
         self._held_by_account: dict[AccountName, int] = {}
 
     def hold(self, holder: Holder, holding: Holding, count: int) -> Pressure:
-        """Note how many bytes a holder holds of a kind now."""
+        """Set a holder's buffered bytes of one kind; return the pressure."""
         before = holder.bytes_by_holding.get(holding, 0)
         if count:
             holder.bytes_by_holding[holding] = count
@@ -140,7 +139,7 @@
         return self._pressure(holder, holding, count)
 
     def own(self, holder: Holder, account: AccountName | None) -> None:
-        """Note whose request a holder serves."""
+        """Set the client account of a holder's request."""
         if account != holder.account:
             held = holder.held
             self._add(holder.account, -held)
@@ -148,12 +147,12 @@
             self._add(account, held)
 
     def release(self, holder: Holder) -> None:
-        """Forget a holder that has ended."""
+        """Remove a holder whose request has ended."""
         for holding in list(holder.bytes_by_holding):
             self.hold(holder, holding, 0)
 
     def drops(self) -> list[Drop]:
-        """Return who is to be given up, in order, until every bound holds."""
+        """Return the holders to drop, in order, until every bound is met."""
         found: list[Drop] = []
         for account, held in self._held_by_account.items():
             if held > self.bounds.account:
@@ -203,21 +202,21 @@
         if self.held > self.bounds.process or of_account > self.bounds.account:
             return Pressure.DROP
         if holding is Holding.REQUEST_BODY or not count:
-            # A body that waits for others' bytes to go might wait for good.
+            # A paused body could wait indefinitely for other requests.
             return Pressure.NONE
-        # A target cuts what stays unread, which only a stream that may be
-        # resumed can bear.
-        ahead = (
+        # A target disconnects if its answer stays unread, so an answer that
+        # can't be resumed is buffered up to a larger bound.
+        ahead_bound = (
             self.bounds.request
             if holder.stage is Stage.RESUMABLE
             else self.bounds.connection
         )
-        is_ahead = (
-            holder.held > ahead
+        should_pause = (
+            holder.held > ahead_bound
             or self.held > self.bounds.process // AHEAD_PART
             or of_account > self.bounds.account // AHEAD_PART
         )
-        return Pressure.PAUSE if is_ahead else Pressure.NONE
+        return Pressure.PAUSE if should_pause else Pressure.NONE
 
     def _add(self, account: AccountName | None, count: int) -> None:
         self.held += count
--- a/packages/yuccarill-core/tests/calls/test_admission.py
+++ b/packages/yuccarill-core/tests/calls/test_admission.py
@@ -1,4 +1,4 @@
-"""Test which calls go on, wait or are refused."""
+"""Test which calls are admitted, queued or refused."""
 
 from __future__ import annotations
 
@@ -56,9 +56,9 @@
         self.offer(call('app'))
         self.assertEqual(['app', 'feed'], self.admit(2.0))
 
-    def test_latency_class_goes_past_a_low_limit(self) -> None:
-        # This instance's limit came out at half of its neighbours'. Its
-        # riders must not wait for that while internal calls run.
+    def test_latency_class_exceeds_a_low_limit(self) -> None:
+        # Guard against latency calls that are queued at an instance with a
+        # low limit while other instances run internal calls.
         self.admission = admission.Admission(
             admission.AdmissionPolicy(headroom=2.0)
         )
@@ -76,16 +76,16 @@
             self.admission.finish()
         self.assertEqual(3, counts['feed'])
 
-    def test_sheds_the_internal_class_first_and_its_largest_part(self) -> None:
+    def test_sheds_the_internal_class_and_largest_caller_first(self) -> None:
         for caller in ('small', 'large', 'large', 'large'):
             self.assertEqual([], self.offer(call(caller, INTERNAL)))
         for _ in range(2):
             self.assertEqual([], self.offer(call('app')))
         self.assertEqual(['large'], self.offer(call('app')))
 
-    def test_refuses_at_once_what_would_be_late(self) -> None:
-        # Places come free every 2 s and five calls wait. A call with 5 s
-        # left is told now, not when its time is over.
+    def test_refuses_calls_that_would_miss_their_deadline(self) -> None:
+        # Guard against a call that is queued although its deadline is before
+        # its expected start: one slot is released every 2 s.
         self.admit()
         for n in range(60):
             self.offer(call('app', seconds=1000.0))
@@ -95,7 +95,7 @@
         refused = self.offer(call('late', seconds=5.0))
         self.assertEqual(['late'], refused)
 
-    def test_gives_up_what_can_not_be_in_time_any_more(self) -> None:
+    def test_gives_up_calls_that_would_miss_their_deadline(self) -> None:
         self.offer(call('late', seconds=1.0))
         self.offer(call('good', seconds=10.0))
         admitted, given_up = self.admission.admit(2.0, 0.5, Instant(NOW + 0.8))
@@ -114,15 +114,15 @@
             max_size=60,
         )
     )
-    def test_as_a_list_that_is_sorted_each_time(
-        self, moves: list[tuple[str, int, CallerClass]]
+    def test_matches_a_list_of_waiting_calls(
+        self, operations: list[tuple[str, int, CallerClass]]
     ) -> None:
-        # The naive queue is a list. Every call ends in exactly one way,
-        # and admitted calls of a caller go in the order of their coming.
-        made = admission.Admission[int](POLICY)
+        # Model: a plain list. Each call ends exactly once, and a caller's
+        # calls are admitted in the order of arrival.
+        queue = admission.Admission[int](POLICY)
         waiting: list[admission.Waiting[int]] = []
-        for number, (move, who, caller_class) in enumerate(moves):
-            if move == 'offer':
+        for number, (operation, who, caller_class) in enumerate(operations):
+            if operation == 'offer':
                 new = admission.Waiting(
                     number,
                     CallerId(f'{caller_class}{who}'),
@@ -130,24 +130,24 @@
                     who + 1,
                     Instant(NOW + 1e6),
                 )
-                refused = made.offer(new, 0.0, 0.1, NOW)
+                refused = queue.offer(new, 0.0, 0.1, NOW)
                 waiting.append(new)
                 for one in refused:
                     waiting.remove(one)
-            elif move == 'admit':
-                admitted, given_up = made.admit(1.0, 0.1, NOW)
+            elif operation == 'admit':
+                admitted, given_up = queue.admit(1.0, 0.1, NOW)
                 self.assertEqual([], given_up)
                 self.assertEqual(min(1, len(waiting)), len(admitted))
                 for one in admitted:
-                    mine = [w for w in waiting if w.caller == one.caller]
-                    self.assertIs(mine[0], one)
+                    of_caller = [w for w in waiting if w.caller == one.caller]
+                    self.assertIs(of_caller[0], one)
                     waiting.remove(one)
-                    made.finish()
+                    queue.finish()
             elif waiting:
-                gone = waiting.pop(who % len(waiting))
-                made.withdraw(gone)
-            self.assertEqual(len(waiting), made.queued)
-            self.assertLessEqual(made.queued, POLICY.queued)
+                withdrawn = waiting.pop(who % len(waiting))
+                queue.withdraw(withdrawn)
+            self.assertEqual(len(waiting), queue.queued)
+            self.assertLessEqual(queue.queued, POLICY.queued)
 
     def test_shares_between_callers(self) -> None:
         policy = admission.AdmissionPolicy(queued=1000, headroom=1.0)
--- a/packages/yuccarill-core/tests/calls/test_extra_attempts.py
+++ b/packages/yuccarill-core/tests/calls/test_extra_attempts.py
@@ -1,4 +1,4 @@
-"""Test budgets, hedging and the division of time."""
+"""Test retry budgets, hedge delays and attempt deadlines."""
 
 from __future__ import annotations
 
@@ -13,14 +13,13 @@
 
 
 class BudgetTest(unittest.TestCase):
-    def test_extra_attempts_stay_a_part_of_the_first(self) -> None:
-        # All targets fail. Without a budget each call is sent three times
-        # and the targets never come back under that load.
-        made = budget.AttemptBudget(budget.BudgetPolicy())
+    def test_extra_attempts_are_limited_to_a_fraction(self) -> None:
+        # Guard against retries that multiply the load of failing targets.
+        attempt_budget = budget.AttemptBudget(budget.BudgetPolicy())
         extra = 0
         for _ in range(1000):
-            made.deposit()
-            extra += made.withdraw()
+            attempt_budget.deposit()
+            extra += attempt_budget.withdraw()
         self.assertLessEqual(extra, 110)
 
 
@@ -43,7 +42,7 @@
     def test_divides_the_time_left(
         self, attempts: int, expected: float, share: float
     ) -> None:
-        found = deadlines.attempt_deadline(
+        deadline = deadlines.attempt_deadline(
             Instant(1.0), Instant(10.0), attempts, expected
         )
-        self.assertAlmostEqual(1.0 + share, found)
+        self.assertAlmostEqual(1.0 + share, deadline)
--- a/packages/yuccarill-core/tests/calls/test_ledger.py
+++ b/packages/yuccarill-core/tests/calls/test_ledger.py
@@ -1,4 +1,4 @@
-"""Test the memory of non-repeatable requests."""
+"""Test the ledger of non-repeatable requests."""
 
 from __future__ import annotations
 
@@ -47,8 +47,8 @@
         self.ledger.finish(self.ticket, REQUEST, stage, answer)
 
     def test_repeat_while_running_does_not_start(self) -> None:
-        # The caller's first try is on its way to the target when its
-        # repeat arrives. A second start would charge the rider twice.
+        # Guard against a request that runs twice since its repeat arrives
+        # during the first run.
         self.assertIsNone(self.begin())
         record = self.begin()
         assert record is not None
@@ -62,9 +62,8 @@
         self.assertEqual(ANSWER, record.answer)
 
     def test_not_run_is_final(self) -> None:
-        # A caller was told that its request has not run, and told its
-        # rider so. A copy of that request, delayed at another instance,
-        # arrives after that and must not start.
+        # Guard against a delayed copy that starts after the caller was
+        # answered that the request has not run.
         self.begin()
         self.finish(ledger.Stage.NOT_RUN)
         record = self.begin()
@@ -77,13 +76,13 @@
             self.begin(digest=DIGEST + 1)
 
     def test_expired_ticket_starts_nothing(self) -> None:
-        # The records of an expired ticket may be gone. A first try and a
-        # repeat of a request that ran look the same then.
+        # Guard against a repeat that starts since the record of the first
+        # submission was dropped.
         with self.assertRaises(errors.TicketExpired) as caught:
             self.begin(now=START + 10.0)
         self.assertFalse(caught.exception.not_run)
 
-    def test_records_outlive_their_ticket_and_then_go(self) -> None:
+    def test_records_are_dropped_some_time_after_their_ticket(self) -> None:
         self.begin()
         self.finish(ledger.Stage.ANSWERED, ANSWER)
         self.assertIsNotNone(self.begin(now=START + 29.0))
@@ -91,7 +90,7 @@
             self.begin(now=START + 31.0)
         self.assertEqual(0, len(self.ledger))
 
-    def test_refuses_a_made_up_expiry(self) -> None:
+    def test_refuses_a_forged_expiry(self) -> None:
         for ticket in (
             Ticket(
                 home=self.ticket.home,
@@ -104,10 +103,9 @@
             with self.assertRaises(errors.TicketError):
                 self.ledger.begin(ticket, REQUEST, DIGEST, START)
 
-    def test_refusal_of_a_full_ledger_stays_true(self) -> None:
-        # The ledger is full and a request is refused as not run, with no
-        # room to remember it. Room comes back, and a delayed copy of the
-        # refused request arrives. It must not start; a new ticket's may.
+    def test_refusal_of_a_full_ledger_is_final(self) -> None:
+        # Guard against a delayed copy of a refused request that starts once
+        # the ledger has free records again.
         self.ledger = ledger.Ledger(ledger.Limits(3, 8, 2.0, 10.0))
         early = self.ticket = self.issue(START)
         for name in 'xyz':
@@ -147,32 +145,32 @@
             max_size=60,
         )
     )
-    def test_as_a_ledger_that_never_forgets(
-        self, moves: list[tuple[str, int, int, ledger.Stage]]
+    def test_matches_a_ledger_without_expiry(
+        self, operations: list[tuple[str, int, int, ledger.Stage]]
     ) -> None:
-        # The naive ledger keeps every start and every refusal for ever. No
-        # start of the real one may be one that the naive one has seen.
-        real = ledger.Ledger(LIMITS)
+        # Model: sets of all started and all refused requests. No request
+        # of either set may start.
+        real_ledger = ledger.Ledger(LIMITS)
         now = START
         tickets: list[Ticket] = []
         started: set[tuple[Ticket, RequestId]] = set()
         refused: set[tuple[Ticket, RequestId]] = set()
-        for move, which, name, stage in moves:
-            if move == 'issue' or not tickets:
+        for operation, ticket_index, name, stage in operations:
+            if operation == 'issue' or not tickets:
                 tickets.append(
-                    real.issue(InstanceId('a'), Incarnation('1'), now)
+                    real_ledger.issue(InstanceId('a'), Incarnation('1'), now)
                 )
-            ticket = tickets[-1 - which % len(tickets)]
+            ticket = tickets[-1 - ticket_index % len(tickets)]
             key = (ticket, RequestId(str(name)))
-            if move == 'wait':
+            if operation == 'wait':
                 now = WallTime(now + 4.0 * name)
-            elif move == 'finish':
-                record = real.find(*key)
+            elif operation == 'finish':
+                record = real_ledger.find(*key)
                 if record and record.stage is ledger.Stage.RUNNING:
-                    real.finish(*key, stage, ANSWER)
-            elif move == 'begin':
+                    real_ledger.finish(*key, stage, ANSWER)
+            elif operation == 'begin':
                 try:
-                    if real.begin(*key, DIGEST, now) is None:
+                    if real_ledger.begin(*key, DIGEST, now) is None:
                         self.assertNotIn(key, started | refused)
                         started.add(key)
                 except errors.Overloaded:
@@ -180,4 +178,4 @@
                     refused.add(key)
                 except errors.TicketError:
                     pass
-            self.assertLessEqual(len(real), LIMITS.records)
+            self.assertLessEqual(len(real_ledger), LIMITS.records)
--- a/packages/yuccarill-core/tests/calls/test_paths.py
+++ b/packages/yuccarill-core/tests/calls/test_paths.py
@@ -1,4 +1,4 @@
-"""Test which paths run at most once."""
+"""Test which paths are repeatable."""
 
 from __future__ import annotations
 
--- a/packages/yuccarill-core/tests/calls/test_ticket.py
+++ b/packages/yuccarill-core/tests/calls/test_ticket.py
@@ -14,7 +14,7 @@
 
 
 class TicketTest(unittest.TestCase):
-    def test_reads_what_it_wrote(self) -> None:
+    def test_parses_its_text_form(self) -> None:
         ticket = ticket_module.Ticket(
             home=InstanceId('entry-1'),
             incarnation=Incarnation('ab12'),
@@ -24,6 +24,6 @@
         self.assertEqual(ticket, ticket_module.parse(str(ticket)))
 
     @params('', 'a/b/1', 'a/b/x/1', 'a/b/1/', 'a//1/1', 'a/b/1/\u00b2')
-    def test_refuses_others(self, text: str) -> None:
+    def test_refuses_malformed_text(self, text: str) -> None:
         with self.assertRaises(errors.TicketError):
             ticket_module.parse(text)
--- a/packages/yuccarill-core/tests/capacity/test_fairness.py
+++ b/packages/yuccarill-core/tests/capacity/test_fairness.py
@@ -52,7 +52,7 @@
         expected: dict[int, float],
     ) -> None:
         policy = fairness.SharePolicy()
-        found = fairness.by_priority(wanted, capacity, policy)
+        found = fairness.divide_by_priority(wanted, capacity, policy)
         self.assertEqual(expected.keys(), found.keys())
         for priority, amount in expected.items():
             self.assertAlmostEqual(amount, found[priority])
--- a/packages/yuccarill-core/tests/capacity/test_service_gate.py
+++ b/packages/yuccarill-core/tests/capacity/test_service_gate.py
@@ -236,8 +236,8 @@
         meter = demand.DemandMeter(policy)
         for number in range(100_000):
             key = DemandClass(priority=5, account=AccountName(f'a{number}'))
-            meter.note(key, Instant(number * 0.0001))
-            meter.note(FLOOD, Instant(number * 0.0001))
+            meter.record(key, Instant(number * 0.0001))
+            meter.record(FLOOD, Instant(number * 0.0001))
         demands = meter.demands(Instant(10.0))
         self.assertLessEqual(len(demands), policy.accounts + 1)
         offered = {d.demand_class: d.offered for d in demands}
--- a/packages/yuccarill-core/tests/flow/test_body_deadline.py
+++ b/packages/yuccarill-core/tests/flow/test_body_deadline.py
@@ -1,4 +1,4 @@
-"""Test how long a body may take."""
+"""Test the deadlines of a request body."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from yuccarill.core.ids import Instant
 
 STEP = body_deadline.PROGRESS_SECONDS / 2
-# Seconds before the end of each half at which bytes come.
+# Seconds before the end of each step at which bytes arrive.
 EARLY = 0.5
 
 
 class BodyDeadlineTest(unittest.TestCase):
-    # Bytes that come in each half of the time, and when the body is given up.
+    # Bytes that arrive in each step, and when the body is given up.
     @params(
         ([], 2 * STEP),
-        # One byte at a time would hold a connection for good.
+        # Guard against a client that holds a connection by single bytes.
         ([1] * 50, 2 * STEP),
         ([300] * 3, 2 * STEP - EARLY + 2 * STEP),
         ([512] * 3, 3 * STEP - EARLY + 2 * STEP),
-        # One that goes on is bounded all the same.
+        # A body that makes progress still has a final deadline.
         ([512] * 50, body_deadline.BODY_SECONDS),
     )
     def test_ends(self, parts: list[int], expected: float) -> None:
--- a/packages/yuccarill-core/tests/flow/test_budget.py
+++ b/packages/yuccarill-core/tests/flow/test_budget.py
@@ -1,4 +1,4 @@
-"""Test who is paused and who goes first over a bound of memory."""
+"""Test which holders are paused or dropped over a memory bound."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
         self.budget = budget.MemoryBudget(BOUNDS)
 
     def hold(self, *rows: tuple[Stage, Holding, int, str]) -> Pressure:
-        """Let one holder a row hold something; returns the last's pressure."""
+        """Buffer bytes for one holder per row; return the last pressure."""
         found = Pressure.NONE
         for number, (stage, holding, count, account) in enumerate(rows):
             each = holder(number, stage, account)
@@ -46,14 +46,14 @@
     def dropped(self) -> list[int]:
         return [int(drop.holder) for drop in self.budget.drops()]
 
-    # The last row is that of the holder whose pressure is asked.
+    # The expected pressure is that of the last row's holder.
     @params(
         ([(RESUMABLE, ANSWER, 10, '')], Pressure.NONE),
         ([(RESUMABLE, ANSWER, 11, '')], Pressure.PAUSE),
-        # What can't be resumed is taken in ahead: its target cuts it else.
+        # An answer that can't be resumed is buffered up to a larger bound.
         ([(ANSWERED, ANSWER, 40, '')], Pressure.NONE),
         ([(ANSWERED, ANSWER, 41, '')], Pressure.PAUSE),
-        # A body that waited for room might wait for good.
+        # A paused body could wait indefinitely.
         ([(ARRIVING, BODY, 150, '')], Pressure.NONE),
         ([(SERVED, BODY, 99, ''), (RESUMABLE, ANSWER, 1, '')], Pressure.NONE),
         (
@@ -76,8 +76,8 @@
 
     @params(
         ([(RESUMABLE, ANSWER, 200, '')], []),
-        # A stream that its client can resume goes before a body that comes,
-        # and that before an answer that would be lost.
+        # A resumable answer is dropped before an arriving body, and that
+        # before an answer that would be lost.
         (
             [
                 (ANSWERED, ANSWER, 90, ''),
@@ -87,7 +87,7 @@
             [2],
         ),
         ([(ANSWERED, ANSWER, 190, ''), (ARRIVING, BODY, 20, '')], [1]),
-        # Among equals, who holds most.
+        # Within a stage, the holder of most bytes is dropped.
         (
             [
                 (RESUMABLE, ANSWER, 60, ''),
@@ -96,7 +96,7 @@
             ],
             [1],
         ),
-        # As many as it takes.
+        # As many are dropped as necessary.
         (
             [
                 (SERVED, BODY, 190, ''),
@@ -106,17 +106,17 @@
             ],
             [1, 2, 3],
         ),
-        # What is served ends by its own deadline.
+        # A served request ends by its own deadline.
         ([(SERVED, BODY, 300, '')], []),
     )
-    def test_who_goes_over_the_bound_of_the_process(
+    def test_drops_over_the_process_bound(
         self, rows: list, expected: list[int]
     ) -> None:
         self.hold(*rows)
         self.assertEqual(expected, self.dropped())
 
-    def test_one_account_over_its_bound_costs_no_other_one(self) -> None:
-        """Guard against one account's slow readers ending another's."""
+    def test_account_bound_drops_only_that_account(self) -> None:
+        """Guard against an account's slow readers that drop other accounts."""
         self.hold(
             (RESUMABLE, ANSWER, 80, 'b'),
             (ANSWERED, ANSWER, 60, 'a'),
@@ -125,8 +125,8 @@
         self.assertEqual([1], self.dropped())
         self.assertIs(budget.Scope.ACCOUNT, self.budget.drops()[0].scope)
 
-    def test_what_is_given_back_is_not_held(self) -> None:
-        """Guard against bytes that stay in the account of who has ended."""
+    def test_released_bytes_are_not_counted(self) -> None:
+        """Guard against bytes that stay counted after a request has ended."""
         first = holder(1, ANSWERED, 'a')
         self.budget.hold(first, ANSWER, 70)
         self.budget.hold(first, BODY, 20)
@@ -139,14 +139,12 @@
         self.assertIs(Pressure.NONE, self.budget.hold(again, BODY, 100))
 
     @params(160e6, 300e6, 552e6)
-    def test_a_body_of_the_longest_kind_fits_twice_beside_the_program(
-        self, memory: float
-    ) -> None:
+    def test_a_body_of_maximum_length_fits_twice(self, memory: float) -> None:
         found = budget.bounds(int(memory))
         self.assertGreater(found.process, 32 << 20)
         self.assertLessEqual(budget.BASE_BYTES + 2 * found.process, memory)
         self.assertLess(found.request, found.connection)
         self.assertLess(found.connection, found.account)
 
-    def test_a_very_small_machine_has_bounds_all_the_same(self) -> None:
+    def test_a_very_small_machine_has_a_minimum_bound(self) -> None:
         self.assertEqual(budget.MIN_PROCESS_BYTES, budget.bounds(1).process)
