--- a/packages/yuccarill-core/src/yuccarill/core/calls/admission.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/admission.py
@@ -26,7 +26,7 @@
     queued: int = 1024
     # Every n-th admission prefers the internal class, to prevent starvation.
     internal_turn: int = 10
-    # Factor on the limit up to which the latency class is admitted.
+    # Multiple of the limit up to which the latency class is admitted.
     headroom: float = 2.0
     # Seconds assumed for a call while no latency is measured.
     latency: float = 0.1
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/estimate.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/estimate.py
@@ -35,7 +35,7 @@
     period: float = 0.2
     # Seconds in which a surplus or shortage at targets is corrected.
     settle: float = 0.5
-    # The same as a multiple of the service time; the lesser applies.
+    # Upper bound of `settle`, as a multiple of the service time.
     settle_services: float = 4.0
     # Bounds of the rate as multiples of the measured capacity.
     lowest: float = 0.3
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/local_limit.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/local_limit.py
@@ -22,7 +22,7 @@
 
     # Requests sent per request that targets accepted.
     ratio: float = 1.3
-    # The same while answers are late.
+    # Requests sent per accepted request while answers are late.
     late_ratio: float = 0.7
     # Seconds over which requests are averaged.
     window: float = 1.0
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/service_gate.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/service_gate.py
@@ -230,14 +230,12 @@
             request.demand_class, self._demand, is_late, now
         ):
             return self._allow()
-        return self._refuse(request, 0.0, 'its targets refuse requests', now)
+        return self._refuse(request, 0.0, 'the targets are overloaded', now)
 
     def _rule_by_lane(self, request: CapacityRequest, now: Instant) -> Ruling:
         seconds = self.signs.service_seconds or 0.0
         if now + seconds > request.deadline:
-            return self._refuse(
-                request, 0.0, 'it would miss its deadline', now
-            )
+            return self._refuse(request, 0.0, 'it would end too late', now)
         match self._lanes.draw_admission(request.demand_class):
             case True:
                 return self._allow()
--- a/packages/yuccarill-core/src/yuccarill/core/flow/budget.py
+++ b/packages/yuccarill-core/src/yuccarill/core/flow/budget.py
@@ -80,8 +80,8 @@
     RESUMABLE = 'resumable'
 
 
-# Stages that may be dropped, the least harmful first: a resumed answer goes
-# on, an arriving request hasn't run, an unread answer is lost.
+# Stages that may be dropped, the least harmful first: a client can resume its
+# answer, an arriving request has not run, any other unread answer is lost.
 DROP_ORDER = (Stage.RESUMABLE, Stage.ARRIVING, Stage.ANSWERED)
 
 
--- a/packages/yuccarill-core/tests/capacity/load.py
+++ b/packages/yuccarill-core/tests/capacity/load.py
@@ -1,7 +1,7 @@
-"""Play requests against gates and a broker, without network or clock.
+"""Simulate gates, brokers and targets, without network or clock.
 
-Targets run `slots` requests at once, queue as many more, and refuse what
-comes beyond that. Messages take a millisecond one way.
+Targets run `slots` requests at once, queue as many more and refuse the rest.
+Messages take a millisecond one way.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass
 class Arrival:
-    """Hold a request, and what became of it."""
+    """Store a request and its outcome."""
 
     request: CapacityRequest
     work: float
@@ -52,8 +52,8 @@
     ended_at: float | None = None
     retry_after: float | None = None
     attempts: int = 0
-    # How often its caller came back before.
-    returned: int = 0
+    # Number of earlier retries by the caller.
+    retries: int = 0
 
     @property
     def at(self) -> float:
@@ -78,7 +78,7 @@
 
 @dataclasses.dataclass
 class Setting:
-    """Describe a service and how requests are ruled on."""
+    """Configure a simulated service and its admission control."""
 
     instances: int = 73
     targets: int = 3
@@ -86,9 +86,9 @@
     work: float = 0.025
     objective: float = 0.15
     deadline: float = 2.0
-    # Whether there is a broker; without it each instance is alone.
+    # Whether brokers lend capacity; otherwise each instance decides alone.
     is_shared: bool = True
-    # Without gates all is sent, five times if need be.
+    # Without gates, each request is sent up to five times.
     has_gates: bool = True
     seed: int = 1
 
@@ -101,24 +101,24 @@
         return self.places / self.work
 
 
-def requests(
+def draw_arrivals(
     setting: Setting,
     rates_by_account: dict[str | None, Callable[[float], float] | float],
     until: float,
     priorities_by_account: dict[str | None, int] | None = None,
 ) -> list[Arrival]:
-    """Draw the requests of each account at its rate over time."""
-    draw = random.Random(setting.seed)
-    found: list[Arrival] = []
+    """Draw random requests of each account at its rate over time."""
+    rng = random.Random(setting.seed)
+    arrivals: list[Arrival] = []
     numbers = itertools.count()
     priorities = priorities_by_account or {}
     for account, given in rates_by_account.items():
         rate = given if callable(given) else lambda _, same=given: same
         highest = max(rate(until * n / 100.0) for n in range(100))
-        at = draw.expovariate(highest) if highest else until
+        at = rng.expovariate(highest) if highest else until
         while at < until:
-            if draw.random() * highest < rate(at):
-                found.append(
+            if rng.random() * highest < rate(at):
+                arrivals.append(
                     Arrival(
                         CapacityRequest(
                             id=RequestId(str(next(numbers))),
@@ -130,32 +130,32 @@
                             wanted_by=Instant(at + setting.objective),
                             deadline=Instant(at + setting.deadline),
                         ),
-                        setting.work * draw.uniform(0.5, 1.5),
-                        draw.randrange(setting.instances),
+                        setting.work * rng.uniform(0.5, 1.5),
+                        rng.randrange(setting.instances),
                     )
                 )
-            at += draw.expovariate(highest)
-    return sorted(found, key=lambda each: each.at)
+            at += rng.expovariate(highest)
+    return sorted(arrivals, key=lambda each: each.at)
 
 
-def best(
+def best_in_time(
     setting: Setting,
     arrivals: list[Arrival],
-    speed: Callable[[float], float] = lambda at: 1.0,
+    slowdown: Callable[[float], float] = lambda at: 1.0,
 ) -> int:
-    """Count what one queue serves in time that knows every place.
+    """Return the number that one central queue serves in time.
 
-    It knows when a place gets free, and not how long a request will take;
-    of several bounds of waiting the one that serves most counts.
+    The queue knows when a slot is released, not the work of a request; the
+    best of several bounds on waiting counts.
     """
     bounds = [part * setting.objective for part in (0.0, 0.05, 0.2, 0.5)]
-    return max(_served(setting, arrivals, speed, bound) for bound in bounds)
+    return max(_served(setting, arrivals, slowdown, bound) for bound in bounds)
 
 
 def _served(
     setting: Setting,
     arrivals: list[Arrival],
-    speed: Callable[[float], float],
+    slowdown: Callable[[float], float],
     bound: float,
 ) -> int:
     free = [0.0] * setting.places
@@ -163,55 +163,53 @@
     for each in arrivals:
         start = max(each.at + 2 * ONE_WAY, free[0])
         if start - each.at - 2 * ONE_WAY <= bound:
-            end = start + each.work * speed(start)
+            end = start + each.work * slowdown(start)
             heapq.heapreplace(free, end)
             count += end + 2 * ONE_WAY <= each.request.wanted_by
     return count
 
 
-class Load:
-    """Play arrivals and keep what became of them."""
+class Model:
+    """Simulate arrivals and record their outcomes."""
 
     def __init__(self, setting: Setting, arrivals: list[Arrival]) -> None:
         self.setting = setting
         self.arrivals = arrivals
-        self.draw = random.Random(setting.seed + 1)
+        self.rng = random.Random(setting.seed + 1)
         self.now = Instant(0.0)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self.targets = [Target(setting.slots) for _ in range(setting.targets)]
-        # How many times the usual seconds work takes.
-        self.speed: Callable[[float], float] = lambda at: 1.0
+        # Factor on the seconds of work.
+        self.slowdown: Callable[[float], float] = lambda at: 1.0
         names = [InstanceId(f'i{n}') for n in range(setting.instances)]
         self.names = names
         self.gates = [self._gate(name) for name in names]
-        self.pools = [
-            pool.Pool(pool.RoutingPolicy(), self.draw) for _ in names
-        ]
+        self.pools = [pool.Pool(pool.RoutingPolicy(), self.rng) for _ in names]
         self.list_targets()
         self.brokers = [
             broker.CapacityBroker(SERVICE, broker.BrokerPolicy())
             for _ in range(min(3, len(names)))
         ]
-        # Calls of an instance to a broker that get no answer.
+        # Whether a call of an instance to a broker gets no answer.
         self.is_cut: Callable[[int, int, float], bool] = lambda i, b, at: False
-        self._suspected = [[0.0] * len(self.brokers) for _ in names]
+        self._suspected_until = [[0.0] * len(self.brokers) for _ in names]
         self.sent = 0
         self.refused_by_targets = 0
         self.second_at: list[float] = []
         self.first_at: list[float] = []
-        self.returns: Callable[[Arrival, float], bool] = lambda a, at: False
+        self.may_retry: Callable[[Arrival, float], bool] = lambda a, at: False
         self.messages = 0
         self._waiting_by_id: dict[RequestId, Arrival] = {}
         self._notified_at = -1.0
 
     def _gate(self, name: InstanceId) -> service_gate.ServiceGate:
         return service_gate.ServiceGate(
-            SERVICE, name, gate_policy.GatePolicy(), self.draw, Instant(0.0)
+            SERVICE, name, gate_policy.GatePolicy(), self.rng, Instant(0.0)
         )
 
     def list_targets(self) -> None:
-        """Let every instance know the targets that are there."""
+        """Update the targets of every instance."""
         here = DataCentreId('a')
         centres_by_id = {
             TargetId(str(number)): here
@@ -221,16 +219,16 @@
         for each in self.pools:
             each.update(centres_by_id, here, self.now)
 
-    def at(self, at: float, event: Callable[[], None]) -> None:
+    def call_at(self, at: float, event: Callable[[], None]) -> None:
         heapq.heappush(self._events, (at, next(self._order), event))
 
-    def play(self, until: float) -> None:
+    def run(self, until: float) -> None:
         for each in self.arrivals:
-            self.at(each.at, lambda each=each: self._offer(each))
+            self.call_at(each.at, lambda each=each: self._offer(each))
         if self.setting.is_shared and self.setting.has_gates:
             for number in range(self.setting.instances):
-                at = self.draw.uniform(0.0, REPORT_SECONDS)
-                self.at(at, lambda number=number: self._report(number))
+                at = self.rng.uniform(0.0, REPORT_SECONDS)
+                self.call_at(at, lambda number=number: self._report(number))
         while self._events and self._events[0][0] < until:
             at, _, event = heapq.heappop(self._events)
             self.now = Instant(at)
@@ -243,7 +241,7 @@
         gate = self.gates[arrival.instance]
         gate.signs.places = self.setting.places
         self._rule(arrival, gate.offer(arrival.request, self.now))
-        self._wake(arrival.instance)
+        self._schedule_wakeup(arrival.instance)
 
     def _rule(self, arrival: Arrival, ruling: Ruling) -> None:
         match ruling.answer:
@@ -254,33 +252,33 @@
             case Answer.WAIT:
                 self._waiting_by_id[arrival.request.id] = arrival
 
-    def _wake(self, number: int) -> None:
+    def _schedule_wakeup(self, number: int) -> None:
         at = self.gates[number].wakes_at(self.now)
         if at is not None:
-            self.at(max(at, self.now) + 1e-6, lambda: self._admit(number))
+            self.call_at(max(at, self.now) + 1e-6, lambda: self._admit(number))
 
     def _admit(self, number: int) -> None:
         for request, ruling in self.gates[number].admit(self.now):
             self._rule(self._waiting_by_id.pop(request.id), ruling)
-            self._wake(number)
+            self._schedule_wakeup(number)
 
     def _refuse(self, arrival: Arrival, retry_after: float) -> None:
         arrival.retry_after = retry_after
-        if not self.returns(arrival, self.now + retry_after):
+        if not self.may_retry(arrival, self.now + retry_after):
             return
         at = Instant(self.now + retry_after)
-        again = CapacityRequest(
+        request = CapacityRequest(
             id=RequestId(arrival.request.id + '+'),
             demand_class=arrival.request.demand_class,
             arrived_at=at,
             wanted_by=Instant(at + self.setting.objective),
             deadline=arrival.request.deadline,
         )
-        other = self.draw.randrange(self.setting.instances)
-        back = Arrival(again, arrival.work, other)
-        back.returned = arrival.returned + 1
-        self.arrivals.append(back)
-        self.at(at, lambda: self._offer(back))
+        instance = self.rng.randrange(self.setting.instances)
+        retry = Arrival(request, arrival.work, instance)
+        retry.retries = arrival.retries + 1
+        self.arrivals.append(retry)
+        self.call_at(at, lambda: self._offer(retry))
 
     def _send(self, arrival: Arrival, tried: frozenset[TargetId]) -> None:
         number = arrival.instance
@@ -295,7 +293,7 @@
         self.pools[number].send(chosen)
         self.gates[number].started(self.now)
         sent_at = self.now
-        self.at(
+        self.call_at(
             self.now + ONE_WAY,
             lambda: self._arrive(arrival, chosen, tried | {chosen}, sent_at),
         )
@@ -310,30 +308,30 @@
         target = self.targets[int(chosen)]
         if target.is_gone or len(target.queue) >= target.slots:
             self.refused_by_targets += 1
-            self.at(
+            self.call_at(
                 self.now + ONE_WAY,
                 lambda: self._refused(arrival, chosen, tried),
             )
             return
 
-        def run() -> None:
+        def start() -> None:
             target.running += 1
-            work = arrival.work * self.speed(self.now)
-            self.at(self.now + work, end)
+            work = arrival.work * self.slowdown(self.now)
+            self.call_at(self.now + work, end)
 
         def end() -> None:
             target.running -= 1
             if target.queue:
                 target.queue.popleft()()
-            self.at(
+            self.call_at(
                 self.now + ONE_WAY,
                 lambda: self._answered(arrival, chosen, sent_at),
             )
 
         if target.running < target.slots:
-            run()
+            start()
         else:
-            target.queue.append(run)
+            target.queue.append(start)
 
     def _answered(
         self, arrival: Arrival, chosen: TargetId, sent_at: Instant
@@ -361,11 +359,11 @@
             self._refuse(arrival, gate.retry_after(arrival.request, self.now))
 
     def _report(self, number: int) -> None:
-        self.at(self.now + REPORT_SECONDS, lambda: self._report(number))
+        self.call_at(self.now + REPORT_SECONDS, lambda: self._report(number))
         report = self.gates[number].report(self.now)
         if report is None:
             return
-        suspected = self._suspected[number]
+        suspected = self._suspected_until[number]
         for rank in range(len(self.brokers)):
             if suspected[rank] > self.now:
                 continue
@@ -373,11 +371,11 @@
             if self.is_cut(number, rank, self.now):
                 suspected[rank] = self.now + SUSPECT_SECONDS
                 return
-            told = msgspec.structs.replace(report, passed_over=rank)
+            ranked_report = msgspec.structs.replace(report, passed_over=rank)
             sent_at = self.now
-            self.at(
+            self.call_at(
                 self.now + ONE_WAY,
-                lambda: self._lend(number, rank, told, sent_at),
+                lambda: self._lend(number, rank, ranked_report, sent_at),
             )
             return
 
@@ -388,11 +386,11 @@
         grant = self.brokers[rank].lend(
             report, places, self.setting.instances, self.now
         )
-        self.at(
+        self.call_at(
             self.now + ONE_WAY,
             lambda: (
                 self.gates[number].grant(grant, sent_at),
-                self._wake(number),
+                self._schedule_wakeup(number),
             ),
         )
         if grant.is_congested:
--- a/packages/yuccarill-core/tests/capacity/test_broker.py
+++ b/packages/yuccarill-core/tests/capacity/test_broker.py
@@ -1,4 +1,4 @@
-"""Test what a broker lends, and for how long."""
+"""Test how a broker lends capacity."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 SERVICE = ServiceName('shop')
 PLACES = 10
 INSTANCES = 8
-# Each place serves ten requests a second, and all are in use.
+# Each slot serves ten requests a second, and all are in use.
 CAPACITY = 100.0
 CLASS = DemandClass(priority=5)
-# Seconds after which a broker lends.
-WARM = 1.0
+# Seconds after which a new broker lends.
+WARM_UP = 1.0
 
 
 def report(instance: int, number: int, offered: float) -> DemandReport:
@@ -49,68 +49,68 @@
         self, instance: int, at: float, offered: float = 50.0
     ) -> CapacityGrant:
         self.number += 1
-        told = report(instance, self.number, offered)
-        return self.broker.lend(told, PLACES, INSTANCES, Instant(at))
+        sent_report = report(instance, self.number, offered)
+        return self.broker.lend(sent_report, PLACES, INSTANCES, Instant(at))
 
     def lend_all(self, at: float) -> list[CapacityGrant]:
         return [self.lend(number, at) for number in range(INSTANCES)]
 
-    def test_nothing_is_lent_before_all_were_heard(self) -> None:
-        """Guard against a new broker that lends all to the first asker."""
+    def test_nothing_is_lent_during_the_warm_up(self) -> None:
+        """Guard against a new broker that lends all to the first instance."""
         for grant in self.lend_all(0.0):
             self.assertEqual(0.0, grant.valid_for)
 
-    def test_all_is_lent(self) -> None:
+    def test_the_whole_capacity_is_lent(self) -> None:
         self.lend_all(0.0)
-        self.lend_all(WARM)
-        lent = sum(rate(grant) for grant in self.lend_all(WARM + 0.25))
+        self.lend_all(WARM_UP)
+        lent = sum(rate(grant) for grant in self.lend_all(WARM_UP + 0.25))
         self.assertGreater(lent, 0.9 * CAPACITY)
 
-    def test_never_more_is_out_than_there_is(self) -> None:
+    def test_leases_never_exceed_the_capacity(self) -> None:
         """Guard against leases that overlap when demand moves."""
         generator = random.Random(1)
         self.lend_all(0.0)
-        out: dict[int, tuple[float, float]] = {}
+        leases: dict[int, tuple[float, float]] = {}
         for step in range(400):
-            at = WARM + step * 0.03
+            at = WARM_UP + step * 0.03
             number = generator.randrange(INSTANCES)
             grant = self.lend(number, at, generator.uniform(0.0, 200.0))
-            out[number] = (rate(grant), at + grant.valid_for)
-            lent = sum(lease for lease, until in out.values() if at < until)
+            leases[number] = (rate(grant), at + grant.valid_for)
+            lent = sum(lease for lease, until in leases.values() if at < until)
             most = max(self.broker.capacity, 2.0 * CAPACITY)
             self.assertLessEqual(lent, most + 1e-6)
             if grant.grants and rate(grant) > 0.0:
                 held = sum(
                     lease
-                    for other, (lease, until) in out.items()
+                    for other, (lease, until) in leases.items()
                     if at < until and other != number
                 )
                 self.assertLessEqual(
                     held + rate(grant), self.broker.capacity + 1e-6
                 )
 
-    def test_a_silent_instance_loses_its_part(self) -> None:
-        """Guard against capacity that lies with an instance that is lost."""
+    def test_the_lease_of_a_silent_instance_expires(self) -> None:
+        """Guard against capacity that stays lent to a lost instance."""
         self.lend_all(0.0)
-        self.lend_all(WARM)
-        before = rate(self.lend(0, WARM + 0.25))
+        self.lend_all(WARM_UP)
+        before = rate(self.lend(0, WARM_UP + 0.25))
         for step in range(8):
             for number in range(INSTANCES // 2):
-                grant = self.lend(number, WARM + 0.25 + step * 0.25)
+                grant = self.lend(number, WARM_UP + 0.25 + step * 0.25)
         self.assertEqual(INSTANCES // 2, len(self.broker.leases_by_instance))
         self.assertGreater(rate(grant), before)
 
-    def test_a_late_report_changes_nothing(self) -> None:
-        """Guard against a report that was overtaken."""
+    def test_a_delayed_report_is_ignored(self) -> None:
+        """Guard against a delayed report that replaces a newer one."""
         self.lend_all(0.0)
-        self.lend_all(WARM)
+        self.lend_all(WARM_UP)
         late = report(0, 1, 0.0)
-        self.broker.lend(late, PLACES, INSTANCES, Instant(WARM + 0.01))
+        self.broker.lend(late, PLACES, INSTANCES, Instant(WARM_UP + 0.01))
         kept = self.broker.leases_by_instance[InstanceId('i0')]
         self.assertEqual(50.0, kept.report.demands[0].offered)
 
-    def test_room_for_all_bounds_nobody(self) -> None:
-        for at in (0.0, WARM, WARM + 0.25):
+    def test_no_limits_without_congestion(self) -> None:
+        for at in (0.0, WARM_UP, WARM_UP + 0.25):
             for number in range(INSTANCES):
                 grant = self.lend(number, at, offered=5.0)
         self.assertFalse(grant.is_congested)
--- a/packages/yuccarill-core/tests/capacity/test_fairness.py
+++ b/packages/yuccarill-core/tests/capacity/test_fairness.py
@@ -1,4 +1,4 @@
-"""Test how a capacity is divided."""
+"""Test the division of a capacity."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
 
 class PriorityTest(unittest.TestCase):
     @params(
-        # All is served where there is room.
+        # All demand is served within the capacity.
         ({0: 3.0, 5: 4.0}, 10.0, {0: 3.0, 5: 4.0}),
-        # The more urgent first, but for the floor.
+        # Urgent requests go first, except for the floor.
         ({0: 20.0, 5: 20.0}, 10.0, {0: 9.0, 5: 1.0}),
-        # A floor that nobody wants goes to whoever asks.
+        # The unused part of a floor goes to urgent requests.
         ({0: 20.0, 5: 0.5}, 10.0, {0: 9.5, 5: 0.5}),
-        # What a text needs goes first, up to a part.
+        # Internal calls go first, up to a fixed part.
         ({INTERNAL: 20.0, 5: 20.0}, 10.0, {INTERNAL: 2.0, 5: 8.0}),
         ({INTERNAL: 20.0}, 10.0, {INTERNAL: 10.0}),
     )
@@ -59,8 +59,8 @@
 
 
 class DivisionTest(unittest.TestCase):
-    def test_small_accounts_together_count_as_many(self) -> None:
-        """Guard against many small accounts that share one's part."""
+    def test_combined_small_accounts_count_separately(self) -> None:
+        """Guard against many small accounts that get the share of one."""
         rest = DemandClass(priority=5)
         large = DemandClass(priority=5, account=AccountName('large'))
         division = fairness.divide(
@@ -74,7 +74,7 @@
         self.assertAlmostEqual(5.0, division.levels_by_priority[5])
 
     def test_a_large_account_is_not_starved(self) -> None:
-        """Guard against a large account that gets what a small one gets."""
+        """Guard against a large account that gets no more than a small one."""
         accounts = [AccountName(f'a{number}') for number in range(9)]
         wanted = {DemandClass(priority=5, account=a): 10.0 for a in accounts}
         large = DemandClass(priority=5, account=AccountName('large'))
--- a/packages/yuccarill-core/tests/capacity/test_load.py
+++ b/packages/yuccarill-core/tests/capacity/test_load.py
@@ -1,10 +1,7 @@
-"""Test what is served of a service that is asked for more than it has.
+"""Test how much an overloaded service serves in time.
 
-Pattern: more instances than places, each with a few requests a second, and
-targets that queue as many requests as they run and refuse the rest. The
-bounds are shares of what one queue serves that knows every place: callers
-lose by a refusal or a late answer alike, so that what is served in time is
-what counts. Requests that are accepted and late took their place from others.
+Pattern: more instances than slots, each with a few requests a second. The
+bounds are fractions of what one central queue serves in time.
 """
 
 from __future__ import annotations
@@ -21,12 +18,12 @@
 LEAST_JAIN = 0.95
 MOST_LATE = 0.01
 MOST_SECOND = 0.1
-# Seconds within which service is normal after a cause began or ended.
+# Seconds for recovery after an overload or failure begins or ends.
 SETTLE_SECONDS = 2.0
 
 
 def jain(values: Iterable[float]) -> float:
-    """Return how equal values are, 1 where they are the same.
+    """Return the fairness index of values, 1 if all are equal.
 
     Source: Jain, Chiu and Hawe, A quantitative measure of fairness, 1984.
     """
@@ -39,8 +36,8 @@
     return sum(each.is_in_time for each in arrivals)
 
 
-def between(played: load.Load, start: float, end: float) -> list[load.Arrival]:
-    return [each for each in played.arrivals if start <= each.at < end]
+def between(model: load.Model, start: float, end: float) -> list[load.Arrival]:
+    return [each for each in model.arrivals if start <= each.at < end]
 
 
 def by_account(
@@ -53,24 +50,24 @@
     return found
 
 
-def most_second(played: load.Load) -> float:
-    """Return the greatest part of second attempts in any second."""
+def most_second(model: load.Model) -> float:
+    """Return the maximum fraction of second attempts in any second."""
     parts = []
-    for second in range(int(played.now)):
-        first = sum(second <= at < second + 1 for at in played.first_at)
-        more = sum(second <= at < second + 1 for at in played.second_at)
+    for second in range(int(model.now)):
+        first = sum(second <= at < second + 1 for at in model.first_at)
+        more = sum(second <= at < second + 1 for at in model.second_at)
         if first > 20:
             parts.append(more / (first + more))
     return max(parts)
 
 
 class LoadTest(unittest.TestCase):
-    def check(self, played: load.Load, best: int) -> None:
-        answered = [e for e in played.arrivals if e.ended_at is not None]
+    def check(self, model: load.Model, best: int) -> None:
+        answered = [e for e in model.arrivals if e.ended_at is not None]
         served = in_time(answered)
         self.assertGreaterEqual(served / best, LEAST_SHARE)
         self.assertLessEqual(1.0 - served / len(answered), MOST_LATE)
-        self.assertLessEqual(most_second(played), MOST_SECOND)
+        self.assertLessEqual(most_second(model), MOST_SECOND)
 
     @params(
         (load.Setting(), 10.0),
@@ -85,30 +82,30 @@
     def test_all_accounts_at_twice_the_capacity(
         self, setting: load.Setting, until: float
     ) -> None:
-        """Guard against places that nobody uses while callers are refused."""
+        """Guard against slots that stay unused while callers are refused."""
         rates = {f'a{n}': setting.capacity / 10.0 for n in range(20)}
-        arrivals = load.requests(setting, rates, until)
-        best = load.best(setting, arrivals)
-        played = load.Load(setting, arrivals)
-        played.play(until + 2.0)
-        self.check(played, best)
-        shares = by_account(between(played, 2.0, 7.0)).values()
+        arrivals = load.draw_arrivals(setting, rates, until)
+        best = load.best_in_time(setting, arrivals)
+        model = load.Model(setting, arrivals)
+        model.run(until + 2.0)
+        self.check(model, best)
+        shares = by_account(between(model, 2.0, 7.0)).values()
         self.assertGreaterEqual(jain(map(in_time, shares)), LEAST_JAIN)
 
     def test_one_account_at_ten_times_its_share(self) -> None:
-        """Guard against a flood that takes the others' part."""
+        """Guard against an account that takes the share of the others."""
         below: list[load.Arrival] = []
         for seed in (1, 2, 3):
             setting = load.Setting(seed=seed)
             share = setting.capacity / 10.0
             rates = {f'a{n}': 0.5 * share for n in range(9)}
             rates['flood'] = 10.0 * share
-            arrivals = load.requests(setting, rates, 10.0)
-            best = load.best(setting, arrivals)
-            played = load.Load(setting, arrivals)
-            played.play(12.0)
-            self.check(played, best)
-            others = by_account(between(played, 2.0, 7.0))
+            arrivals = load.draw_arrivals(setting, rates, 10.0)
+            best = load.best_in_time(setting, arrivals)
+            model = load.Model(setting, arrivals)
+            model.run(12.0)
+            self.check(model, best)
+            others = by_account(between(model, 2.0, 7.0))
             del others['flood']
             self.assertGreaterEqual(
                 jain(map(in_time, others.values())), LEAST_JAIN
@@ -117,87 +114,87 @@
                 below += arrivals
         self.assertGreaterEqual(in_time(below) / len(below), LEAST_BELOW)
 
-    def test_a_rush_of_thirty_times(self) -> None:
-        """Guard against a rush that goes on after its cause."""
+    def test_a_load_spike_of_thirty_times(self) -> None:
+        """Guard against an overload that outlasts its cause."""
         setting = load.Setting()
         rates = {
             f'a{n}': lambda at: 60.0 if 2.0 < at < 10.0 else 2.0
             for n in range(20)
         }
-        arrivals = load.requests(setting, rates, 20.0)
-        best = load.best(setting, arrivals)
-        played = load.Load(setting, arrivals)
-        played.play(22.0)
-        self.check(played, best)
-        after = between(played, 10.0 + SETTLE_SECONDS, 20.0)
+        arrivals = load.draw_arrivals(setting, rates, 20.0)
+        best = load.best_in_time(setting, arrivals)
+        model = load.Model(setting, arrivals)
+        model.run(22.0)
+        self.check(model, best)
+        after = between(model, 10.0 + SETTLE_SECONDS, 20.0)
         self.assertGreaterEqual(in_time(after) / len(after), LEAST_BELOW)
 
-    def test_refused_callers_that_come_back(self) -> None:
-        """Guard against refused callers who come back in one moment."""
+    def test_retries_of_refused_callers(self) -> None:
+        """Guard against refused callers that retry at the same time."""
         setting = load.Setting()
         rates = {
             f'a{n}': lambda at: 72.0 if 2.0 < at < 4.0 else 18.0
             for n in range(20)
         }
-        arrivals = load.requests(setting, rates, 12.0)
-        best = load.best(setting, list(arrivals))
-        played = load.Load(setting, arrivals)
-        # Clients try again twice.
-        played.returns = lambda arrival, at: arrival.returned < 2
-        played.play(14.0)
-        self.check(played, best)
-        after = between(played, 4.0 + SETTLE_SECONDS, 12.0)
+        arrivals = load.draw_arrivals(setting, rates, 12.0)
+        best = load.best_in_time(setting, list(arrivals))
+        model = load.Model(setting, arrivals)
+        # Clients retry twice.
+        model.may_retry = lambda arrival, at: arrival.retries < 2
+        model.run(14.0)
+        self.check(model, best)
+        after = between(model, 4.0 + SETTLE_SECONDS, 12.0)
         self.assertGreaterEqual(in_time(after) / len(after), LEAST_BELOW)
-        for each in played.arrivals:
+        for each in model.arrivals:
             if each.retry_after is not None:
                 left = each.request.deadline - each.at
                 self.assertLessEqual(each.retry_after, left / 3.0 + 1e-9)
 
     def test_mixed_priorities(self) -> None:
-        """Guard against urgent requests that wait, and others starved."""
+        """Guard against delayed urgent and starved other requests."""
         setting = load.Setting()
         part = 0.6 * setting.capacity
         priorities = {'urgent': 0, 'usual': 5, 'patient': 9}
-        arrivals = load.requests(
+        arrivals = load.draw_arrivals(
             setting, dict.fromkeys(priorities, part), 10.0, priorities
         )
-        best = load.best(setting, arrivals)
-        played = load.Load(setting, arrivals)
-        played.play(12.0)
-        self.check(played, best)
-        found = by_account(between(played, SETTLE_SECONDS, 10.0))
+        best = load.best_in_time(setting, arrivals)
+        model = load.Model(setting, arrivals)
+        model.run(12.0)
+        self.check(model, best)
+        found = by_account(between(model, SETTLE_SECONDS, 10.0))
         parts = {name: in_time(f) / len(f) for name, f in found.items()}
         self.assertGreaterEqual(parts['urgent'], LEAST_SHARE)
         self.assertGreater(parts['usual'], parts['patient'])
         self.assertGreater(in_time(found['patient']), 0)
 
-    def test_work_that_takes_nearly_all_the_time_there_is(self) -> None:
+    def test_work_that_takes_nearly_all_the_wanted_time(self) -> None:
         """Guard against queues at targets that make every answer late."""
         setting = load.Setting()
 
-        def speed(at: float) -> float:
+        def slowdown(at: float) -> float:
             return 5.0 if 2.0 < at < 10.0 else 1.0
 
         rates = {None: lambda at: 600.0 if 2.0 < at < 10.0 else 6.0}
         shares = []
         for is_shared in (True, False):
-            arrivals = load.requests(setting, rates, 12.0)
-            best = load.best(setting, arrivals, speed)
+            arrivals = load.draw_arrivals(setting, rates, 12.0)
+            best = load.best_in_time(setting, arrivals, slowdown)
             setting.is_shared = is_shared
-            played = load.Load(setting, arrivals)
-            played.speed = speed
-            played.play(14.0)
-            shares.append(in_time(played.arrivals) / best)
-        # Without shared capacity nearly nothing is in time.
+            model = load.Model(setting, arrivals)
+            model.slowdown = slowdown
+            model.run(14.0)
+            shares.append(in_time(model.arrivals) / best)
+        # Without shared capacity almost no answer is in time.
         self.assertGreaterEqual(shares[0], 0.5)
         self.assertLess(shares[1], shares[0])
 
-    def test_a_quiet_service(self) -> None:
-        """Guard against messages and refusals that nobody needs."""
+    def test_a_service_without_overload(self) -> None:
+        """Guard against needless messages and refusals."""
         setting = load.Setting()
         rates = {f'a{n}': 0.02 * setting.capacity for n in range(20)}
-        arrivals = load.requests(setting, rates, 5.0)
-        played = load.Load(setting, arrivals)
-        played.play(7.0)
-        self.assertEqual(0, played.messages)
-        self.assertEqual(len(arrivals), in_time(played.arrivals))
+        arrivals = load.draw_arrivals(setting, rates, 5.0)
+        model = load.Model(setting, arrivals)
+        model.run(7.0)
+        self.assertEqual(0, model.messages)
+        self.assertEqual(len(arrivals), in_time(model.arrivals))
--- a/packages/yuccarill-core/tests/capacity/test_service_gate.py
+++ b/packages/yuccarill-core/tests/capacity/test_service_gate.py
@@ -1,4 +1,4 @@
-"""Test what a gate rules on one service's requests."""
+"""Test the rulings of a service gate."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
             self.gate.finished(WORK_SECONDS, Instant(step * 0.1))
 
     def congest(self, rate: float, at: float = 10.0) -> None:
-        """Let a broker lend the flood a rate."""
+        """Report congestion and grant a rate to the flooding account."""
         self.gate.started(Instant(at))
         self.gate.refused(Instant(at))
         self.gate.grant(
@@ -72,33 +72,33 @@
             Instant(at),
         )
 
-    def answer(self, asked: CapacityRequest) -> Answer:
-        return self.gate.offer(asked, asked.arrived_at).answer
+    def answer(self, offered: CapacityRequest) -> Answer:
+        return self.gate.offer(offered, offered.arrived_at).answer
 
-    def test_a_quiet_service_is_left_alone(self) -> None:
-        """Guard against bounds and messages that nothing calls for."""
+    def test_no_limits_without_congestion(self) -> None:
+        """Guard against limits and messages without congestion."""
         for step in range(500):
             at = 10.0 + step * 0.001
             self.assertIs(Answer.SEND, self.answer(request(at=at)))
-        asked = request()
+        offered = request()
         for _ in range(20):
-            self.assertTrue(self.gate.may_try_again(asked, Instant(10.5)))
-            self.assertTrue(self.gate.may_hedge(asked, Instant(10.5)))
+            self.assertTrue(self.gate.may_try_again(offered, Instant(10.5)))
+            self.assertTrue(self.gate.may_hedge(offered, Instant(10.5)))
         self.assertIsNone(self.gate.report(Instant(10.5)))
 
-    def test_a_target_that_is_stopped_is_no_congestion(self) -> None:
-        """Guard against callers refused for one target's refusal."""
-        asked = request()
-        self.answer(asked)
+    def test_a_stopping_target_is_no_congestion(self) -> None:
+        """Guard against refusing callers because one target refuses."""
+        offered = request()
+        self.answer(offered)
         self.gate.started(Instant(10.0))
         self.gate.refused(Instant(10.0))
-        self.assertTrue(self.gate.may_try_again(asked, Instant(10.0)))
+        self.assertTrue(self.gate.may_try_again(offered, Instant(10.0)))
         for step in range(20):
             at = 10.0 + step * 0.1
             self.assertIs(Answer.SEND, self.answer(request(at=at)))
 
     def test_one_slow_answer_is_no_congestion(self) -> None:
-        """Guard against messages for work that varies in length."""
+        """Guard against reports for work that varies in length."""
         self.gate.started(Instant(10.0))
         self.gate.finished(10.0 * WORK_SECONDS, Instant(10.0))
         self.assertIsNone(self.gate.report(Instant(10.0)))
@@ -111,53 +111,53 @@
         self.assertIsNotNone(self.gate.report(Instant(10.2)))
 
     @params(
-        # There is time to wait for the next.
+        # There is time to wait for the next token.
         (20.0, 0.15, Answer.WAIT),
-        # Its answer would be late.
+        # The answer would be late.
         (20.0, 0.03, Answer.REFUSE),
         (0.0, 0.15, Answer.REFUSE),
     )
-    def test_beyond_its_part(
+    def test_class_above_its_share(
         self, rate: float, wanted_in: float, expected: Answer
     ) -> None:
         self.congest(rate)
-        asked = request(wanted_in=wanted_in)
-        while (found := self.answer(asked)) is Answer.SEND:
+        offered = request(wanted_in=wanted_in)
+        while (found := self.answer(offered)) is Answer.SEND:
             pass
         self.assertIs(expected, found)
 
-    def test_a_flood_does_not_touch_the_others(self) -> None:
-        """Guard against refusals of accounts below their part."""
+    def test_a_flood_does_not_limit_other_accounts(self) -> None:
+        """Guard against refusals of accounts within their share."""
         self.congest(0.0)
         self.answer(request())
         self.assertIs(Answer.SEND, self.answer(request(SMALL)))
 
-    def test_what_waits_is_sent_in_time(self) -> None:
+    def test_waiting_requests_are_sent_in_time(self) -> None:
         self.congest(20.0)
-        asked = request()
-        while self.answer(asked) is not Answer.WAIT:
+        offered = request()
+        while self.answer(offered) is not Answer.WAIT:
             pass
         wakes_at = self.gate.wakes_at(Instant(10.0))
-        self.assertLessEqual(wakes_at, asked.wanted_by)
+        self.assertLessEqual(wakes_at, offered.wanted_by)
         ((found, ruling),) = self.gate.admit(Instant(wakes_at + 1e-6))
-        self.assertIs(asked, found)
+        self.assertIs(offered, found)
         self.assertIs(Answer.SEND, ruling.answer)
 
-    def test_a_grant_that_ran_out_stops_nobody(self) -> None:
-        """Guard against a broker that is lost with all capacity lent."""
+    def test_an_expired_grant_limits_no_request(self) -> None:
+        """Guard against requests blocked by a lost broker's grant."""
         self.congest(20.0)
-        asked = request()
-        while self.answer(asked) is not Answer.WAIT:
+        offered = request()
+        while self.answer(offered) is not Answer.WAIT:
             pass
         ((_, ruling),) = self.gate.admit(Instant(11.0))
         self.assertIs(Answer.SEND, ruling.answer)
         self.assertIs(Answer.SEND, self.answer(request(at=11.1)))
 
-    def test_a_grant_for_all_lets_go_what_waits(self) -> None:
-        """Guard against requests that wait in a lane that is gone."""
+    def test_an_unlimited_grant_releases_waiting_requests(self) -> None:
+        """Guard against requests that wait in a removed lane."""
         self.congest(20.0)
-        asked = request()
-        while self.answer(asked) is not Answer.WAIT:
+        offered = request()
+        while self.answer(offered) is not Answer.WAIT:
             pass
         self.gate.grant(
             CapacityGrant(
@@ -171,14 +171,14 @@
         )
         self.assertEqual(10.01, self.gate.wakes_at(Instant(10.01)))
         ((found, ruling),) = self.gate.admit(Instant(10.01))
-        self.assertIs(asked, found)
+        self.assertIs(offered, found)
         self.assertIs(Answer.SEND, ruling.answer)
 
-    def test_who_waits_is_told_once_it_is_too_late(self) -> None:
-        """Guard against requests that are held after their time."""
+    def test_waiting_requests_are_refused_once_too_late(self) -> None:
+        """Guard against requests that wait longer than is useful."""
         self.congest(20.0)
-        asked = request()
-        while self.answer(asked) is not Answer.WAIT:
+        offered = request()
+        while self.answer(offered) is not Answer.WAIT:
             pass
         self.gate.grant(
             CapacityGrant(
@@ -190,13 +190,13 @@
             Instant(10.001),
         )
         wakes_at = self.gate.wakes_at(Instant(10.001))
-        self.assertLessEqual(wakes_at, asked.wanted_by)
+        self.assertLessEqual(wakes_at, offered.wanted_by)
         ((found, ruling),) = self.gate.admit(Instant(wakes_at + 1e-6))
         self.assertIs(Answer.REFUSE, ruling.answer)
 
     @params(0.3, 1.0, 2.0)
-    def test_refused_callers_come_back_in_time(self, left: float) -> None:
-        """Guard against callers who all come back, or too late."""
+    def test_refused_callers_retry_in_time(self, left: float) -> None:
+        """Guard against callers that retry at the same time, or too late."""
         self.congest(0.0)
         found = [
             self.gate.retry_after(request(deadline_in=left), Instant(10.0))
@@ -205,23 +205,23 @@
         self.assertLessEqual(max(found), left / 3.0)
         self.assertGreater(max(found) - min(found), 0.5 * left / 3.0)
 
-    def test_who_can_not_be_served_at_all_is_told_at_once(self) -> None:
-        """Guard against requests that are held until their deadline."""
+    def test_requests_that_would_end_too_late_are_refused(self) -> None:
+        """Guard against requests that wait until their deadline."""
         self.congest(20.0)
         late = request(SMALL, deadline_in=WORK_SECONDS / 2)
         self.assertIs(Answer.REFUSE, self.answer(late))
 
     def test_second_attempts_while_targets_are_full(self) -> None:
-        """Guard against requests that are sent five times."""
+        """Guard against retries that multiply the load of full targets."""
         sends = 0
         for step in range(200):
             at = 10.0 + step * 0.01
-            asked = request(at=at)
-            if self.answer(asked) is not Answer.SEND:
+            offered = request(at=at)
+            if self.answer(offered) is not Answer.SEND:
                 continue
             for attempt in range(5):
                 now = Instant(at)
-                if attempt and not self.gate.may_try_again(asked, now):
+                if attempt and not self.gate.may_try_again(offered, now):
                     break
                 sends += 1
                 self.gate.started(now)
@@ -230,8 +230,8 @@
 
 
 class DemandTest(unittest.TestCase):
-    def test_memory_with_a_hundred_thousand_accounts(self) -> None:
-        """Guard against state that grows with the accounts."""
+    def test_memory_is_bounded_with_many_accounts(self) -> None:
+        """Guard against state that grows with the number of accounts."""
         policy = demand.DemandPolicy()
         meter = demand.DemandMeter(policy)
         for number in range(100_000):
