--- a/packages/yuccarill-core/src/yuccarill/core/calls/admission.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/admission.py
@@ -24,7 +24,7 @@
 
     # Maximum number of queued calls.
     queued: int = 1024
-    # Every n-th admission prefers the internal class, to prevent starvation.
+    # Number of admissions of which one prefers the internal class.
     internal_turn: int = 10
     # Multiple of the limit up to which the latency class is admitted.
     headroom: float = 2.0
@@ -129,9 +129,9 @@
         latency: float,
         now: Instant,
     ) -> list[Waiting[T]]:
-        """Queue a call and return the calls refused because of it.
+        """Queue or refuse a call; return the refused calls.
 
-        The refused call may be the new one itself.
+        If the queue is full, a queued call may be refused instead.
         """
         latency = latency or self._policy.latency
         if self.in_flight >= limit * self._headroom(waiting.caller_class):
@@ -209,7 +209,7 @@
         return latency_queue.pop() or internal_queue.pop()
 
     def _record_admission(self, now: Instant) -> None:
-        """Update the average of seconds between admissions."""
+        """Update the mean seconds between admissions."""
         if self._last_admitted_at is not None and self.queued:
             interval = now - self._last_admitted_at
             self._mean_interval += 0.05 * (interval - self._mean_interval)
--- a/packages/yuccarill-core/src/yuccarill/core/calls/budget.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/budget.py
@@ -31,7 +31,7 @@
         self._saved = min(self._saved, maximum)
 
     def withdraw(self) -> bool:
-        """Take an extra attempt if one is left; return whether it was."""
+        """Take an extra attempt if available; return whether it was taken."""
         # Without a budget, retries multiply the load of failing targets and
         # prevent their recovery.
         if self._saved < 1.0:
--- a/packages/yuccarill-core/src/yuccarill/core/calls/deadlines.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/deadlines.py
@@ -4,7 +4,7 @@
 
 from yuccarill.core.ids import Instant
 
-# An attempt that is cut off before most calls are answered is wasted work.
+# A shorter attempt deadline would waste the work of answers that are due.
 _MIN_LATENCY_MULTIPLE = 4.0
 
 
@@ -16,5 +16,5 @@
     `expected` is the usual latency in seconds, 0 if unknown.
     """
     remaining = deadline - now
-    share = max(remaining / attempts_left, expected * _MIN_LATENCY_MULTIPLE)
-    return Instant(now + min(remaining, share))
+    seconds = max(remaining / attempts_left, expected * _MIN_LATENCY_MULTIPLE)
+    return Instant(now + min(remaining, seconds))
--- a/packages/yuccarill-core/src/yuccarill/core/calls/dispatcher.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/dispatcher.py
@@ -64,7 +64,7 @@
     def offer(
         self, waiting: admission.Waiting[T], now: Instant
     ) -> list[admission.Waiting[T]]:
-        """Queue a call and return the calls refused because of it."""
+        """Queue or refuse a call; return the refused calls."""
         return self._admission.offer(
             waiting, self.limit.value, self.expected, now
         )
--- a/packages/yuccarill-core/src/yuccarill/core/calls/limit.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/limit.py
@@ -23,15 +23,15 @@
     queued: float = 0.5
     # Accepted multiple of the unloaded latency, without load reports.
     slowness: float = 2.0
-    # Seconds of a window, in which the limit changes at most once.
+    # Minimum seconds between two changes of the limit.
     window: float = 0.5
     min_samples: int = 8
-    # Relative decrease at twice the accepted pressure, and its maximum.
+    # Fraction removed at twice the accepted pressure, and its maximum.
     decrease: float = 0.2
     max_decrease: float = 0.5
-    # Growth factor per window before the first pressure.
+    # Growth factor per window until pressure first exceeds the accepted one.
     first_growth: float = 1.5
-    # Multiple of the calls in flight to which an unused limit falls.
+    # Ratio of the limit to the calls in flight above which it decreases.
     headroom: float = 2.5
     # Seconds after which the unloaded latency is measured anew.
     memory: float = 120.0
@@ -90,8 +90,8 @@
     def _pressure(self, latency: float) -> float:
         if self._running_sum:
             return self._queued_sum / self._running_sum / self._policy.queued
-        # Used only without reports: calls differ in length, and an instance
-        # with one low sample would yield its share to all others.
+        # Used only without load reports: calls differ in length, and a low
+        # latency, once measured, would keep an instance's limit too low.
         return latency / self._unloaded / self._policy.slowness
 
     def _update_unloaded(self, latency: float, now: Instant) -> None:
@@ -111,7 +111,7 @@
         if pressure > 1.0:
             self._has_seen_pressure = True
             # Calls sent before a decrease stay queued at targets for about
-            # one latency; a second decrease for them would idle the targets.
+            # one latency; decreasing again for them would idle the targets.
             if now >= self._next_decrease_at:
                 reduction = policy.decrease * (pressure - 1.0)
                 self.value *= 1.0 - min(reduction, policy.max_decrease)
--- a/packages/yuccarill-core/src/yuccarill/core/calls/load.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/load.py
@@ -8,7 +8,7 @@
 
 from yuccarill.core.ids import Instant
 
-# Seconds in which the weight of a load report halves.
+# Half-life in seconds of the weight of a load report.
 HALF_LIFE = 2.0
 HEADER = 'Yuccarill-Load'
 
@@ -54,8 +54,8 @@
 
         `mean_others` is the mean number of other instances' calls at a target.
         """
-        # Without counting its calls, every instance would send to the target
-        # that last reported itself idle until the next report. The estimate
-        # decays from the last report to the mean.
+        # If own calls were not counted, every instance would send all calls
+        # to the target that last reported no load, until the next report.
+        # The estimate decays from the last report to the mean.
         weight: float = 0.5 ** ((now - self._reported_at) / HALF_LIFE)
         return self.own + weight * self._others + (1.0 - weight) * mean_others
--- a/packages/yuccarill-core/src/yuccarill/core/calls/member.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/member.py
@@ -22,9 +22,9 @@
         'latency',
         'load',
         'penalty',
-        'position',
-        'started_at',
-        'weight',
+        'group_index',
+        'added_at',
+        'failures',
     )
 
     def __init__(self, target: TargetId, penalty: float) -> None:
@@ -32,21 +32,21 @@
         self.penalty = penalty
         self.load = TargetLoad()
         self.latency = 0.0
-        self.weight = 0
+        self.failures = 0
         self.ejections = 0
-        self.started_at = Instant(-math.inf)
+        self.added_at = Instant(-math.inf)
         self.group: list[Member] | None = None
-        self.position = 0
+        self.group_index = 0
 
     def cost(self, now: Instant, mean_others: float, latency: float) -> float:
-        """Return the cost of one more call at the target, in calls.
+        """Return the cost of one more call, in equivalent queued calls.
 
         `mean_others` and `latency` are means over all targets.
         """
         slowness = 1.0
         if self.latency and latency:
-            # A low latency earns no bonus: one short call would attract
-            # calls until the next answer.
+            # Latency below the mean does not reduce the cost: one short
+            # call would attract all calls until the next answer.
             slowness = max(slowness, self.latency / latency)
             slowness = min(slowness, _MAX_SLOWNESS)
         load = self.load.estimate(now, mean_others)
--- a/packages/yuccarill-core/src/yuccarill/core/calls/paths.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/paths.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-_DOTS = ('', '.', '..')
+_BANNED = ('', '.', '..')
 
 
 def check(path: str) -> str:
@@ -20,7 +20,7 @@
     # A target may resolve a/../charges to charges, so that a non-repeatable
     # request would pass for repeatable.
     parts = path.split('/')
-    if any(part in _DOTS for part in parts[:-1]) or parts[-1] in _DOTS[1:]:
+    if any(part in _BANNED for part in parts[:-1]) or parts[-1] in _BANNED[1:]:
         raise errors.RequestError(
             'The path has an empty or dot segment; send it normalized.'
         )
--- a/packages/yuccarill-core/src/yuccarill/core/calls/pool.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/pool.py
@@ -39,7 +39,7 @@
 
     # Cost of a target in another data centre, in calls.
     far_penalty: float = 1.5
-    # Fraction of the targets that is never ejected.
+    # Minimum fraction of the targets that stays available.
     floor: float = 0.5
     # Seconds of the first ejection, doubled by each consecutive one.
     ejection: float = 1.0
@@ -54,7 +54,7 @@
     open_bonus: float = 0.5
 
 
-# One timeout may be a long call, so only consecutive ones eject a target.
+# A timeout may be caused by a long call, so one alone ejects no target.
 _WEIGHT_BY_FAILURE = {
     Failure.NOT_CONNECTED: 2,
     Failure.CUT: 2,
@@ -64,7 +64,7 @@
 _EJECTION_WEIGHT = 2
 _SAMPLE_SIZE = 2
 _MAX_LIGHTLY_LOADED = 64
-# Lightly loaded targets reserved for urgent calls, and considered by each.
+# Lightly loaded targets kept for urgent calls; candidates of one such call.
 _RESERVED_FOR_URGENT = 4
 _URGENT_CANDIDATES = 8
 _LOAD_SMOOTHING = 0.02
@@ -87,7 +87,7 @@
         )
         self._latency = 0.0
         self._ring = prefixes.PrefixRing()
-        # Mean number of other instances' calls at a target.
+        # Mean number of calls of other instances at a target.
         self._mean_others = 0.0
 
     def __len__(self) -> int:
@@ -121,7 +121,7 @@
             member = Member(target, penalty)
             self._members_by_id[target] = member
             if not is_first:
-                member.started_at = now
+                member.added_at = now
             self._add_to_group(member)
         near = [m.id for m in self._near]
         self._ring.update(near or list(self._members_by_id))
@@ -177,7 +177,7 @@
             member.load.own += 1
 
     def give_up(self, target: TargetId) -> None:
-        """Stop counting an attempt that ended without a target result."""
+        """Stop counting an attempt that was neither answered nor failed."""
         member = self._members_by_id.get(target)
         if member is not None:
             member.load.own = max(0, member.load.own - 1)
@@ -194,7 +194,7 @@
         member = self._members_by_id.get(target)
         if member is None:
             return
-        member.weight = 0
+        member.failures = 0
         member.ejections = 0
         member.latency = member_module.update_average(member.latency, seconds)
         self._latency = member_module.update_average(self._latency, seconds)
@@ -210,8 +210,8 @@
         member = self._members_by_id.get(target)
         if member is None:
             return
-        member.weight += _WEIGHT_BY_FAILURE[failure]
-        if member.weight >= _EJECTION_WEIGHT and member.group is not None:
+        member.failures += _WEIGHT_BY_FAILURE[failure]
+        if member.failures >= _EJECTION_WEIGHT and member.group is not None:
             self._eject(member, now)
 
     def _candidates(
@@ -220,23 +220,23 @@
         is_urgent: bool,
         prefix_target: TargetId | None,
     ) -> list[Member]:
-        found = []
+        candidates = []
         if prefix_target is not None:
             member = self._members_by_id[prefix_target]
             if member.group is not None:
-                found.append(member)
+                candidates.append(member)
         for group in (self._near, self._far):
             if len(group) <= _SAMPLE_SIZE:
-                found += group
+                candidates += group
             else:
-                found += self._generator.sample(group, _SAMPLE_SIZE)
+                candidates += self._generator.sample(group, _SAMPLE_SIZE)
         # Random samples of many targets rarely include one with a recent
         # report. A target that just answered has a free slot. Source:
         # Mitzenmacher, Prabhakar, Shah, Load balancing with memory, 2002.
         count = _URGENT_CANDIDATES if is_urgent else 1
         if is_urgent or len(self._lightly_loaded) > _RESERVED_FOR_URGENT:
-            found += self._pop_lightly_loaded(count)
-        untried = [member for member in found if member.id not in tried]
+            candidates += self._pop_lightly_loaded(count)
+        untried = [m for m in candidates if m.id not in tried]
         if untried or not tried:
             return untried
         return [m for m in self._near + self._far if m.id not in tried]
@@ -262,14 +262,14 @@
             member = self._lightly_loaded.pop()
             if member.group is not None:
                 taken.append(member)
-        # Keep all but the newest for the next calls.
+        # Keep all but the most recent one for later calls.
         self._lightly_loaded.extend(reversed(taken[1:]))
         return taken
 
     def _slow_start_cost(self, member: Member, now: Instant) -> float:
         # All instances discover a target at once; without a slow start it
         # would get their whole load while its caches are cold.
-        remaining = 1.0 - (now - member.started_at) / self._policy.slow_start
+        remaining = 1.0 - (now - member.added_at) / self._policy.slow_start
         return max(0.0, remaining) * self._policy.slow_start_penalty
 
     def _eject(self, member: Member, now: Instant) -> None:
@@ -278,7 +278,7 @@
         if self.usable - 1 < self._policy.floor * len(self):
             return
         self._remove_from_group(member)
-        member.weight = 0
+        member.failures = 0
         seconds = min(
             self._policy.ejection * 2.0**member.ejections,
             self._policy.max_ejection,
@@ -293,13 +293,13 @@
             _, target = heapq.heappop(self._ejection_ends)
             member = self._members_by_id.get(target)
             if member is not None and member.group is None:
-                member.started_at = now
+                member.added_at = now
                 self._add_to_group(member)
 
     def _add_to_group(self, member: Member) -> None:
         group = self._far if member.penalty else self._near
         member.group = group
-        member.position = len(group)
+        member.group_index = len(group)
         group.append(member)
 
     def _remove_from_group(self, member: Member) -> None:
@@ -308,6 +308,6 @@
             return
         last = group.pop()
         if last is not member:
-            group[member.position] = last
-            last.position = member.position
+            group[member.group_index] = last
+            last.group_index = member.group_index
         member.group = None
--- a/packages/yuccarill-core/src/yuccarill/core/calls/prefixes.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/prefixes.py
@@ -14,15 +14,15 @@
 
 # Leading characters of a prompt by which an engine is chosen.
 PREFIX_LENGTH = 256
-# Points of one engine on the ring; many even out the engines' parts.
+# Points of each engine on the ring; more points spread prefixes more evenly.
 _POINTS_PER_ENGINE = 16
 
 
 class PrefixRing:
     """Map prefixes to engines by consistent hashing.
 
-    All instances map a prefix to the same engine without coordination. A
-    wrong mapping costs only the time to fill a cache.
+    All instances map a prefix to the same engine without coordination. If
+    an engine has not cached a prefix, it only has to compute it again.
     """
 
     def __init__(self) -> None:
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/broker.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/broker.py
@@ -38,9 +38,9 @@
     warm_up: float = 1.0
     # Minimum seconds between two divisions.
     period: float = 0.05
-    # Maximum number of classes whose admitted part all instances receive.
+    # Maximum number of classes whose lent fraction is sent to all instances.
     classes: int = 128
-    # Fraction of the capacity up to which demand needs no division.
+    # Fraction of the capacity up to which demand is not limited.
     spare_part: float = 0.8
     # Second attempts lent per finished request.
     second_part: float = 0.14
@@ -66,15 +66,15 @@
         self._policy = policy
         self._estimate = estimate.CapacityEstimate(policy.estimate)
         self.leases_by_instance: dict[InstanceId, Lease] = {}
-        self._lends_from = Instant(0.0)
-        self._divides_at = Instant(-math.inf)
+        self._warm_up_ends_at = Instant(0.0)
+        self._next_division_at = Instant(-math.inf)
         self._totals = Totals(())
         self._division = fairness.Division(
             rates_by_class={}, levels_by_priority={}
         )
         # Requests a second for all classes with excess demand.
         self._lendable = 0.0
-        # Fraction of requests that the largest of these classes may send.
+        # Lent fraction of demand, for the largest classes with excess demand.
         self._largest_parts: dict[DemandClass, float] = {}
 
     def lend(
@@ -82,15 +82,15 @@
     ) -> CapacityGrant:
         """Return the grant for the instance that sent a report.
 
-        `instances` is the number that serve. A fallback broker may receive
-        reports from only a part of them, and lends only that part.
+        `instances` is the number of serving instances. A fallback broker lends
+        capacity only in proportion to the instances that report to it.
         """
         self._record_report(report, now)
         usable = float(places)
         if report.passed_over:
             reporting = len(self.leases_by_instance)
             usable *= min(1.0, reporting / max(1, instances))
-        if now < self._lends_from:
+        if now < self._warm_up_ends_at:
             return self._empty_grant(report)
         self._divide(usable, now)
         if self._totals.offered <= self.capacity * self._policy.spare_part:
@@ -99,9 +99,9 @@
 
     def _divide(self, places: float, now: Instant) -> None:
         """Divide the capacity, at most once a period."""
-        if now < self._divides_at:
+        if now < self._next_division_at:
             return
-        self._divides_at = Instant(now + self._policy.period)
+        self._next_division_at = Instant(now + self._policy.period)
         reports = [lease.report for lease in self.leases_by_instance.values()]
         self._estimate.update(reports, places, self._capped_part(), now)
         self._totals = Totals(reports)
@@ -124,7 +124,7 @@
         return self._lendable / self.capacity if self.capacity else 1.0
 
     def overview(self) -> tuple[ClassOverview, ...]:
-        """Return the offered and lent rates of the fleet by class."""
+        """Return the offered and lent rates of all instances by class."""
         rates = self._division.rates_by_class
         return tuple(
             ClassOverview(
@@ -155,7 +155,7 @@
 
     def _record_report(self, report: DemandReport, now: Instant) -> None:
         if not self.leases_by_instance:
-            self._lends_from = Instant(now + self._policy.warm_up)
+            self._warm_up_ends_at = Instant(now + self._policy.warm_up)
         self.leases_by_instance = {
             instance: lease
             for instance, lease in self.leases_by_instance.items()
@@ -184,15 +184,15 @@
     def _limited_grant(self, report: DemandReport) -> CapacityGrant:
         rates = _rates(report.demands, self._totals, self._division)
         rate = sum(rates.values())
-        part = self._available_part(report.instance, rate)
-        self._record_rate(report, rate * part)
+        available_part = self._available_part(report.instance, rate)
+        self._record_rate(report, rate * available_part)
         return CapacityGrant(
             service=self.service,
             number=report.number,
             grants=tuple(
                 ClassGrant(
                     demand_class=each,
-                    rate=rates[each] * part,
+                    rate=rates[each] * available_part,
                     part=self._lent_part(each),
                 )
                 for each in rates
@@ -219,16 +219,16 @@
         return self._division.rates_by_class[demand_class] / offered
 
     def _available_part(self, instance: InstanceId, rate: float) -> float:
-        """Return the fraction of a rate that other leases leave available."""
+        """Return the fraction of a rate that is not lent to others."""
         if rate <= 0.0:
             return 1.0
         others = self.lent() - self.leases_by_instance[instance].rate
         return min(1.0, max(0.0, self._lendable - others) / rate)
 
     def _second_rate(self, report: DemandReport) -> float:
-        """Return an instance's second attempts a second."""
-        # Half of the fleet's budget goes to instances by their refused
-        # requests: equal parts would mostly go to instances that need none.
+        """Return the second attempts a second lent to an instance."""
+        # Half of the budget is divided in proportion to refused requests:
+        # equal parts would mostly go to instances that need none.
         part = 0.5 / len(self.leases_by_instance)
         if self._totals.refused > 0.0:
             part += 0.5 * report.refused / self._totals.refused
@@ -247,7 +247,7 @@
         )
 
     def _retry_after(self) -> float:
-        # Seconds that the service needs to serve one second's excess demand.
+        # Seconds needed to serve the excess demand of one second.
         wait = self._totals.offered / max(self.capacity, 0.001) - 1.0
         return min(max(wait, self._policy.min_retry), self._policy.max_retry)
 
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/bucket.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/bucket.py
@@ -35,7 +35,7 @@
         self._tokens = min(self._tokens, depth)
 
     def try_take(self, now: Instant) -> bool:
-        """Take a token if one is available; return whether it was."""
+        """Take a token if available; return whether it was taken."""
         self._refill(now)
         if self._tokens < 1.0 - _TOLERANCE:
             return False
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/congestion.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/congestion.py
@@ -15,11 +15,11 @@
 
     # Multiple of the usual service time above which answers count as slow.
     slowness: float = 2.5
-    # Minimum number of averaged answers for a judgement of slowness.
+    # Minimum number of averaged answers to detect slowness.
     min_samples: float = 4.0
     # Weight of a new sample in the usual service time.
     usual_part: float = 0.01
-    # Seconds after the last sign in which a service counts as congested.
+    # Seconds for which a service counts as congested after a detection.
     memory: float = 2.0
     # Seconds over which answers are averaged.
     average: float = 0.35
@@ -31,7 +31,7 @@
     def __init__(self, policy: CongestionPolicy, now: Instant) -> None:
         self._policy = policy
         self._congested_until = Instant(-math.inf)
-        # Service seconds a second; divided by the finished rate, the mean.
+        # Sum of service times a second; the mean is its ratio to `_finished`.
         self._service_time = meters.RateMeter(policy.average, now)
         self._recent: float | None = None
         self._usual: float | None = None
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/demand.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/demand.py
@@ -27,7 +27,7 @@
     def __init__(self, policy: DemandPolicy) -> None:
         self._policy = policy
         self._meters_by_class: dict[DemandClass, meters.RateMeter] = {}
-        # Classes that are combined, by priority.
+        # Classes that are measured in combination, by priority.
         self._rest_by_priority: dict[int, set[DemandClass]] = {}
 
     def record(self, demand_class: DemandClass, now: Instant) -> None:
@@ -46,9 +46,9 @@
         return sum(m.rate(now) for m in self._meters_by_class.values())
 
     def demands(self, now: Instant) -> tuple[ClassDemand, ...]:
-        """Return the demand of each class; drop inactive classes."""
+        """Return the demand of each class and drop inactive classes."""
         self._drop_inactive(now)
-        found = tuple(
+        demands = tuple(
             ClassDemand(
                 demand_class=each,
                 offered=meter.rate(now),
@@ -57,7 +57,7 @@
             for each, meter in self._meters_by_class.items()
         )
         self._rest_by_priority.clear()
-        return found
+        return demands
 
     def _account_count(self, demand_class: DemandClass) -> int:
         if demand_class.account is not None:
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/estimate.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/estimate.py
@@ -16,24 +16,24 @@
 
 
 class EstimatePolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Configure the capacity estimate and the utilization it aims at."""
+    """Configure the capacity estimate and the wanted utilization."""
 
     # Bounds of the requests at targets per slot. Above 1 since some targets
     # have a free slot while others queue; high where service is fast.
     least_fill: float = 1.0
     most_fill: float = 2.5
-    # Upper bound if no class has excess demand: targets' refusals then affect
-    # accounts within their share.
+    # `most_fill` if no class has excess demand: requests that targets refuse
+    # are then those of accounts within their share.
     most_fill_below: float = 1.5
-    # Service times, as fractions of the wanted time, for most and least fill.
+    # Fractions of the wanted time at which the fill is highest and lowest.
     early_part: float = 0.3
     late_part: float = 0.8
-    # Fraction of requests that targets may refuse before the rate is held.
+    # Fraction of refused requests above which the rate is not raised.
     refused_part: float = 0.2
     refused_part_below: float = 0.06
     # Minimum seconds between two estimates.
     period: float = 0.2
-    # Seconds in which a surplus or shortage at targets is corrected.
+    # Seconds in which a deviation from the wanted fill is corrected.
     settle: float = 0.5
     # Upper bound of `settle`, as a multiple of the service time.
     settle_services: float = 4.0
@@ -51,7 +51,7 @@
     """Estimate a service's capacity from its instances' reports.
 
     While all slots are in use, the finished rate is the capacity; otherwise
-    it scales with the number of slots. Source: Little, A proof for the
+    it is scaled to the number of slots. Source: Little, A proof for the
     queuing formula L = lambda W, 1961.
     """
 
@@ -80,7 +80,7 @@
     ) -> None:
         """Update the estimate, at most once a period.
 
-        `capped_part` is the part lent to classes with excess demand.
+        `capped_part` is the fraction lent to classes with excess demand.
         """
         if now < self._next_at:
             return
@@ -100,9 +100,9 @@
         finished = sum(report.finished for report in reports)
         refused = sum(report.refused for report in reports)
         in_flight = sum(report.in_flight for report in reports)
-        least = policy.probes * places
+        min_rate = policy.probes * places
         if in_flight <= 0.0 or places <= 0.0:
-            return max(finished, least)
+            return max(finished, min_rate)
         self.used_part = in_flight / places
         allowed = _lerp(
             policy.refused_part_below, policy.refused_part, capped_part
@@ -118,24 +118,24 @@
         most = _lerp(policy.most_fill_below, policy.most_fill, capped_part)
         missing = self._fill(reports, seconds, most) * places - in_flight
         settle = min(policy.settle, policy.settle_services * seconds)
-        change = missing / settle
+        correction = missing / settle
         if is_full:
-            change = min(change, 0.0)
+            correction = min(correction, 0.0)
         rate = min(
-            max(capacity + change, policy.lowest * capacity),
+            max(capacity + correction, policy.lowest * capacity),
             policy.highest * capacity,
         )
-        return max(rate, least)
+        return max(rate, min_rate)
 
     def _fill(
         self, reports: Collection[DemandReport], seconds: float, most: float
     ) -> float:
-        """Return the requests at targets per slot to aim at."""
+        """Return the wanted number of requests at targets per slot."""
         policy = self._policy
         wanted = sum(each.wanted_seconds for each in reports) / len(reports)
-        used = seconds / max(wanted, 0.001)
+        ratio = seconds / max(wanted, 0.001)
         span = policy.late_part - policy.early_part
-        fraction = min(max((policy.late_part - used) / span, 0.0), 1.0)
+        fraction = min(max((policy.late_part - ratio) / span, 0.0), 1.0)
         return _lerp(policy.least_fill, most, fraction)
 
 
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/fairness.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/fairness.py
@@ -16,7 +16,7 @@
 K = TypeVar('K', bound='Hashable')
 
 # Priority of calls that text generation depends on. They precede callers'
-# requests up to a fixed part, since a whole step waits for the last of them.
+# requests up to a fixed part: a generation step waits for all of its calls.
 INTERNAL_PRIORITY = -1
 
 
@@ -33,14 +33,14 @@
     """
     weights = weights_by_key or {}
     parts = dict.fromkeys(wanted_by_key, 0.0)
-    # Keys that want least per weight are satisfied first.
-    by_need = sorted(
+    # Keys with the smallest demand per weight are satisfied first.
+    sorted_keys = sorted(
         wanted_by_key,
         key=lambda key: wanted_by_key[key] / weights.get(key, 1.0),
     )
     left = max(0.0, amount)
-    weight_left = sum(weights.get(key, 1.0) for key in by_need)
-    for key in by_need:
+    weight_left = sum(weights.get(key, 1.0) for key in sorted_keys)
+    for key in sorted_keys:
         weight = weights.get(key, 1.0)
         parts[key] = min(wanted_by_key[key], left * weight / weight_left)
         left -= parts[key]
@@ -55,8 +55,8 @@
     floor: float = 0.1
     # Maximum fraction that internal calls take before callers' requests.
     internal_part: float = 0.2
-    # Minimum served fraction of a class relative to the served fraction of its
-    # priority; prevents starvation of a large account.
+    # Minimum ratio of the served fraction of a class to that of its priority;
+    # prevents starvation of a large account.
     least_part: float = 0.3
 
 
@@ -88,16 +88,16 @@
     for priority, demands in wanted_by_priority.items():
         weights = {c: float(accounts_by_class.get(c, 1)) for c in demands}
         amount = amounts[priority]
-        least = policy.least_part * min(
+        min_part = policy.least_part * min(
             1.0, amount / max(sum(demands.values()), 0.001)
         )
         extra_by_class = max_min(
-            {each: (1.0 - least) * demands[each] for each in demands},
-            amount - least * sum(demands.values()),
+            {each: (1.0 - min_part) * demands[each] for each in demands},
+            amount - min_part * sum(demands.values()),
             weights,
         )
         for each, part in extra_by_class.items():
-            rate = least * demands[each] + part
+            rate = min_part * demands[each] + part
             division.rates_by_class[each] = rate
         division.levels_by_priority[priority] = max(
             extra_by_class[each] / weights[each] for each in extra_by_class
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/gate_policy.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/gate_policy.py
@@ -19,7 +19,7 @@
     throttle: local_limit.ThrottlePolicy = local_limit.ThrottlePolicy()
     lanes: lanes.LanePolicy = lanes.LanePolicy()
     second: second_attempts.SecondPolicy = second_attempts.SecondPolicy()
-    # Multiple of the mean service time that is reserved for a request.
+    # Multiple of the mean service time allowed for an answer to be in time.
     margin: float = 2.0
     # Maximum retry delay in seconds without a broker's grant.
     local_retry: float = 0.3
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/lanes.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/lanes.py
@@ -29,7 +29,7 @@
     burst: float = 3.0
     # Seconds of the lent rate that may be sent at once.
     burst_seconds: float = 0.1
-    # Minimum burst of accounts within their share.
+    # Minimum burst of an account within its share, in requests.
     level_burst: float = 3.0
     # Maximum number of lanes for accounts within their share.
     lanes: int = 256
@@ -109,7 +109,7 @@
         )
 
     def draw_admission(self, demand_class: DemandClass) -> bool | None:
-        """Decide at random whether to send a request that has no lane.
+        """Return at random whether to send a request that has no lane.
 
         Returns None if its class has a lane or no limit.
         """
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/local_limit.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/local_limit.py
@@ -51,7 +51,7 @@
         self._refused = meters.RateMeter(policy.window, now)
         self._rates_by_class: dict[DemandClass, float] = {}
         self._offered_by_class: dict[DemandClass, float] = {}
-        self._divides_at = now
+        self._next_division_at = now
         self._ratio = policy.ratio
 
     def record(self, now: Instant) -> None:
@@ -82,7 +82,7 @@
         self._refused.record(now)
 
     def is_active(self, now: Instant) -> bool:
-        """Return whether there are more refusals than one target causes."""
+        """Return whether recent refusals suffice to throttle requests."""
         refused = self._refused.rate(now) * self._policy.window
         return refused >= self._policy.min_refused
 
@@ -105,7 +105,7 @@
         part = self.part_to_refuse(now)
         if part <= 0.0:
             return 0.0
-        if now >= self._divides_at:
+        if now >= self._next_division_at:
             self._divide(demands, part, now)
         offered = self._offered_by_class.get(demand_class, 0.0)
         if offered <= 0.0:
@@ -115,7 +115,7 @@
     def _divide(
         self, demands: demand.DemandMeter, part: float, now: Instant
     ) -> None:
-        self._divides_at = Instant(now + self._policy.period)
+        self._next_division_at = Instant(now + self._policy.period)
         measured = demands.demands(now)
         self._offered_by_class = {e.demand_class: e.offered for e in measured}
         accounts = {e.demand_class: e.accounts for e in measured}
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/messages.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/messages.py
@@ -47,7 +47,7 @@
     # Requests a second that targets finished, and refused as over capacity.
     finished: float = 0.0
     refused: float = 0.0
-    # Number of preceding brokers in the ranking that did not answer.
+    # Number of higher-ranked brokers that did not answer.
     passed_over: int = 0
 
 
@@ -85,7 +85,7 @@
     # Classes with excess demand.
     grants: tuple[ClassGrant, ...]
     # Classes with excess demand that the instance did not report: with many
-    # accounts, most requests at an instance are the first of their account.
+    # accounts, an instance rarely has earlier requests of the same account.
     parts: tuple[ClassPart, ...] = ()
     levels: tuple[PriorityLevel, ...] = ()
     # Seconds of validity, from the sending of the report.
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/second_attempts.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/second_attempts.py
@@ -16,7 +16,7 @@
     hedges: budget.BudgetPolicy = budget.BudgetPolicy(ratio=0.01, reserve=1.0)
     # Maximum number of saved second attempts from the lent rate.
     lent_burst: float = 4.0
-    # Minimum fraction of a retry deposit, while no capacity is free.
+    # Fraction of a retry deposit that is credited without free capacity.
     least_part: float = 0.9
 
 
@@ -40,8 +40,8 @@
         """Apply the rate that the broker lends."""
         self._lent.set_rate(rate, self._policy.lent_burst, now)
 
-    def set_limited(self, is_limited: bool) -> bool:
-        """Store and return whether second attempts are limited."""
+    def update_limited(self, is_limited: bool) -> bool:
+        """Start or end limiting second attempts; return the argument."""
         if is_limited and not self._was_limited:
             # Attempts saved before the congestion would be sent in one burst.
             self._retries.cap(0.0)
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/service_gate.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/service_gate.py
@@ -44,14 +44,14 @@
         self._policy = policy
         self._generator = generator
         self.signs = congestion.CongestionSigns(policy.signs, now)
-        self._demand = demand.DemandMeter(policy.demand)
-        self._refused = demand.DemandMeter(policy.demand)
+        self._demand_meter = demand.DemandMeter(policy.demand)
+        self._refused_meter = demand.DemandMeter(policy.demand)
         self._throttle = local_limit.LocalThrottle(
             policy.throttle, generator, now
         )
         self._lanes = lanes.Lanes(policy.lanes, generator)
-        self._attempts = second_attempts.SecondAttempts(policy.second, now)
-        # Requests that waited in a removed lane.
+        self._budget = second_attempts.SecondAttempts(policy.second, now)
+        # Requests from removed lanes, sent by the next call of `admit`.
         self._released: list[CapacityRequest] = []
         self._grant: CapacityGrant | None = None
         self._grant_until = Instant(-math.inf)
@@ -61,9 +61,9 @@
 
     def offer(self, request: CapacityRequest, now: Instant) -> Ruling:
         """Return the ruling on a new request."""
-        # Counted afterwards, so that it doesn't inflate its class's demand.
+        # Counted last: a request must not raise the demand it is judged by.
         ruling = self._rule(request, now)
-        self._demand.record(request.demand_class, now)
+        self._demand_meter.record(request.demand_class, now)
         wanted = request.wanted_by - request.arrived_at
         self._wanted_seconds += 0.1 * (wanted - self._wanted_seconds)
         return ruling
@@ -81,7 +81,7 @@
         return self._rule_by_lane(request, now)
 
     def admit(self, now: Instant) -> list[tuple[CapacityRequest, Ruling]]:
-        """Return the waiting requests that are now ruled, with rulings."""
+        """Return waiting requests to send or refuse now, with rulings."""
         if self._grant is not None and self._valid_grant(now) is None:
             self._released += self._lanes.clear()
         ruled = [(each, self._allow()) for each in self._released]
@@ -121,16 +121,16 @@
         if not self._is_limited(now):
             return True
         if self._valid_grant(now) is None:
-            return self._attempts.take_retry()
+            return self._budget.take_retry()
         # Classes with excess demand get no second attempts; the others share
         # the fleet's budget.
         if self._lanes.is_capped(request.demand_class):
             return False
-        return self._attempts.take_lent(now)
+        return self._budget.take_lent(now)
 
     def may_hedge(self, request: CapacityRequest, now: Instant) -> bool:
         """Return whether a request may be hedged, and count the hedge."""
-        return not self._is_limited(now) or self._attempts.take_hedge()
+        return not self._is_limited(now) or self._budget.take_hedge()
 
     def started(self, now: Instant) -> None:
         """Record that an attempt is sent."""
@@ -148,7 +148,7 @@
         self._throttle.record_refusal(now)
 
     def gave_up(self, now: Instant) -> None:
-        """Record an attempt that ended without a result of its target."""
+        """Record an attempt whose target neither answered nor refused."""
         self.signs.ended(now)
 
     def report(self, now: Instant) -> DemandReport | None:
@@ -160,7 +160,7 @@
             service=self._service,
             instance=self._instance,
             number=self._report_number,
-            demands=self._demand.demands(now),
+            demands=self._demand_meter.demands(now),
             in_flight=self.signs.mean_in_flight(now),
             wanted_seconds=self._wanted_seconds,
             finished=self.signs.finished_rate(now),
@@ -175,7 +175,7 @@
         self._grant = grant
         self._grant_until = Instant(sent_at + grant.valid_for)
         self._released += self._lanes.apply_grant(grant, sent_at)
-        self._attempts.set_lent_rate(grant.second_rate, sent_at)
+        self._budget.set_lent_rate(grant.second_rate, sent_at)
 
     def is_congested(self, now: Instant) -> bool:
         """Return whether this instance or the broker detects congestion."""
@@ -183,7 +183,7 @@
 
     def _is_limited(self, now: Instant) -> bool:
         """Return whether second attempts are limited by a budget."""
-        return self._attempts.set_limited(
+        return self._budget.update_limited(
             self._has_congested_grant(now) or self._throttle.is_active(now)
         )
 
@@ -191,13 +191,13 @@
         """Return the demand, lent rate and queue of each class."""
         refused = {
             each.demand_class: each.offered
-            for each in self._refused.demands(now)
+            for each in self._refused_meter.demands(now)
         }
         return tuple(
             self._lanes.overview(
                 each, refused.get(each.demand_class, 0.0), now
             )
-            for each in self._demand.demands(now)
+            for each in self._demand_meter.demands(now)
         )
 
     def has_grant(self, now: Instant) -> bool:
@@ -212,9 +212,9 @@
             expected = grant.retry_after
         # Random, so that refused callers don't retry at the same time.
         left = max(0.0, request.deadline - now) * self._policy.retry_part
-        longest = min(max(expected, self._policy.local_retry), left)
+        max_delay = min(max(expected, self._policy.local_retry), left)
         return self._generator.uniform(
-            min(self._policy.min_retry, longest / 4.0), longest
+            min(self._policy.min_retry, max_delay / 4.0), max_delay
         )
 
     def _has_congested_grant(self, now: Instant) -> bool:
@@ -227,7 +227,7 @@
     def _rule_locally(self, request: CapacityRequest, now: Instant) -> Ruling:
         is_late = (self.signs.service_seconds or 0.0) > self._wanted_seconds
         if self._throttle.offer(
-            request.demand_class, self._demand, is_late, now
+            request.demand_class, self._demand_meter, is_late, now
         ):
             return self._allow()
         return self._refuse(request, 0.0, 'the targets are overloaded', now)
@@ -235,7 +235,7 @@
     def _rule_by_lane(self, request: CapacityRequest, now: Instant) -> Ruling:
         seconds = self.signs.service_seconds or 0.0
         if now + seconds > request.deadline:
-            return self._refuse(request, 0.0, 'it would end too late', now)
+            return self._refuse(request, 0.0, 'the deadline is too close', now)
         match self._lanes.draw_admission(request.demand_class):
             case True:
                 return self._allow()
@@ -273,18 +273,18 @@
         """Return the latest start for an answer within the wanted time."""
         seconds = self.signs.service_seconds or 0.0
         # The mean alone would make about half of the answers late.
-        in_time = request.wanted_by - self._policy.margin * seconds
-        return Instant(max(request.arrived_at, in_time))
+        latest = request.wanted_by - self._policy.margin * seconds
+        return Instant(max(request.arrived_at, latest))
 
     def _allow(self) -> Ruling:
         free_part = 0.0 if self._grant is None else self._grant.free_part
-        self._attempts.deposit(free_part)
+        self._budget.deposit(free_part)
         return _SEND
 
     def _refuse(
         self, request: CapacityRequest, wait: float, cause: str, now: Instant
     ) -> Ruling:
-        self._refused.record(request.demand_class, now)
+        self._refused_meter.record(request.demand_class, now)
         return Ruling(
             answer=Answer.REFUSE,
             predicted_wait=wait,
--- a/packages/yuccarill-core/src/yuccarill/core/flow/body_deadline.py
+++ b/packages/yuccarill-core/src/yuccarill/core/flow/body_deadline.py
@@ -18,7 +18,7 @@
 
     ends_at: Instant
     goes_on_by: Instant
-    # Received bytes that extend the progress deadline.
+    # Total of received bytes at which the progress deadline is extended.
     wanted: int = PROGRESS_BYTES
 
     def receive(self, received: int, now: Instant) -> None:
@@ -29,7 +29,7 @@
 
     @property
     def due_at(self) -> Instant:
-        """Return when reading of the body is given up."""
+        """Return when the body times out."""
         return min(self.ends_at, self.goes_on_by)
 
 
--- a/packages/yuccarill-core/src/yuccarill/core/flow/budget.py
+++ b/packages/yuccarill-core/src/yuccarill/core/flow/budget.py
@@ -14,16 +14,16 @@
 
 HolderId = NewType('HolderId', int)
 
-# Bytes that a process uses without buffered data.
+# Bytes that a process uses apart from buffered data.
 BASE_BYTES = 64 << 20
 # Minimum bound of a process, so that a body of maximum length fits.
 MIN_PROCESS_BYTES = 16 << 20
 # Bytes of a resumable answer that are buffered ahead of its client.
 REQUEST_BYTES = 256 << 10
-# Divisors of the process bound.
+# Divisors of the process bound for one connection and one account.
 CONNECTION_PART = 8
 ACCOUNT_PART = 2
-# Divisor of a bound for the level above which reading ahead pauses.
+# Answers are paused above the account and process bounds divided by this.
 AHEAD_PART = 2
 
 
@@ -135,16 +135,16 @@
             holder.bytes_by_holding.pop(holding, None)
             if not holder.bytes_by_holding:
                 self._holders_by_id.pop(holder.id, None)
-        self._add(holder.account, count - before)
+        self._add_bytes(holder.account, count - before)
         return self._pressure(holder, holding, count)
 
     def own(self, holder: Holder, account: AccountName | None) -> None:
         """Set the client account of a holder's request."""
         if account != holder.account:
             held = holder.held
-            self._add(holder.account, -held)
+            self._add_bytes(holder.account, -held)
             holder.account = account
-            self._add(account, held)
+            self._add_bytes(account, held)
 
     def release(self, holder: Holder) -> None:
         """Remove a holder whose request has ended."""
@@ -152,11 +152,11 @@
             self.hold(holder, holding, 0)
 
     def drops(self) -> list[Drop]:
-        """Return the holders to drop, in order, until every bound is met."""
+        """Return the holders to drop, in order, to meet every bound."""
         found: list[Drop] = []
         for account, held in self._held_by_account.items():
             if held > self.bounds.account:
-                found += self._choose(
+                found += self._choose_drops(
                     held - self.bounds.account,
                     [
                         holder
@@ -173,9 +173,9 @@
             if holder.id not in chosen
         ]
         excess = self.held - freed - self.bounds.process
-        return found + self._choose(excess, left, Scope.PROCESS)
+        return found + self._choose_drops(excess, left, Scope.PROCESS)
 
-    def _choose(
+    def _choose_drops(
         self, excess: int, holders: list[Holder], scope: Scope
     ) -> list[Drop]:
         found: list[Drop] = []
@@ -218,7 +218,7 @@
         )
         return Pressure.PAUSE if should_pause else Pressure.NONE
 
-    def _add(self, account: AccountName | None, count: int) -> None:
+    def _add_bytes(self, account: AccountName | None, count: int) -> None:
         self.held += count
         if account is None or not count:
             return
--- a/packages/yuccarill-core/tests/calls/test_ledger.py
+++ b/packages/yuccarill-core/tests/calls/test_ledger.py
@@ -47,7 +47,7 @@
         self.ledger.finish(self.ticket, REQUEST, stage, answer)
 
     def test_repeat_while_running_does_not_start(self) -> None:
-        # Guard against a request that runs twice since its repeat arrives
+        # Guard against a request that runs twice as its repeat arrives
         # during the first run.
         self.assertIsNone(self.begin())
         record = self.begin()
@@ -76,7 +76,7 @@
             self.begin(digest=DIGEST + 1)
 
     def test_expired_ticket_starts_nothing(self) -> None:
-        # Guard against a repeat that starts since the record of the first
+        # Guard against a repeat that starts as the record of the first
         # submission was dropped.
         with self.assertRaises(errors.TicketExpired) as caught:
             self.begin(now=START + 10.0)
--- a/packages/yuccarill-core/tests/calls/test_pool.py
+++ b/packages/yuccarill-core/tests/calls/test_pool.py
@@ -59,13 +59,13 @@
         # Guard against a removed target that is chosen again once a call in
         # flight ends.
         self.pool.update(targets(3), HERE, START)
-        gone = TargetId('here0')
-        self.pool.send(gone)
+        removed = TargetId('here0')
+        self.pool.send(removed)
         self.pool.update(
-            {t: HERE for t in targets(3) if t != gone}, HERE, START
+            {t: HERE for t in targets(3) if t != removed}, HERE, START
         )
-        self.pool.answer(gone, 0.1, IDLE, START)
-        self.assertNotIn(gone, self.counts(20))
+        self.pool.answer(removed, 0.1, IDLE, START)
+        self.assertNotIn(removed, self.counts(20))
 
     @params(
         ([pool.Failure.NOT_CONNECTED], True),
@@ -78,13 +78,13 @@
         self, outcomes: list[pool.Failure | None], expected: bool
     ) -> None:
         self.pool.update(targets(4), HERE, START)
-        bad = TargetId('here0')
+        failing = TargetId('here0')
         for outcome in outcomes:
-            self.pool.send(bad)
+            self.pool.send(failing)
             if outcome is None:
-                self.pool.answer(bad, 0.1, None, START)
+                self.pool.answer(failing, 0.1, None, START)
             else:
-                self.pool.fail(bad, outcome, START)
+                self.pool.fail(failing, outcome, START)
         self.assertEqual(3 if expected else 4, self.pool.usable)
 
     def test_keeps_a_floor_if_all_targets_fail(self) -> None:
@@ -98,14 +98,14 @@
         # Guard against a returned target with cold caches that gets all new
         # calls.
         self.pool.update(targets(2), HERE, START)
-        bad = TargetId('here0')
-        self.pool.fail(bad, pool.Failure.NOT_CONNECTED, START)
+        failing = TargetId('here0')
+        self.pool.fail(failing, pool.Failure.NOT_CONNECTED, START)
         self.assertEqual({'here1': 2}, self.counts(2))
-        back = self.counts(2, START + 1.1)
+        returned = self.counts(2, START + 1.1)
         self.assertEqual(2, self.pool.usable)
-        self.assertLessEqual(back[bad], 1)
+        self.assertLessEqual(returned[failing], 1)
         later = self.counts(4, START + 20.0)
-        self.assertGreaterEqual(later[bad], 2)
+        self.assertGreaterEqual(later[failing], 2)
 
     def test_avoids_a_slow_target(self) -> None:
         self.pool.update(targets(2), HERE, START)
--- a/packages/yuccarill-core/tests/capacity/load.py
+++ b/packages/yuccarill-core/tests/capacity/load.py
@@ -143,10 +143,10 @@
     arrivals: list[Arrival],
     slowdown: Callable[[float], float] = lambda at: 1.0,
 ) -> int:
-    """Return the number that one central queue serves in time.
+    """Return how many requests one central queue answers in time.
 
     The queue knows when a slot is released, not the work of a request; the
-    best of several bounds on waiting counts.
+    best result of several bounds on waiting is returned.
     """
     bounds = [part * setting.objective for part in (0.0, 0.05, 0.2, 0.5)]
     return max(_served(setting, arrivals, slowdown, bound) for bound in bounds)
@@ -180,7 +180,7 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self.targets = [Target(setting.slots) for _ in range(setting.targets)]
-        # Factor on the seconds of work.
+        # Factor by which work takes longer, by time.
         self.slowdown: Callable[[float], float] = lambda at: 1.0
         names = [InstanceId(f'i{n}') for n in range(setting.instances)]
         self.names = names
@@ -191,7 +191,7 @@
             broker.CapacityBroker(SERVICE, broker.BrokerPolicy())
             for _ in range(min(3, len(names)))
         ]
-        # Whether a call of an instance to a broker gets no answer.
+        # Whether the link of an instance to a broker is cut.
         self.is_cut: Callable[[int, int, float], bool] = lambda i, b, at: False
         self._suspected_until = [[0.0] * len(self.brokers) for _ in names]
         self.sent = 0
@@ -400,8 +400,8 @@
         if self.now < self._notified_at + 0.5:
             return
         self._notified_at = self.now
-        asking = self.brokers[rank].leases_by_instance
+        leases = self.brokers[rank].leases_by_instance
         for number, name in enumerate(self.names):
-            if name not in asking and not self.is_cut(number, rank, self.now):
+            if name not in leases and not self.is_cut(number, rank, self.now):
                 self.messages += 1
                 self.gates[number].signs.told(self.now)
--- a/packages/yuccarill-core/tests/flow/test_budget.py
+++ b/packages/yuccarill-core/tests/flow/test_budget.py
@@ -87,7 +87,7 @@
             [2],
         ),
         ([(ANSWERED, ANSWER, 190, ''), (ARRIVING, BODY, 20, '')], [1]),
-        # Within a stage, the holder of most bytes is dropped.
+        # Within a stage, the holder with most bytes is dropped first.
         (
             [
                 (RESUMABLE, ANSWER, 60, ''),
@@ -96,7 +96,7 @@
             ],
             [1],
         ),
-        # As many are dropped as necessary.
+        # Holders are dropped until the bound is met.
         (
             [
                 (SERVED, BODY, 190, ''),
@@ -116,7 +116,7 @@
         self.assertEqual(expected, self.dropped())
 
     def test_account_bound_drops_only_that_account(self) -> None:
-        """Guard against an account's slow readers that drop other accounts."""
+        """Guard against dropping others for an account's slow readers."""
         self.hold(
             (RESUMABLE, ANSWER, 80, 'b'),
             (ANSWERED, ANSWER, 60, 'a'),
