--- a/packages/yuccarill-core/src/yuccarill/core/leases/__init__.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Who may act on which duty, and under which epoch."""
+"""Leases that give each duty one holder, fenced by an epoch."""
--- a/packages/yuccarill-core/src/yuccarill/core/leases/keeper.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/keeper.py
@@ -1,4 +1,4 @@
-"""Decide which shards this instance holds, takes, asks for and gives."""
+"""Decide which shards an instance claims, requests and transfers."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Ask(msgspec.Struct, frozen=True):
-    """Ask a holder for shards that are placed here."""
+    """Request the transfer of shards from their holder to a session."""
 
     holder: InstanceId
     session: SessionId
@@ -40,7 +40,7 @@
 
 
 class LeaseKeeper:
-    """Keep one instance's leases; the caller does the calls."""
+    """Manage one instance's leases; the caller performs the store calls."""
 
     def __init__(
         self,
@@ -52,19 +52,19 @@
         self._me = instance
         self._policy = policy
         numbers = itertools.count(1)
-        self._own = own_session.OwnSession(
+        self._session = own_session.OwnSession(
             instance, incarnation, policy, numbers
         )
         self._tables = table_keeper.TableKeeper(policy, generator, numbers)
-        self._watching = watching.Watching(policy, numbers)
-        self._placing = placing.Placing(instance)
-        self._demand = demand_module.Demand(policy, self._placing)
-        self._gifts_by_shard: dict[ShardNumber, Holder | None] = {}
+        self._watched_sessions = watching.WatchedSessions(policy, numbers)
+        self._placement = placing.ShardPlacement(instance)
+        self._claims = demand_module.ClaimScheduler(policy, self._placement)
+        self._pending_holders_by_shard: dict[ShardNumber, Holder | None] = {}
         self._watches_by_number: dict[int, watching.SessionWatch] = {}
-        self._wanted_until = Instant(float('-inf'))
+        self._session_needed_until = Instant(float('-inf'))
         self._is_leaving = False
-        # The table or the live instances changed since they were used.
-        self._is_stale_view = True
+        # The table or the live instances changed since the last refresh.
+        self._is_view_stale = True
         self._ended: set[SessionId] = set()
 
     @property
@@ -72,48 +72,48 @@
         return self._tables
 
     def set_live(self, live: Iterable[InstanceId]) -> None:
-        """Take the instances that may be given work."""
-        if self._placing.set_live(live):
-            self._is_stale_view = True
+        """Set the instances that may be given work."""
+        if self._placement.set_live(live):
+            self._is_view_stale = True
 
     def offer_table(self, version: int, data: bytes) -> None:
-        """Take a table that a peer passed on."""
+        """Adopt a table received from a peer if it is newer."""
         if self._tables.offer(version, data):
-            self._is_stale_view = True
+            self._is_view_stale = True
 
     def epoch_of(self, shard: ShardNumber, now: Instant) -> Epoch | None:
-        """Return the epoch for an order sent right now, or none."""
-        if not self._own.is_usable(now) or not self._is_mine(shard):
+        """Return the epoch for an order sent now, None if not the holder."""
+        if not self._session.is_usable(now) or not self._is_held(shard):
             return None
         return self._tables.table.entries[shard].epoch
 
     def holder_of(self, shard: ShardNumber) -> InstanceId | None:
-        """Return the instance that holds a shard, as far as known."""
+        """Return the last known holder of a shard."""
         holder = self._tables.table.entries[shard].holder
         return holder.instance if holder else None
 
     def held(self) -> list[ShardNumber]:
-        """Return this session's shards, usable or not."""
-        if self._own.id is None:
+        """Return this session's shards, even if its lease has expired."""
+        if self._session.id is None:
             return []
-        held = self._tables.table.held_by(self._own.id)
-        return [s for s in held if not self._tables.is_given(s)]
+        held = self._tables.table.held_by(self._session.id)
+        return [s for s in held if not self._tables.is_in_transfer(s)]
 
     def usable_session(self, now: Instant) -> SessionId | None:
-        """Return the session to give shards to, if it is usable."""
-        return self._own.id if self._own.is_usable(now) else None
+        """Return the session if its lease is valid."""
+        return self._session.id if self._session.is_usable(now) else None
 
     def next_operations(self, now: Instant) -> list[operations.Operation]:
-        """Return the calls that are due."""
+        """Return the store calls that are due."""
         self._refresh(now)
         due = []
-        own = self._own.next_operation(now, self._is_wanted(now))
+        own = self._session.next_operation(now, self._is_session_needed(now))
         if own is not None:
             due.append(own)
-        table = self._tables.read(now) or self._change(now)
+        table = self._tables.read(now) or self._next_table_write(now)
         if table is not None:
             due.append(table)
-        for watch, operation in self._watching.next_operations(now):
+        for watch, operation in self._watched_sessions.next_operations(now):
             self._watches_by_number[operation.number] = watch
             due.append(operation)
         return due
@@ -124,34 +124,34 @@
         outcome: operations.Outcome,
         now: Instant,
     ) -> None:
-        """Take the outcome of a call, once."""
+        """Process the outcome of a store call; ignore duplicates."""
         match operation.step:
             case Step.READ_OWN | Step.OPEN | Step.RENEW | Step.CLOSE:
-                session = self._own.id
-                self._own.complete(operation, outcome, now)
-                if session is not None and self._own.id != session:
-                    # Its shards are at others; what was told while this
-                    # process was stopped or cut off may never come.
-                    self._is_stale_view = True
+                session = self._session.id
+                self._session.complete(operation, outcome, now)
+                if session is not None and self._session.id != session:
+                    # The shards of an ended session move to other holders;
+                    # a paused or partitioned process may miss the updates.
+                    self._is_view_stale = True
                     self._tables.request_read()
             case Step.READ_TABLE | Step.TAKE | Step.GIVE | Step.FREE:
                 if self._tables.complete(operation, outcome, now):
-                    self._is_stale_view = True
+                    self._is_view_stale = True
             case Step.READ_PEER | Step.REVOKE:
                 watch = self._watches_by_number.pop(operation.number, None)
                 if watch is not None:
                     watch.complete(operation, outcome, now)
 
     def want_session(self, until: Instant) -> None:
-        """Keep a session open until then, to be given shards."""
-        self._wanted_until = max(self._wanted_until, until)
+        """Keep a session open until an instant, to receive shards."""
+        self._session_needed_until = max(self._session_needed_until, until)
 
     def due_asks(self, now: Instant) -> list[Ask]:
-        """Return the requests to send to holders, and count them as sent."""
+        """Return the requests to send to holders, and mark them as sent."""
         session = self.usable_session(now)
         if session is None or self._is_leaving:
             return []
-        shards_by_holder = self._demand.take_asks(now)
+        shards_by_holder = self._claims.next_requests(now)
         return [
             Ask(holder, session, tuple(numbers))
             for holder, numbers in shards_by_holder.items()
@@ -163,15 +163,15 @@
         numbers: Iterable[ShardNumber],
         busy: frozenset[ShardNumber] = frozenset(),
     ) -> list[ShardNumber]:
-        """Give shards to a peer that asked; return those that it gets."""
-        # Both sides must place the shard alike. If the views of who is
-        # live differ, the shard stays: it would go back and forth.
+        """Transfer requested shards to a peer; return the accepted ones."""
+        # A shard moves only if this instance too ranks the peer higher;
+        # otherwise differing membership views would move it back and forth.
         given = [
             shard
             for shard in numbers
-            if self._is_mine(shard)
+            if self._is_held(shard)
             and shard not in busy
-            and self._may_pass(to.instance, shard)
+            and self._may_transfer(to.instance, shard)
         ]
         self.give(dict.fromkeys(given, to))
         return given
@@ -179,106 +179,106 @@
     def give(
         self, holders_by_shard: Mapping[ShardNumber, Holder | None]
     ) -> None:
-        """Give shards away with the next change of the table."""
-        self._gifts_by_shard.update(holders_by_shard)
+        """Transfer or free shards with the next write of the table."""
+        self._pending_holders_by_shard.update(holders_by_shard)
 
     def begin_leaving(self) -> None:
-        """Take no more shards and give each to any that asks."""
+        """Claim no more shards; transfer them to any live peer on request."""
         self._is_leaving = True
 
     def leave(self) -> dict[ShardNumber, InstanceId | None]:
-        """Take no more shards; return who should get those held here."""
+        """Claim no more shards; return the next holder of each held shard."""
         self.begin_leaving()
         heirs_by_shard: dict[ShardNumber, InstanceId | None] = {}
         for shard in self.held():
-            order = self._placing.order(shard)
+            order = self._placement.order(shard)
             others = [i for i in order if i != self._me]
             heirs_by_shard[shard] = others[0] if others else None
         return heirs_by_shard
 
     def close(self) -> bool:
-        """End the session of a leaving instance; tell whether it ended."""
+        """Close the session once no shard is held; return if it is closed."""
         if not self.held():
-            self._own.close()
-        return self._own.state is life_cycle.OwnState.CLOSED
+            self._session.close()
+        return self._session.state is life_cycle.OwnState.CLOSED
 
-    def _is_mine(self, shard: ShardNumber) -> bool:
+    def _is_held(self, shard: ShardNumber) -> bool:
         holder = self._tables.table.entries[shard].holder
-        if holder is None or holder.session != self._own.id:
+        if holder is None or holder.session != self._session.id:
             return False
-        return not self._tables.is_given(shard)
+        return not self._tables.is_in_transfer(shard)
 
-    def _may_pass(self, to: InstanceId, shard: ShardNumber) -> bool:
+    def _may_transfer(self, to: InstanceId, shard: ShardNumber) -> bool:
         if self._is_leaving:
-            return self._placing.is_live(to)
-        return self._placing.is_better(to, shard)
+            return self._placement.is_live(to)
+        return self._placement.ranks_before(to, shard)
 
-    def _is_wanted(self, now: Instant) -> bool:
+    def _is_session_needed(self, now: Instant) -> bool:
         if self._is_leaving:
             return False
-        if self.held() or self._demand.is_due(now):
+        if self.held() or self._claims.has_due_work(now):
             self.want_session(Instant(now + self._policy.idle_time))
-        if now < self._wanted_until:
+        if now < self._session_needed_until:
             return True
-        self._own.close()
+        self._session.close()
         return False
 
     def _refresh(self, now: Instant) -> None:
         if not self._tables.is_known:
             return
-        if self._is_stale_view:
-            self._watching.set_watched(self._watched())
-        ended = self._watching.ended()
-        if self._is_stale_view or ended != self._ended:
+        if self._is_view_stale:
+            self._watched_sessions.set_watched(self._watch_paces())
+        ended = self._watched_sessions.ended()
+        if self._is_view_stale or ended != self._ended:
             self._ended = ended
-            self._demand.update(self._tables.table, ended, now)
-        self._is_stale_view = False
+            self._claims.update(self._tables.table, ended, now)
+        self._is_view_stale = False
 
-    def _watched(self) -> dict[Holder, float]:
+    def _watch_paces(self) -> dict[Holder, float]:
         holders = sorted(self._tables.table.holders(), key=lambda h: h.session)
         paces = {holder: self._pace(holder) for holder in holders}
         return {h: pace for h, pace in paces.items() if pace is not None}
 
     def _pace(self, holder: Holder) -> float | None:
         if holder.instance == self._me:
-            return None if holder.session == self._own.id else 1.0
+            return None if holder.session == self._session.id else 1.0
         paces = self._policy.watch_paces
-        watchers = self._placing.watchers(holder, len(paces))
+        watchers = self._placement.watchers(holder, len(paces))
         if self._me not in watchers:
             return None
-        # Members that miss a holder prove nothing, but are reason to look.
-        if not self._placing.is_live(holder.instance):
+        # A holder absent from the live instances is read more often.
+        if not self._placement.is_live(holder.instance):
             return 1.0
         return paces[watchers.index(self._me)]
 
-    def _change(self, now: Instant) -> operations.Operation | None:
-        if not self._tables.can_change(now):
+    def _next_table_write(self, now: Instant) -> operations.Operation | None:
+        if not self._tables.can_write(now):
             return None
-        gifts = {
+        holders_by_shard = {
             shard: holder
-            for shard, holder in self._gifts_by_shard.items()
+            for shard, holder in self._pending_holders_by_shard.items()
             if self._holds_in_table(shard)
         }
-        self._gifts_by_shard = gifts
-        if gifts:
-            return self._tables.change(Step.GIVE, gifts, now)
-        ended = dict.fromkeys(self._demand.ended_shards(), None)
-        taken = self._taken(now)
-        if taken:
-            return self._tables.change(Step.TAKE, {**ended, **taken}, now)
+        self._pending_holders_by_shard = holders_by_shard
+        if holders_by_shard:
+            return self._tables.change(Step.GIVE, holders_by_shard, now)
+        ended = dict.fromkeys(self._claims.shards_of_ended_sessions(), None)
+        claimed = self._claimed_holders(now)
+        if claimed:
+            return self._tables.change(Step.TAKE, {**ended, **claimed}, now)
         if ended:
             return self._tables.change(Step.FREE, ended, now)
         return None
 
-    def _taken(self, now: Instant) -> dict[ShardNumber, Holder]:
+    def _claimed_holders(self, now: Instant) -> dict[ShardNumber, Holder]:
         session = self.usable_session(now)
         if session is None or self._is_leaving:
             return {}
         me = Holder(self._me, session)
-        return dict.fromkeys(self._demand.due_takes(now), me)
+        return dict.fromkeys(self._claims.shards_to_claim(now), me)
 
     def _holds_in_table(self, shard: ShardNumber) -> bool:
-        if self._own.id is None:
+        if self._session.id is None:
             return False
         holder = self._tables.table.entries[shard].holder
-        return holder is not None and holder.session == self._own.id
+        return holder is not None and holder.session == self._session.id
--- a/packages/yuccarill-core/src/yuccarill/core/leases/life_cycle.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/life_cycle.py
@@ -1,4 +1,4 @@
-"""The life cycle of a session as its own instance knows it."""
+"""State machine of an instance's own session."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class OwnState(enum.Enum):
-    """Say how far a session is."""
+    """State of an instance's own session."""
 
     CLOSED = 'closed'
     OPENING = 'opening'
@@ -18,26 +18,26 @@
 
 
 class LifeCycle(Protocol):
-    """Take what happens to a session."""
+    """Inputs of the state machine."""
 
     def state(self) -> OwnState:
-        """Return the state."""
+        """Return the current state."""
 
     def begin(self) -> None:
-        """Send the first write of a session."""
+        """Record that the first write of a session is sent."""
 
     def confirm(self) -> None:
-        """Learn that a write of the session took effect."""
+        """Record that a write of the session took effect."""
 
     def close(self) -> None:
-        """Give the session up."""
+        """Stop using the session; its closing write is still to be sent."""
 
     def end(self) -> None:
-        """Learn that the session stands no longer, or never did."""
+        """Record that the session has ended or was never opened."""
 
 
 class _Core:
-    """Hold nothing: the state says all."""
+    """Empty core object that automat requires."""
 
 
 def _build() -> automat.TypeMachineBuilder[LifeCycle, _Core]:
@@ -45,20 +45,20 @@
     closed, opening, opened, closing = (
         builder.state(state.value) for state in OwnState
     )
-    for place, state in zip(
+    for source, state in zip(
         (closed, opening, opened, closing), OwnState, strict=True
     ):
-        place.upon(LifeCycle.state).loop().returns(state)
-        place.upon(LifeCycle.end).to(closed).returns(None)
+        source.upon(LifeCycle.state).loop().returns(state)
+        source.upon(LifeCycle.end).to(closed).returns(None)
     closed.upon(LifeCycle.begin).to(opening).returns(None)
     opening.upon(LifeCycle.confirm).to(opened).returns(None)
     opened.upon(LifeCycle.confirm).loop().returns(None)
     opened.upon(LifeCycle.close).to(closing).returns(None)
-    # The write that ends it is still due, whatever took effect before.
+    # The closing write is still due after an earlier write is confirmed.
     closing.upon(LifeCycle.confirm).loop().returns(None)
-    # Nothing is held under these, so there is nothing to give up.
-    for place in (closed, opening, closing):
-        place.upon(LifeCycle.close).loop().returns(None)
+    # No shard is held in these states, so closing changes nothing.
+    for source in (closed, opening, closing):
+        source.upon(LifeCycle.close).loop().returns(None)
     return builder
 
 
@@ -66,5 +66,5 @@
 
 
 def new() -> LifeCycle:
-    """Return the life cycle of a session that is closed."""
+    """Return a state machine in the closed state."""
     return _machine(_Core())
--- a/packages/yuccarill-core/src/yuccarill/core/leases/operations.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/operations.py
@@ -1,4 +1,4 @@
-"""Calls of the key-value service that leases ask for, and their outcomes."""
+"""Calls to the key-value store for leases, and their outcomes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Step(enum.Enum):
-    """Name every call that keeps, takes or gives leases."""
+    """Purpose of a store call."""
 
     READ_OWN = 'read own session'
     OPEN = 'open session'
@@ -32,44 +32,44 @@
 
 
 class Operation(msgspec.Struct, frozen=True, kw_only=True):
-    """Ask for one read, or one compare-and-swap if there is a value."""
+    """One read, or one compare-and-swap if a value is set."""
 
     step: Step
     key: str
-    # Unique in an instance: tells a call from a duplicate of another.
+    # Unique in an instance; matches a reply to its call.
     number: int
     sent_at: Instant
     value: bytes | None = None
-    # Version that the key must have, 0 for absent.
+    # Version that the key must have; 0 if it must be absent.
     expected: int = 0
 
 
 class Found(msgspec.Struct, frozen=True):
-    """Return what a read found; version 0 if the key is absent."""
+    """Result of a read; the version is 0 if the key is absent."""
 
     version: int
     value: bytes
 
 
 class Written(msgspec.Struct, frozen=True):
-    """Confirm a compare-and-swap."""
+    """A compare-and-swap took effect."""
 
     version: int
 
 
 class Conflict(msgspec.Struct, frozen=True):
-    """Tell that a compare-and-swap wrote nothing and never will."""
+    """A compare-and-swap wrote nothing and never will."""
 
 
 class Unknown(msgspec.Struct, frozen=True):
-    """Tell nothing: a write may have taken effect or may do so later."""
+    """No outcome: a write may have taken effect or may still do so."""
 
 
 Outcome = Found | Written | Conflict | Unknown
 
 
-class Lane:
-    """Allow one call in flight at a time."""
+class CallSlot:
+    """Limit a sequence of calls to one in flight."""
 
     def __init__(self, numbers: Iterator[int]) -> None:
         self._numbers = numbers
@@ -78,7 +78,7 @@
         self.not_before = Instant(0.0)
 
     def is_free(self, now: Instant) -> bool:
-        """Tell whether a call may be sent."""
+        """Return whether a call may be sent."""
         return not self._is_busy and now >= self.not_before
 
     def send(
@@ -89,7 +89,7 @@
         value: bytes | None = None,
         expected: int = 0,
     ) -> Operation:
-        """Make the next call."""
+        """Return the next call and mark it as in flight."""
         self._number = next(self._numbers)
         self._is_busy = True
         return Operation(
@@ -101,8 +101,8 @@
             expected=expected,
         )
 
-    def settle(self, operation: Operation) -> bool:
-        """Tell whether an outcome is the first of the call in flight."""
+    def release(self, operation: Operation) -> bool:
+        """Free the slot if an operation is in flight; return if it was."""
         is_current = self._is_busy and operation.number == self._number
         if is_current:
             self._is_busy = False
--- a/packages/yuccarill-core/src/yuccarill/core/leases/own_session.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/own_session.py
@@ -1,4 +1,4 @@
-"""Keep this instance's session, under which it holds all its shards."""
+"""The session under which an instance holds all its shards."""
 
 from __future__ import annotations
 
@@ -38,46 +38,45 @@
         self._key = session_module.session_key(instance)
         self._incarnation = incarnation
         self._policy = policy
-        self._lane = operations.Lane(numbers)
+        self._slot = operations.CallSlot(numbers)
         self._serial = 0
         self._beat = 0
-        # None where the key's version must be read before the next write.
+        # None if the key's version must be read before the next write.
         self._version: int | None = None
         self._record: SessionRecord | None = None
-        self._predecessor = staleness.Staleness(policy)
+        self._predecessor_staleness = staleness.Staleness(policy)
         self._sent_at_by_beat: dict[int, Instant] = {}
         self._usable_until = _NEVER
         self._renew_at = _NEVER
-        self._cycle = life_cycle.new()
-        self.state = self._cycle.state()
+        self._life_cycle = life_cycle.new()
+        self.state = self._life_cycle.state()
         self.id: SessionId | None = None
 
     def is_usable(self, now: Instant) -> bool:
-        """Tell whether an order may still be sent."""
-        # A holder that was stopped past its lease still believes in it
-        # when it goes on, and would order an engine that its successor
-        # orders too. The clock is asked for each order, and the deadline
-        # counts from before the renewal was sent: a slow reply must not
-        # stretch it past the time at which a successor may revoke.
+        """Return whether an order may be sent under this session."""
+        # A holder paused past its lease must not send orders beside its
+        # successor, so each order checks the clock. The deadline counts
+        # from the sending of the renewal, since a successor may revoke the
+        # session that long after a renewal whose reply is slow.
         return now < self._usable_until and self.state is OwnState.OPEN
 
     def close(self) -> None:
-        """End the session; its holder acts no more from now on."""
-        self._advance(self._cycle.close)
+        """Stop using the session and release it with the next write."""
+        self._advance(self._life_cycle.close)
 
     def next_operation(
-        self, now: Instant, is_wanted: bool
+        self, now: Instant, is_needed: bool
     ) -> operations.Operation | None:
-        """Return the call that is due."""
-        if not self._lane.is_free(now):
+        """Return the store call that is due."""
+        if not self._slot.is_free(now):
             return None
         match self.state:
-            case OwnState.CLOSED if not is_wanted:
+            case OwnState.CLOSED if not is_needed:
                 return None
             case _ if self._version is None:
-                return self._lane.send(Step.READ_OWN, self._key, now)
-            case OwnState.CLOSED if self._is_taken():
-                return self._lane.send(Step.READ_OWN, self._key, now)
+                return self._slot.send(Step.READ_OWN, self._key, now)
+            case OwnState.CLOSED if self._has_active_predecessor():
+                return self._slot.send(Step.READ_OWN, self._key, now)
             case OwnState.CLOSED:
                 return self._open(now)
             case OwnState.OPEN if now >= self._renew_at:
@@ -92,37 +91,39 @@
         outcome: operations.Outcome,
         now: Instant,
     ) -> None:
-        """Take the outcome of a call."""
-        if not self._lane.settle(operation):
+        """Process the outcome of a store call."""
+        if not self._slot.release(operation):
             return
         match outcome:
             case operations.Found(version, value):
                 self._version = version
                 self._record = session_module.decode(version, value)
-                self._settle(now)
+                self._apply_record(now)
             case operations.Written(version):
                 assert operation.value is not None
                 self._version = version
                 self._record = session_module.decode(version, operation.value)
-                self._settle(now)
+                self._apply_record(now)
             case operations.Conflict():
                 self._version = None
             case operations.Unknown():
                 self._version = None
-                self._predecessor.fail()
-                self._lane.not_before = Instant(now + self._policy.retry_delay)
+                self._predecessor_staleness.fail()
+                self._slot.not_before = Instant(now + self._policy.retry_delay)
 
     def _advance(self, step: Callable[[], None]) -> None:
         step()
-        # Kept, since the state is asked for at each order and tick.
-        self.state = self._cycle.state()
+        # Cached because each order and each tick reads the state.
+        self.state = self._life_cycle.state()
 
-    def _settle(self, now: Instant) -> None:
-        is_mine = not session_module.has_ended(self._record, self.id or _NONE)
+    def _apply_record(self, now: Instant) -> None:
+        is_own = not session_module.has_ended(
+            self._record, self.id or _NO_SESSION
+        )
         match self.state:
-            case OwnState.OPENING | OwnState.OPEN if is_mine and self._record:
+            case OwnState.OPENING | OwnState.OPEN if is_own and self._record:
                 self._confirm(self._record)
-            case OwnState.CLOSING if is_mine and self._record:
+            case OwnState.CLOSING if is_own and self._record:
                 pass
             case _:
                 self._end()
@@ -130,49 +131,49 @@
             self._watch_predecessor(self._version, now)
 
     def _confirm(self, record: SessionRecord) -> None:
-        # The reply to a renewal may be lost after the write took effect.
-        # Its beat, read back, tells that it did and when it was sent.
+        # The reply to a renewal may be lost after the write took effect;
+        # the beat in the record read back identifies its sending time.
         sent_at = self._sent_at_by_beat.get(record.beat, _NEVER)
         self._sent_at_by_beat = {
             beat: instant
             for beat, instant in self._sent_at_by_beat.items()
             if beat >= record.beat
         }
-        self._advance(self._cycle.confirm)
+        self._advance(self._life_cycle.confirm)
         self._usable_until = max(
             self._usable_until, Instant(sent_at + self._policy.usable_time)
         )
         self._renew_at = Instant(sent_at + self._policy.renewal_period)
 
     def _end(self) -> None:
-        self._advance(self._cycle.end)
+        self._advance(self._life_cycle.end)
         self.id = None
         self._usable_until = _NEVER
         self._sent_at_by_beat.clear()
 
     def _watch_predecessor(self, version: int, now: Instant) -> None:
-        self._predecessor.observe(version, now)
-        if self._is_taken():
-            self._lane.not_before = self._predecessor.next_read(now)
-
-    def _is_taken(self) -> bool:
-        # A process of an earlier start under the same id may be stopped,
-        # not dead, and act until its lease ends. It is waited for like any
-        # other holder; nothing is inherited from it.
+        self._predecessor_staleness.observe(version, now)
+        if self._has_active_predecessor():
+            self._slot.not_before = self._predecessor_staleness.next_read(now)
+
+    def _has_active_predecessor(self) -> bool:
+        # An earlier process of the same instance may be paused, not dead,
+        # and act until its lease expires, so this one waits for the expiry
+        # and inherits nothing.
         if self._record is None:
             return False
         if self._record.state is not session_module.SessionState.ACTIVE:
             return False
         if self._record.incarnation == self._incarnation:
             return False
-        return not self._predecessor.is_stale()
+        return not self._predecessor_staleness.is_stale()
 
     def _open(self, now: Instant) -> operations.Operation:
-        # Each try has a name of its own: a session that was revoked and
-        # one that was given up can't come back to life by a late write.
+        # Each attempt has its own session id, so that a late write can't
+        # revive a revoked or closed session.
         self._serial += 1
         self.id = SessionId(f'{self._incarnation}.{self._serial}')
-        self._advance(self._cycle.begin)
+        self._advance(self._life_cycle.begin)
         self._usable_until = _NEVER
         return self._write(Step.OPEN, now)
 
@@ -190,9 +191,9 @@
             beat=self._beat,
             state=state,
         )
-        return self._lane.send(
+        return self._slot.send(
             step, self._key, now, session_module.encode(record), self._version
         )
 
 
-_NONE = SessionId('')
+_NO_SESSION = SessionId('')
--- a/packages/yuccarill-core/src/yuccarill/core/leases/placing.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/placing.py
@@ -1,4 +1,4 @@
-"""Place shards and watches on the live instances."""
+"""Rank the live instances for holding shards and watching sessions."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
     from yuccarill.core.leases.table import Holder
 
 
-class Placing:
-    """Rank instances for every shard, anew only when they change."""
+class ShardPlacement:
+    """Cache the ranking of instances for every shard."""
 
     def __init__(self, me: InstanceId) -> None:
         self.me = me
@@ -27,9 +27,8 @@
         self.set_live(())
 
     def set_live(self, live: Iterable[InstanceId]) -> bool:
-        """Take the live instances; tell whether they changed."""
-        # An instance that the list does not show yet still serves its own
-        # shards; the list lags.
+        """Set the live instances; return whether they changed."""
+        # The instance list lags, so this instance is always included.
         found = frozenset(live) | {self.me}
         if found == self._live:
             return False
@@ -46,28 +45,28 @@
         return True
 
     def is_live(self, instance: InstanceId) -> bool:
-        """Tell whether an instance is among the live ones."""
+        """Return whether an instance is live."""
         return instance in self._live
 
     def order(self, shard: ShardNumber) -> list[InstanceId]:
-        """Return the live instances for a shard, the best first."""
+        """Return the live instances for a shard, the highest-ranked first."""
         return self._order_by_shard[shard]
 
     def my_rank(self, shard: ShardNumber) -> int:
-        """Return this instance's place in a shard's order, from 0."""
+        """Return this instance's rank for a shard, from 0."""
         return self._my_rank_by_shard[shard]
 
     def rank_without(
         self, shard: ShardNumber, other: InstanceId | None
     ) -> int:
-        """Return this instance's place as if another were gone."""
+        """Return this instance's rank with another instance left out."""
         rank = self._my_rank_by_shard[shard]
-        if other is None or not self.is_better(other, shard):
+        if other is None or not self.ranks_before(other, shard):
             return rank
         return rank - 1
 
-    def is_better(self, other: InstanceId, shard: ShardNumber) -> bool:
-        """Tell whether another live instance is placed before this one."""
+    def ranks_before(self, other: InstanceId, shard: ShardNumber) -> bool:
+        """Return whether another live instance ranks before this one."""
         if other not in self._live:
             return False
         order = self._order_by_shard[shard]
--- a/packages/yuccarill-core/src/yuccarill/core/leases/policy.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/policy.py
@@ -1,4 +1,4 @@
-"""What leases weigh: calls to the store against time without a holder."""
+"""Timing of leases."""
 
 from __future__ import annotations
 
@@ -6,34 +6,34 @@
 
 
 class LeasePolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Set the times of leases, all in seconds.
+    """Timing of leases, in seconds.
 
-    The time to live and the drift margin must be the same everywhere.
+    time_to_live and drift_margin must be equal on all instances.
     """
 
     # From sending a renewal until a successor may revoke the session.
     time_to_live: float = 7.5
     renewal_period: float = 2.5
-    # A holder stops this much early and a successor waits this much on
-    # top, for clocks that run at different speeds.
+    # Allows for clock drift: a holder stops this early and a successor
+    # waits this much longer.
     drift_margin: float = 0.5
-    # For how long a shard must be placed here before it is asked for.
+    # How long an instance ranks first for a shard before requesting it.
     settle_time: float = 3.0
-    # How much longer each further candidate waits for a free shard.
+    # Additional delay per rank before an instance claims a free shard.
     patience: float = 2.0
-    # For how long a session without shards is kept.
+    # How long a session without shards is kept open.
     idle_time: float = 10.0
     retry_delay: float = 0.25
-    # For each of the instances that watch a session: how many renewal
-    # periods it waits between reads while nothing points to a loss.
+    # Renewal periods between reads of a session, per watching instance,
+    # while the holder is live and renews.
     watch_paces: tuple[float, ...] = (2.0, 4.0)
 
     @property
     def usable_time(self) -> float:
-        """Return for how long a holder relies on a sent renewal."""
+        """Return how long a holder may act after sending a renewal."""
         return self.time_to_live - self.drift_margin
 
     @property
     def revocation_time(self) -> float:
-        """Return for how long a session must be unchanged to be revoked."""
+        """Return how long a session must be unchanged to be revoked."""
         return self.time_to_live + self.drift_margin
--- a/packages/yuccarill-core/src/yuccarill/core/leases/session.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/session.py
@@ -1,4 +1,4 @@
-"""The record under which an instance renews all its leases at once."""
+"""The session record; its renewal renews all leases of an instance."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class SessionState(enum.Enum):
-    """Say whether a session's shards may be taken."""
+    """Whether a session holds its shards."""
 
     ACTIVE = 'active'
     RELEASED = 'released'
@@ -22,12 +22,11 @@
 
 
 class SessionRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold an instance's newest session."""
+    """An instance's newest session, as stored."""
 
     incarnation: Incarnation
     session: SessionId
-    # Differs in each write of a session, so that a reader tells which
-    # renewal it sees.
+    # Heartbeat counter: identifies the renewal that a reader sees.
     beat: int
     state: SessionState = SessionState.ACTIVE
 
@@ -38,17 +37,17 @@
 
 
 def encode(record: SessionRecord) -> bytes:
-    """Encode a record for the key-value service."""
+    """Encode a record for the key-value store."""
     return msgspec.json.encode(record)
 
 
 def decode(version: int, data: bytes) -> SessionRecord | None:
-    """Decode a record as it was read, none if it is absent."""
+    """Decode a record; return None if the key is absent."""
     return _DECODER.decode(data) if version else None
 
 
 def has_ended(record: SessionRecord | None, session: SessionId) -> bool:
-    """Tell whether a record proves that a session ended for good."""
+    """Return whether a record proves that a session has ended."""
     if record is None:
         return False
     if record.session != session:
--- a/packages/yuccarill-core/src/yuccarill/core/leases/staleness.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/staleness.py
@@ -1,4 +1,4 @@
-"""Tell a session that stopped from a store or a reader that did."""
+"""Detection of sessions that are no longer renewed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Staleness:
-    """Time for how long a session's record was read unchanged."""
+    """Measure how long a session's record has been unchanged."""
 
     def __init__(self, policy: LeasePolicy) -> None:
         self._policy = policy
@@ -21,10 +21,10 @@
         self._is_unchanged = False
 
     def observe(self, version: int, now: Instant) -> None:
-        """Take the version that a read found, when its reply came."""
-        # After an outage of the store, every record is old because nobody
-        # could renew. Counting across it would revoke all sessions at once
-        # as soon as the store answers; only a time of good reads counts.
+        """Record the version returned by a read, at the time of its reply."""
+        # No session can be renewed during an outage of the store. Restarting
+        # the time after a gap in reads keeps the first reads after the
+        # outage from revoking all sessions.
         has_gap = now - self._last > self._policy.time_to_live
         self._is_unchanged = self._since is not None
         self._is_unchanged = self._is_unchanged and version == self._version
@@ -34,21 +34,21 @@
         self._last = now
 
     def fail(self) -> None:
-        """Start over since a read failed."""
+        """Restart the measurement after a failed call."""
         self._since = None
         self._is_unchanged = False
 
     def is_stale(self) -> bool:
-        """Tell whether the session may be revoked at the version read."""
-        # The first read found a renewal that had been sent before its
-        # reply came here, so the holder's deadline has passed as well,
-        # whatever the delays, by the margins that allow for clock drift.
+        """Return whether the session may be revoked at the version read."""
+        # The renewal that the first read returned was sent before that
+        # read's reply arrived, so the holder's deadline has passed too,
+        # whatever the delays; the margins allow for clock drift.
         revocable_at = self._revocable_at()
         return revocable_at is not None and self._last >= revocable_at
 
     def next_read(self, now: Instant, pace: float = 1.0) -> Instant:
-        """Return when to read again; the pace counts renewal periods."""
-        # A record that did not change over a whole wait missed a renewal.
+        """Return when to read again; the pace is in renewal periods."""
+        # A record unchanged since the last read missed a renewal.
         if self._is_unchanged:
             pace = 1.0
         regular = Instant(now + pace * self._policy.renewal_period)
--- a/packages/yuccarill-core/src/yuccarill/core/leases/table.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/table.py
@@ -1,4 +1,4 @@
-"""The table of all shards, kept under one key."""
+"""The table of all shards, stored under one key."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
 
 
 class Holder(msgspec.Struct, frozen=True, array_like=True):
-    """Name the session that holds a shard."""
+    """The session that holds a shard."""
 
     instance: InstanceId
     session: SessionId
 
 
 class ShardEntry(msgspec.Struct, frozen=True, array_like=True):
-    """Hold a shard's holder, none if it is free, and its epoch."""
+    """A shard's epoch and its holder, None if the shard is free."""
 
     epoch: Epoch = Epoch(0)
     holder: Holder | None = None
-    # Who held a free shard before.
+    # Last holder of a free shard.
     previous: InstanceId | None = None
 
     def moved_to(self, holder: Holder | None) -> ShardEntry:
         """Return the entry with another holder."""
-        # Engines refuse an order whose epoch is below one they have seen,
-        # so the epoch grows with each holder and stays when there is none.
+        # The epoch is a fencing token: it grows with each new holder, and
+        # engines reject orders with a lower epoch than the highest seen.
         if holder is None:
             previous = self.holder.instance if self.holder else self.previous
             return ShardEntry(self.epoch, None, previous)
@@ -46,25 +46,24 @@
 
 
 class ShardTable(msgspec.Struct, frozen=True):
-    """Hold all shards' entries, by number."""
+    """The entries of all shards, by shard number."""
 
     entries: tuple[ShardEntry, ...]
 
     def moved(
         self, holders_by_shard: Mapping[ShardNumber, Holder | None]
     ) -> ShardTable:
-        """Return the table with some shards at other holders."""
+        """Return the table with new holders for some shards."""
         entries = list(self.entries)
         for shard, holder in holders_by_shard.items():
             entries[shard] = entries[shard].moved_to(holder)
         return ShardTable(tuple(entries))
 
     def holders(self) -> set[Holder]:
-        """Return all holders."""
         return {e.holder for e in self.entries if e.holder is not None}
 
     def held_by(self, session: SessionId | None) -> Iterator[ShardNumber]:
-        """Return the shards of a session."""
+        """Return the shards that a session holds."""
         for shard, entry in zip(shards.ALL_SHARDS, self.entries, strict=True):
             if entry.holder is not None and entry.holder.session == session:
                 yield shard
@@ -76,10 +75,10 @@
 
 
 def encode(table: ShardTable) -> bytes:
-    """Encode a table for the key-value service."""
+    """Encode a table for the key-value store."""
     return msgspec.json.encode(table)
 
 
 def decode(version: int, data: bytes) -> ShardTable:
-    """Decode a table as it was read; an absent one is empty."""
+    """Decode a table; return an empty one if the key is absent."""
     return _DECODER.decode(data) if version else EMPTY
--- a/packages/yuccarill-core/src/yuccarill/core/leases/table_keeper.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/table_keeper.py
@@ -1,4 +1,4 @@
-"""Read and change the shard table."""
+"""Reads and writes of the shard table."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class TableKeeper:
-    """Know the newest table and swap it for changed ones."""
+    """Cache the newest table and replace it by compare-and-swap."""
 
     def __init__(
         self,
@@ -30,39 +30,39 @@
     ) -> None:
         self._policy = policy
         self._generator = generator
-        self._lane = operations.Lane(numbers)
+        self._slot = operations.CallSlot(numbers)
         self._needs_read = True
-        # Shards in a swap that gives them away, by the version it expects.
-        self._given_at_by_shard: dict[ShardNumber, int] = {}
+        # Expected version of the last swap that transfers each shard.
+        self._expected_by_shard: dict[ShardNumber, int] = {}
         self.table = table_module.EMPTY
         self.version = -1
 
     @property
     def is_known(self) -> bool:
-        """Tell whether any table was seen."""
+        """Return whether a table has been read or received."""
         return self.version >= 0
 
-    def is_given(self, shard: ShardNumber) -> bool:
-        """Tell whether a shard was given away or may yet have been."""
-        return shard in self._given_at_by_shard
+    def is_in_transfer(self, shard: ShardNumber) -> bool:
+        """Return whether a pending swap may transfer a shard."""
+        return shard in self._expected_by_shard
 
     def offer(self, version: int, data: bytes) -> bool:
-        """Take a table that a peer passed on, if it is newer."""
-        return self._take(version, table_module.decode(version, data))
+        """Adopt a table received from a peer if it is newer."""
+        return self._adopt(version, table_module.decode(version, data))
 
     def request_read(self) -> None:
-        """Read the table with the next call."""
+        """Read the table before the next write."""
         self._needs_read = True
 
     def read(self, now: Instant) -> operations.Operation | None:
-        """Return the read that is due."""
-        if not self._needs_read or not self._lane.is_free(now):
+        """Return the read if one is due."""
+        if not self._needs_read or not self._slot.is_free(now):
             return None
-        return self._lane.send(Step.READ_TABLE, table_module.TABLE_KEY, now)
+        return self._slot.send(Step.READ_TABLE, table_module.TABLE_KEY, now)
 
-    def can_change(self, now: Instant) -> bool:
-        """Tell whether a change may be sent."""
-        return not self._needs_read and self._lane.is_free(now)
+    def can_write(self, now: Instant) -> bool:
+        """Return whether a write may be sent."""
+        return not self._needs_read and self._slot.is_free(now)
 
     def change(
         self,
@@ -70,15 +70,14 @@
         holders_by_shard: Mapping[ShardNumber, Holder | None],
         now: Instant,
     ) -> operations.Operation:
-        """Return the swap that puts shards at other holders."""
+        """Return the compare-and-swap that sets new holders."""
         if step is Step.GIVE:
-            # The holder stops before the swap is sent. If its reply is
-            # lost it may still take effect later, and the next holder act
-            # at once, so this one stays stopped until a newer table shows
-            # which of the two happened.
+            # This holder stops acting before the swap is sent, and until a
+            # newer table shows whether the swap took effect: with a lost
+            # reply the next holder may already act.
             for shard in holders_by_shard:
-                self._given_at_by_shard[shard] = self.version
-        return self._lane.send(
+                self._expected_by_shard[shard] = self.version
+        return self._slot.send(
             step,
             table_module.TABLE_KEY,
             now,
@@ -92,37 +91,39 @@
         outcome: operations.Outcome,
         now: Instant,
     ) -> bool:
-        """Take the outcome of a call; tell whether the table is newer."""
-        if not self._lane.settle(operation):
+        """Process a call's outcome; return whether the table is newer."""
+        if not self._slot.release(operation):
             return False
         match outcome:
             case operations.Found(version, value):
                 self._needs_read = False
-                return self._take(version, table_module.decode(version, value))
+                return self._adopt(
+                    version, table_module.decode(version, value)
+                )
             case operations.Written(version):
                 assert operation.value is not None
                 written = table_module.decode(version, operation.value)
-                return self._take(version, written)
+                return self._adopt(version, written)
             case operations.Conflict():
                 self._needs_read = True
-                # Those who lost the same race must not meet again at once.
+                # Random, so that conflicting writers don't collide again.
                 delay = self._generator.uniform(0, self._policy.retry_delay)
-                self._lane.not_before = Instant(now + delay)
+                self._slot.not_before = Instant(now + delay)
             case operations.Unknown():
                 self._needs_read = True
-                self._lane.not_before = Instant(now + self._policy.retry_delay)
+                self._slot.not_before = Instant(now + self._policy.retry_delay)
         return False
 
-    def _take(self, version: int, table: table_module.ShardTable) -> bool:
-        # Tables come from the store and over several peers, out of order;
-        # an older one would bring back holders that are gone.
+    def _adopt(self, version: int, table: table_module.ShardTable) -> bool:
+        # Tables arrive from the store and from peers out of order; an older
+        # one would restore former holders.
         if version <= self.version:
             return False
         self.version = version
         self.table = table
-        self._given_at_by_shard = {
-            shard: given_at
-            for shard, given_at in self._given_at_by_shard.items()
-            if given_at >= version
+        self._expected_by_shard = {
+            shard: expected
+            for shard, expected in self._expected_by_shard.items()
+            if expected >= version
         }
         return True
--- a/packages/yuccarill-core/src/yuccarill/core/leases/watching.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/watching.py
@@ -1,4 +1,4 @@
-"""Watch holders' sessions and revoke those that stopped."""
+"""Watch holders' sessions and revoke those no longer renewed."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class SessionWatch:
-    """Watch one session until it has ended."""
+    """Watch one holder's session until it has ended."""
 
     def __init__(
         self,
@@ -34,35 +34,35 @@
         self._key = session_module.session_key(holder.instance)
         self._policy = policy
         self._pace = 1.0
-        self._lane = operations.Lane(numbers)
+        self._slot = operations.CallSlot(numbers)
         self._staleness = staleness.Staleness(policy)
         self._version = 0
         self._record: SessionRecord | None = None
         self.has_ended = False
 
     def set_pace(self, pace: float) -> None:
-        """Set how many renewal periods to wait between reads."""
+        """Set the renewal periods between reads; read at once if fewer."""
         if pace < self._pace:
-            self._lane.not_before = Instant(float('-inf'))
+            self._slot.not_before = Instant(float('-inf'))
         self._pace = pace
 
     def next_operation(self, now: Instant) -> operations.Operation | None:
-        """Return the call that is due."""
-        if self.has_ended or not self._lane.is_free(now):
+        """Return the store call that is due."""
+        if self.has_ended or not self._slot.is_free(now):
             return None
         if not self._staleness.is_stale():
-            return self._lane.send(Step.READ_PEER, self._key, now)
-        # Not being reachable from here says nothing of a holder: only a
-        # session that stood still is ended, and by a compare-and-swap that
-        # fails if a renewal came after all. A holder that renews late then
-        # finds its session revoked and does not come back to its shards.
+            return self._slot.send(Step.READ_PEER, self._key, now)
+        # An unreachable holder may be alive: only a session that is no
+        # longer renewed is revoked, by a compare-and-swap that fails if a
+        # renewal was written. A holder that renews later finds its session
+        # revoked and stays off its shards.
         revoked = session_module.SessionRecord(
-            incarnation=self._record.incarnation if self._record else _NONE,
+            incarnation=self._record.incarnation if self._record else _UNKNOWN,
             session=self._session,
             beat=0,
             state=session_module.SessionState.REVOKED,
         )
-        return self._lane.send(
+        return self._slot.send(
             Step.REVOKE,
             self._key,
             now,
@@ -76,19 +76,19 @@
         outcome: operations.Outcome,
         now: Instant,
     ) -> None:
-        """Take the outcome of a call."""
-        if not self._lane.settle(operation):
+        """Process the outcome of a store call."""
+        if not self._slot.release(operation):
             return
         match outcome:
             case operations.Found(version, value):
                 self._version = version
                 self._record = session_module.decode(version, value)
                 self._staleness.observe(version, now)
-                self._lane.not_before = self._staleness.next_read(
+                self._slot.not_before = self._staleness.next_read(
                     now, self._pace
                 )
                 if self._staleness.is_stale():
-                    self._lane.not_before = now
+                    self._slot.not_before = now
                 self.has_ended = session_module.has_ended(
                     self._record, self._session
                 )
@@ -98,11 +98,11 @@
                 self._staleness.fail()
             case operations.Unknown():
                 self._staleness.fail()
-                self._lane.not_before = Instant(now + self._policy.retry_delay)
+                self._slot.not_before = Instant(now + self._policy.retry_delay)
 
 
-class Watching:
-    """Watch several sessions and remember which have ended."""
+class WatchedSessions:
+    """Watch several sessions and record which have ended."""
 
     def __init__(self, policy: LeasePolicy, numbers: Iterator[int]) -> None:
         self._policy = policy
@@ -110,10 +110,10 @@
         self._watches_by_holder: dict[Holder, SessionWatch] = {}
 
     def set_watched(self, paces_by_holder: Mapping[Holder, float]) -> None:
-        """Watch these holders and no others, each at its pace."""
-        # A read that was sent before the session stood in the table could
-        # show the one before it and pass for proof of its end, so each
-        # session gets a watch of its own with reads of its own.
+        """Replace the watched holders and their read paces."""
+        # Each session has its own reads: a read sent before the session was
+        # in the table could return its predecessor, which would look like
+        # proof that the session has ended.
         self._watches_by_holder = {
             holder: self._watches_by_holder.get(holder)
             or SessionWatch(holder, self._policy, self._numbers)
@@ -123,7 +123,7 @@
             self._watches_by_holder[holder].set_pace(pace)
 
     def ended(self) -> set[SessionId]:
-        """Return the watched sessions that have ended for good."""
+        """Return the watched sessions that have ended."""
         return {
             holder.session
             for holder, watch in self._watches_by_holder.items()
@@ -133,7 +133,7 @@
     def next_operations(
         self, now: Instant
     ) -> list[tuple[SessionWatch, operations.Operation]]:
-        """Return the calls that are due, each with its watch."""
+        """Return the store calls that are due, each with its watch."""
         due = []
         for watch in self._watches_by_holder.values():
             operation = watch.next_operation(now)
@@ -142,5 +142,5 @@
         return due
 
 
-# Stands in the place of a record that the platform has lost.
-_NONE = Incarnation('')
+# Replaces the incarnation of a record that the store has lost.
+_UNKNOWN = Incarnation('')
--- a/packages/yuccarill-core/tests/leases/naive.py
+++ b/packages/yuccarill-core/tests/leases/naive.py
@@ -1,4 +1,4 @@
-"""Leases done naively: one a shard, on one clock that all share."""
+"""A naive reference model of leases, with one clock for all."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 
 @dataclasses.dataclass
 class Lease:
-    """Hold one shard's holder and the count of its holders."""
+    """One shard's holder, and its epoch."""
 
     start: tuple[InstanceId, int] | None = None
     epoch: int = 0
 
 
 class NaiveLeases:
-    """Grant each shard to the instance placed first, at once."""
+    """Grant each shard at once to the live instance that ranks first."""
 
     def __init__(self) -> None:
-        # Negative while the instance is down.
+        # Number of starts, negative while the instance is down.
         self._start_by_id: dict[InstanceId, int] = {}
         self.leases_by_shard: dict[ShardNumber, Lease] = {
             shard: Lease() for shard in shards.ALL_SHARDS
         }
 
     def start(self, instance: InstanceId) -> None:
-        """Start an instance, anew if it was there."""
+        """Start or restart an instance."""
         start = abs(self._start_by_id.get(instance, 0)) + 1
         self._start_by_id[instance] = start
         self._grant()
 
     def stop(self, instance: InstanceId) -> None:
-        """End an instance; it may start again under its name."""
+        """Stop an instance; it may be restarted."""
         self._start_by_id[instance] = -abs(self._start_by_id[instance])
         self._grant()
 
--- a/packages/yuccarill-core/tests/leases/test_faults.py
+++ b/packages/yuccarill-core/tests/leases/test_faults.py
@@ -1,4 +1,4 @@
-"""Test every fault at every step of a lease, and two faults at once."""
+"""Test each fault, and each pair of faults, at each step of a lease."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
 TICK = 0.5
 FAULT_SECONDS = 9.0
-# Past the lease and both margins.
+# Longer than the lease and both drift margins.
 PAUSE_SECONDS = 12.0
 
 
 class Fault(enum.Enum):
-    """Name what may happen at a step."""
+    """A fault that occurs at a step."""
 
     SLOW = 'every call takes 1.9 seconds'
     TOO_SLOW = 'every call takes effect, its reply comes too late'
-    DOWN = 'the store is away'
+    DOWN = 'the store is unavailable'
     REPLY_LOST = 'the call takes effect, its reply is lost'
-    EFFECT_LATE = 'the call takes effect when it was long given up'
-    DOUBLED = 'the call takes effect twice'
-    PAUSED = 'the process is stopped past its lease'
-    CRASHED = 'the process dies and starts again'
-    DEAF = 'the process hears of no table from its peers'
-    RIVAL = 'another instance believes to be alone'
+    EFFECT_LATE = 'the call takes effect long after its timeout'
+    DUPLICATED = 'the call takes effect twice'
+    PAUSED = 'the process is paused past its lease'
+    CRASHED = 'the process crashes and is restarted'
+    LACKS_TABLES = 'the process receives no table from its peers'
+    RIVAL = 'another instance sees no live peer'
 
 
-# The steps at which who may act changes.
+# The steps at which the right to act changes.
 DECISIVE = (Step.OPEN, Step.RENEW, Step.TAKE, Step.GIVE, Step.REVOKE)
 CELLS = tuple(itertools.product(Step, Fault))
 PAIRS = tuple(
@@ -45,24 +45,24 @@
 
 
 class FaultyWorld(world.World):
-    """Do one of each step and meet faults at one of them."""
+    """Run every step once, with faults at one of them."""
 
     def __init__(self, step: Step, faults: tuple[Fault, ...]) -> None:
         super().__init__(('a', 'b', 'c'), tick=TICK)
         self._step_at_fault = step
-        self._planned = faults
+        self._planned_faults = faults
         self._until = 0.0
         self.is_armed = False
-        self.met_by_name: dict[str, operations.Operation] = {}
-        self.manner = self._judge
+        self.faulted_by_name: dict[str, operations.Operation] = {}
+        self.mode = self._mode_of_call
 
-    def play(self) -> None:
-        """Crash one holder, start another, stop a third gracefully."""
+    def run_scenario(self) -> None:
+        """Crash a holder, start an instance, stop a holder gracefully."""
         self.is_armed = self._step_at_fault in (Step.OPEN, Step.READ_TABLE)
         self.run(8)
         self.is_armed = True
         if self._step_at_fault is Step.FREE:
-            # Watchers that may take nothing free what they find.
+            # Watchers that are leaving claim no shards but free them.
             for node in self.nodes_by_name.values():
                 node.keeper.begin_leaving()
         self.crash('c')
@@ -76,50 +76,50 @@
         self.run(PAUSE_SECONDS)
         self.run_until(lambda: self.covered() == shards.SHARD_COUNT, 40)
 
-    def _judge(
+    def _mode_of_call(
         self, node: world.Node, operation: operations.Operation
-    ) -> world.Manner:
-        is_first = not self.met_by_name
+    ) -> world.CallMode:
+        is_first = not self.faulted_by_name
         if operation.step is self._step_at_fault and self.is_armed:
             if is_first:
-                self.met_by_name[node.id] = operation
+                self.faulted_by_name[node.id] = operation
                 self._until = self.now + FAULT_SECONDS
                 self._begin(node)
-        is_here = self.met_by_name.get(node.id) is operation
-        manner = world.Manner()
-        for fault in self._planned if self.now < self._until else ():
-            self._worsen(manner, fault, is_here)
-        return manner
-
-    def _worsen(
-        self, manner: world.Manner, fault: Fault, is_here: bool
+        is_here = self.faulted_by_name.get(node.id) is operation
+        mode = world.CallMode()
+        for fault in self._planned_faults if self.now < self._until else ():
+            self._add_fault(mode, fault, is_here)
+        return mode
+
+    def _add_fault(
+        self, mode: world.CallMode, fault: Fault, is_here: bool
     ) -> None:
         match fault:
             case Fault.SLOW:
-                manner.delay = max(manner.delay, 1.9)
+                mode.delay = max(mode.delay, 1.9)
             case Fault.TOO_SLOW:
-                manner.delay = max(manner.delay, 3.0)
+                mode.delay = max(mode.delay, 3.0)
             case Fault.DOWN:
-                manner.is_down = manner.is_down or not is_here
+                mode.is_down = mode.is_down or not is_here
             case Fault.REPLY_LOST if is_here:
-                manner.loses_reply = True
+                mode.loses_reply = True
             case Fault.EFFECT_LATE if is_here:
-                manner.loses_reply = True
-                manner.delay = 2 * FAULT_SECONDS
-            case Fault.DOUBLED if is_here:
-                manner.is_doubled = True
+                mode.loses_reply = True
+                mode.delay = 2 * FAULT_SECONDS
+            case Fault.DUPLICATED if is_here:
+                mode.is_duplicated = True
 
     def _begin(self, node: world.Node) -> None:
-        if Fault.PAUSED in self._planned:
+        if Fault.PAUSED in self._planned_faults:
             node.is_paused = True
             self._at(PAUSE_SECONDS, setattr, node, 'is_paused', False)
-        if Fault.DEAF in self._planned:
-            node.is_deaf = True
-            self._at(FAULT_SECONDS, setattr, node, 'is_deaf', False)
-        if Fault.CRASHED in self._planned:
+        if Fault.LACKS_TABLES in self._planned_faults:
+            node.lacks_tables = True
+            self._at(FAULT_SECONDS, setattr, node, 'lacks_tables', False)
+        if Fault.CRASHED in self._planned_faults:
             self._at(0, self.crash, node.id)
             self._at(1, self.start, node.id)
-        if Fault.RIVAL in self._planned:
+        if Fault.RIVAL in self._planned_faults:
             others = [
                 n
                 for n in self.nodes_by_name.values()
@@ -131,14 +131,13 @@
 
 class FaultMatrixTest(unittest.TestCase):
     def _check(self, step: Step, *faults: Fault) -> None:
-        # Whoever asks for a duty must find one instance that acts on it,
-        # under an epoch that never goes back, whatever fails at the step;
-        # and after the faults have passed every shard is worked on again.
-        made = FaultyWorld(step, faults)
-        made.play()
-        self.assertTrue(made.met_by_name, f'{step} was never done')
-        self.assertEqual([], made.faults[:3])
-        self.assertEqual(shards.SHARD_COUNT, made.covered())
+        # Guards against two holders of a shard, an epoch that decreases,
+        # and a shard without a holder after the faults have ended.
+        cluster = FaultyWorld(step, faults)
+        cluster.run_scenario()
+        self.assertTrue(cluster.faulted_by_name, f'{step} was never reached')
+        self.assertEqual([], cluster.faults[:3])
+        self.assertEqual(shards.SHARD_COUNT, cluster.covered())
 
     @params(*CELLS)
     def test_one_fault(self, step: Step, fault: Fault) -> None:
--- a/packages/yuccarill-core/tests/leases/test_life_cycle.py
+++ b/packages/yuccarill-core/tests/leases/test_life_cycle.py
@@ -1,4 +1,4 @@
-"""Test that a session's life cycle takes what may happen in each state."""
+"""Test the inputs of a session's state machine in each state."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from yuccarill.core.leases import life_cycle
 from yuccarill.core.leases.life_cycle import OwnState
 
-# What leads to each state, and the states that each input leads to.
+# By state: the inputs that lead to it, and the states after close and end.
 CASES = {
     OwnState.CLOSED: ((), 'CLOSED', 'CLOSED'),
     OwnState.OPENING: (('begin',), 'OPENING', 'CLOSED'),
@@ -23,8 +23,8 @@
     def test_close_and_end_are_taken_in_every_state(
         self, state: OwnState
     ) -> None:
-        # A session is given up, or found to be revoked, at any moment. An
-        # input that some state refused would break off the controller.
+        # A session may be closed or revoked in any state; a rejected input
+        # would raise in the controller.
         inputs, after_close, after_end = CASES[state]
         for name, expected in (('close', after_close), ('end', after_end)):
             cycle = life_cycle.new()
--- a/packages/yuccarill-core/tests/leases/test_model.py
+++ b/packages/yuccarill-core/tests/leases/test_model.py
@@ -1,4 +1,4 @@
-"""Search interleavings of holders, faults and views for two at once."""
+"""Search interleavings of faults for two holders acting at once."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
 NAMES = ('a', 'b', 'c')
 names = strategies.sampled_from(NAMES)
 steps = strategies.sampled_from(Step)
-# How one call of a step goes wrong.
-manners = strategies.sampled_from(
+# Faults of one call.
+modes = strategies.sampled_from(
     (
-        world.Manner(loses_reply=True),
-        world.Manner(is_doubled=True),
-        world.Manner(delay=1.8),
-        world.Manner(delay=3.0),
-        world.Manner(delay=30.0, loses_reply=True),
-        world.Manner(is_down=True),
+        world.CallMode(loses_reply=True),
+        world.CallMode(is_duplicated=True),
+        world.CallMode(delay=1.8),
+        world.CallMode(delay=3.0),
+        world.CallMode(delay=30.0, loses_reply=True),
+        world.CallMode(is_down=True),
     )
 )
 
 
 class LeaseMachine(stateful.RuleBasedStateMachine):
-    """Play against three instances whose clocks differ."""
+    """Apply random faults to three instances with drifting clocks."""
 
     @stateful.initialize(speeds=strategies.permutations((0.97, 1.0, 1.03)))
     def begin(self, speeds: list[float]) -> None:
         self.world = world.World(NAMES, tick=0.5)
-        self.world.manner = self._judge
+        self.world.mode = self._mode_of_call
         self._speed_by_name = dict(zip(NAMES, speeds, strict=True))
         self._is_down = False
-        self._spoilt_by_step: dict[Step, world.Manner] = {}
+        self._modes_by_step: dict[Step, world.CallMode] = {}
         self._set_speeds()
         self.world.run(8)
 
@@ -49,20 +49,20 @@
         for name, node in self.world.nodes_by_name.items():
             node.clock_speed = self._speed_by_name[name]
 
-    def _judge(
+    def _mode_of_call(
         self, node: world.Node, operation: operations.Operation
-    ) -> world.Manner:
+    ) -> world.CallMode:
         if self._is_down:
-            return world.Manner(is_down=True)
-        return self._spoilt_by_step.pop(operation.step, world.Manner())
+            return world.CallMode(is_down=True)
+        return self._modes_by_step.pop(operation.step, world.CallMode())
 
     @stateful.rule(seconds=strategies.sampled_from((0.5, 1.0, 3.0, 7.0)))
     def wait(self, seconds: float) -> None:
         self.world.run(seconds)
 
-    @stateful.rule(step=steps, manner=manners)
-    def spoil_next(self, step: Step, manner: world.Manner) -> None:
-        self._spoilt_by_step[step] = manner
+    @stateful.rule(step=steps, mode=modes)
+    def spoil_next(self, step: Step, mode: world.CallMode) -> None:
+        self._modes_by_step[step] = mode
 
     @stateful.rule()
     def turn_store(self) -> None:
@@ -90,7 +90,7 @@
 
     @stateful.rule()
     def turn_spread(self) -> None:
-        self.world.hears_peers = not self.world.hears_peers
+        self.world.shares_tables = not self.world.shares_tables
 
     @stateful.invariant()
     def no_two_act_and_no_epoch_goes_back(self) -> None:
@@ -101,8 +101,8 @@
         if not hasattr(self, 'world'):
             return
         self._is_down = False
-        self._spoilt_by_step.clear()
-        self.world.hears_peers = True
+        self._modes_by_step.clear()
+        self.world.shares_tables = True
         for name in NAMES:
             self.world.crash(name)
             self.world.start(name)
@@ -116,9 +116,8 @@
 
 class ModelTest(unittest.TestCase):
     def test_no_two_epochs_act_at_once(self) -> None:
-        # Two instances that act on one duty order an engine twice or work
-        # on a step twice. Here stores fail, replies get lost or late,
-        # processes stop, die and come back and views differ, in any order.
+        # Guards against two instances acting on one duty, which would send
+        # an engine conflicting orders, under any sequence of faults.
         random.seed(0)
         machine: Any = seed(4)(LeaseMachine)
         stateful.run_state_machine_as_test(
--- a/packages/yuccarill-core/tests/leases/test_own_session.py
+++ b/packages/yuccarill-core/tests/leases/test_own_session.py
@@ -1,4 +1,4 @@
-"""Test until when a session may be relied on."""
+"""Test until when a session may be used."""
 
 from __future__ import annotations
 
@@ -41,16 +41,15 @@
     def test_slow_reply_does_not_stretch_the_deadline(
         self, delay: float
     ) -> None:
-        # The store takes the renewal at once and its reply is slow. A
-        # successor may count from the renewal; counted from the reply, two
-        # would hold the shards for the time that the reply took.
+        # Counting the deadline from a slow reply, not from the sending of
+        # the renewal, would let two instances hold the shards.
         self._complete(operations.Written(1), SENT, Instant(SENT + delay))
         self.assertTrue(self._is_usable_for(POLICY.usable_time - 0.01))
         self.assertFalse(self._is_usable_for(POLICY.usable_time))
 
     def test_lost_reply_is_made_good_by_reading_the_beat(self) -> None:
-        # The renewal takes effect, its reply is lost. Read back, its beat
-        # counts from when it was sent, not from when it was read.
+        # A renewal confirmed by a read counts from its sending, not from
+        # the read.
         opened = self._complete(operations.Unknown(), SENT, Instant(SENT + 2))
         assert opened.step is Step.OPEN and opened.value is not None
         self.assertFalse(self._is_usable_for(2.0))
--- a/packages/yuccarill-core/tests/leases/test_shards.py
+++ b/packages/yuccarill-core/tests/leases/test_shards.py
@@ -1,4 +1,4 @@
-"""Test the spread of duties over shards."""
+"""Test the assignment of duties to shards."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 class ShardsTest(unittest.TestCase):
     def test_every_instance_finds_the_same_shard(self) -> None:
-        # Two instances that disagree on a duty's shard would both act on
-        # it; the value is part of the protocol and must not change.
+        # Instances that disagree on a duty's shard would both act on it, so
+        # the assignment is part of the protocol.
         self.assertEqual(57, shards.shard_of('trainer/forecast'))
 
     def test_targets_spread_over_all_shards(self) -> None:
--- a/packages/yuccarill-core/tests/leases/test_table_keeper.py
+++ b/packages/yuccarill-core/tests/leases/test_table_keeper.py
@@ -1,4 +1,4 @@
-"""Test which tables are believed."""
+"""Test which tables and replies are accepted."""
 
 from __future__ import annotations
 
@@ -30,23 +30,22 @@
         )
 
     def test_older_table_is_dropped(self) -> None:
-        # A table that a peer sent long ago arrives last. Taken, it would
-        # bring back a holder that has given the shard away.
+        # A late copy of an older table would restore a former holder.
         self.keeper.offer(5, table.encode(NEW))
         self.assertFalse(self.keeper.offer(4, table.encode(OLD)))
         self.assertEqual(NEW, self.keeper.table)
 
     def test_duplicate_of_an_earlier_reply_is_dropped(self) -> None:
-        # A reply comes twice, the second time while another call is in
-        # flight. Taken for that call's reply it would free its lane.
+        # A duplicate reply must not count as the reply of the call that is
+        # in flight.
         read = self.keeper.read(NOW)
         assert read is not None
         found = operations.Found(4, table.encode(OLD))
         self.keeper.complete(read, found, NOW)
         change = self.keeper.change(operations.Step.GIVE, {SHARD: None}, NOW)
         self.assertFalse(self.keeper.complete(read, found, NOW))
-        self.assertFalse(self.keeper.can_change(NOW))
+        self.assertFalse(self.keeper.can_write(NOW))
         self.keeper.complete(change, operations.Unknown(), NOW)
-        self.assertTrue(self.keeper.is_given(SHARD))
+        self.assertTrue(self.keeper.is_in_transfer(SHARD))
         self.keeper.offer(5, table.encode(NEW))
-        self.assertFalse(self.keeper.is_given(SHARD))
+        self.assertFalse(self.keeper.is_in_transfer(SHARD))
--- a/packages/yuccarill-core/tests/leases/world.py
+++ b/packages/yuccarill-core/tests/leases/world.py
@@ -1,4 +1,4 @@
-"""A small store and holders on one true clock, for tests of leases."""
+"""Simulated store and lease holders, driven by one simulated clock."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 
 
 @dataclasses.dataclass
-class Manner:
-    """Say how the store treats one call."""
+class CallMode:
+    """How the store treats one call."""
 
     delay: float = 0.0
     is_down: bool = False
     loses_reply: bool = False
-    is_doubled: bool = False
+    is_duplicated: bool = False
 
 
 class Store:
-    """Hold keys with versions, as the platform does."""
+    """In-memory versioned key-value store."""
 
     def __init__(self) -> None:
         self._entries_by_key: dict[str, tuple[int, bytes]] = {}
@@ -45,7 +45,7 @@
         self.calls_by_step: collections.Counter[Step] = collections.Counter()
 
     def apply(self, operation: operations.Operation) -> operations.Outcome:
-        """Do one call."""
+        """Execute one call."""
         self.calls_by_step[operation.step] += 1
         version, value = self._entries_by_key.get(operation.key, (0, b''))
         if operation.value is None:
@@ -60,14 +60,14 @@
         return operations.Written(self._version)
 
     def table(self) -> operations.Found:
-        """Return the shard table as it stands."""
+        """Return the stored shard table."""
         return operations.Found(
             *self._entries_by_key.get(table.TABLE_KEY, (0, b''))
         )
 
 
 class Node:
-    """Run one keeper; a stopped one neither sends nor receives."""
+    """One instance's lease keeper; sends and receives nothing when paused."""
 
     def __init__(self, name: str, number: int, policy: LeasePolicy) -> None:
         self.id = InstanceId(name)
@@ -79,18 +79,18 @@
         )
         self.is_paused = False
         self.is_dead = False
-        self.is_deaf = False
-        # Clocks of machines share neither their start nor their speed.
+        self.lacks_tables = False
+        # Local clocks differ in offset and speed.
         self.clock_speed = 1.0
         self._clock_start = 1000.0 * number
 
     def clock(self, now: Instant) -> Instant:
-        """Return what this instance's own clock shows."""
+        """Return the instant on the instance's own clock."""
         return Instant(self._clock_start + now * self.clock_speed)
 
 
 class World:
-    """Run nodes against one store and record who acts under what epoch."""
+    """Run nodes against one store and check holders and epochs."""
 
     def __init__(
         self,
@@ -101,51 +101,53 @@
         self.now = Instant(100.0)
         self.store = Store()
         self.policy = policy or LeasePolicy()
-        self.manner: Callable[[Node, operations.Operation], Manner] = (
-            lambda node, operation: Manner()
+        self.mode: Callable[[Node, operations.Operation], CallMode] = (
+            lambda node, operation: CallMode()
         )
         self._tick = tick
         self.nodes_by_name: dict[str, Node] = {}
-        self.hears_peers = True
+        self.shares_tables = True
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._number = 0
-        # By shard: the highest epoch acted under, and by whom.
-        self.acted_by_shard: dict[ShardNumber, tuple[Epoch, Node]] = {}
+        # By shard: the highest epoch acted under, and its node.
+        self.actor_by_shard: dict[ShardNumber, tuple[Epoch, Node]] = {}
         self.faults: list[str] = []
         for name in names:
             self.start(name)
 
     def start(self, name: str) -> Node:
-        """Start an instance, anew if it has been there."""
+        """Start or restart an instance."""
         self._number += 1
         self.nodes_by_name[name] = Node(name, self._number, self.policy)
-        self._tell_live()
+        self._update_live()
         return self.nodes_by_name[name]
 
     def crash(self, name: str, is_seen: bool = True) -> None:
-        """End an instance without notice."""
+        """Crash an instance; peers notice only if is_seen."""
         self.nodes_by_name[name].is_dead = True
         if is_seen:
-            self._tell_live()
+            self._update_live()
 
     def leave(self, name: str) -> None:
-        """Begin a graceful shutdown: give to heirs, then close."""
+        """Begin a graceful shutdown: transfer the held shards."""
         keeper = self.nodes_by_name[name].keeper
-        gifts: dict[ShardNumber, Holder | None] = {}
-        for shard, heir in keeper.leave().items():
-            found = self.nodes_by_name.get(heir or '')
+        holders: dict[ShardNumber, Holder | None] = {}
+        for shard, peer in keeper.leave().items():
+            found = self.nodes_by_name.get(peer or '')
             session = None
             if found is not None and not found.is_dead:
                 session = found.keeper.usable_session(found.clock(self.now))
-            gifts[shard] = Holder(heir, session) if session and heir else None
-        keeper.give(gifts)
+            holders[shard] = (
+                Holder(peer, session) if session and peer else None
+            )
+        keeper.give(holders)
 
     def has_left(self, name: str) -> bool:
-        """Tell whether a leaving instance has ended its session."""
+        """Close the session of a leaving instance; return if it is closed."""
         return self.nodes_by_name[name].keeper.close()
 
     def acting(self) -> dict[ShardNumber, list[tuple[str, Epoch]]]:
-        """Return who may act on what right now, each by its own view."""
+        """Return the instances that may act now and their epochs, by shard."""
         found: dict[ShardNumber, list[tuple[str, Epoch]]] = (
             collections.defaultdict(list)
         )
@@ -167,23 +169,23 @@
         return dict(counts)
 
     def covered(self) -> int:
-        """Return how many shards somebody may act on."""
+        """Return how many shards have an instance that may act on them."""
         return len(self.acting())
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time."""
         end = self.now + seconds
         while self.now < end - 1e-9:
             for node in list(self.nodes_by_name.values()):
                 self._step(node)
             self.now = Instant(self.now + self._tick)
-            self._settle_events()
+            self._run_due_events()
             self.check()
 
     def run_until(
         self, is_done: Callable[[], bool], limit: float = 60.0
     ) -> float:
-        """Let time pass until something holds; return the seconds."""
+        """Advance the time until a condition holds; return the seconds."""
         begun = self.now
         while not is_done() and self.now < begun + limit:
             self.run(self._tick)
@@ -196,13 +198,13 @@
                 self.faults.append(f'{self.now}: {shard} acted by {acting}')
             for name, epoch in acting:
                 node = self.nodes_by_name[name]
-                highest, by = self.acted_by_shard.get(shard, (Epoch(0), node))
+                highest, by = self.actor_by_shard.get(shard, (Epoch(0), node))
                 if epoch < highest or (epoch == highest and by is not node):
                     self.faults.append(
                         f'{self.now}: {shard} acted by {name} under {epoch} '
                         f'after {highest} by {by.id}'
                     )
-                self.acted_by_shard[shard] = (epoch, node)
+                self.actor_by_shard[shard] = (epoch, node)
 
     def _step(self, node: Node) -> None:
         if node.is_dead or node.is_paused:
@@ -216,24 +218,24 @@
             holder.keeper.consent(Holder(node.id, ask.session), ask.shards)
 
     def _send(self, node: Node, operation: operations.Operation) -> None:
-        manner = self.manner(node, operation)
-        if manner.is_down:
+        mode = self.mode(node, operation)
+        if mode.is_down:
             self._answer(node, operation, operations.Unknown(), CALL_SECONDS)
             return
-        self._at(manner.delay / 2, self._apply, node, operation, manner)
-        if manner.is_doubled:
-            self._at(manner.delay / 2, self._apply, node, operation, manner)
-        if manner.loses_reply or manner.delay > CALL_SECONDS:
+        self._at(mode.delay / 2, self._apply, node, operation, mode)
+        if mode.is_duplicated:
+            self._at(mode.delay / 2, self._apply, node, operation, mode)
+        if mode.loses_reply or mode.delay > CALL_SECONDS:
             self._answer(node, operation, operations.Unknown(), CALL_SECONDS)
 
     def _apply(
-        self, node: Node, operation: operations.Operation, manner: Manner
+        self, node: Node, operation: operations.Operation, mode: CallMode
     ) -> None:
         outcome = self.store.apply(operation)
         if isinstance(outcome, operations.Written):
-            self._spread(operation)
-        if not manner.loses_reply:
-            self._answer(node, operation, outcome, manner.delay / 2)
+            self._share_table(operation)
+        if not mode.loses_reply:
+            self._answer(node, operation, outcome, mode.delay / 2)
 
     def _answer(
         self,
@@ -246,7 +248,7 @@
             if node.is_dead:
                 return
             if node.is_paused:
-                # What came meanwhile is read on waking.
+                # A paused process receives the reply once it resumes.
                 self._at(self._tick, deliver)
                 return
             node.keeper.complete(operation, outcome, node.clock(self.now))
@@ -254,15 +256,15 @@
 
         self._at(delay, deliver)
 
-    def _spread(self, operation: operations.Operation) -> None:
-        if operation.key != table.TABLE_KEY or not self.hears_peers:
+    def _share_table(self, operation: operations.Operation) -> None:
+        if operation.key != table.TABLE_KEY or not self.shares_tables:
             return
         found = self.store.table()
         for node in self.nodes_by_name.values():
-            if not (node.is_dead or node.is_paused or node.is_deaf):
+            if not (node.is_dead or node.is_paused or node.lacks_tables):
                 node.keeper.offer_table(found.version, found.value)
 
-    def _tell_live(self) -> None:
+    def _update_live(self) -> None:
         live = [n.id for n in self.nodes_by_name.values() if not n.is_dead]
         for node in self.nodes_by_name.values():
             node.keeper.set_live(live)
@@ -275,7 +277,7 @@
             (self.now + delay, self._number, lambda: do(*more))
         )
 
-    def _settle_events(self) -> None:
+    def _run_due_events(self) -> None:
         while True:
             due = [e for e in self._events if e[0] <= self.now + 1e-9]
             if not due:
