--- a/packages/yuccarill-core/src/yuccarill/core/dissemination/__init__.py
+++ b/packages/yuccarill-core/src/yuccarill/core/dissemination/__init__.py
@@ -1,1 +1,1 @@
-"""Records that spread to every instance, only ever to a higher version."""
+"""Dissemination of versioned records to every instance."""
--- a/packages/yuccarill-core/src/yuccarill/core/dissemination/disseminator.py
+++ b/packages/yuccarill-core/src/yuccarill/core/dissemination/disseminator.py
@@ -1,4 +1,4 @@
-"""Decide to whom an instance passes records on."""
+"""Decide to which instances an instance sends records."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Disseminator:
-    """Keep records and name the instances to send them to."""
+    """Store records and choose the instances to send them to."""
 
     def __init__(
         self,
@@ -30,40 +30,40 @@
         self._live = live
         self._generator = generator
         self._members: list[Instance] | None = None
-        self._view = tree.View(me, ())
+        self._position = tree.TreePosition(me, ())
 
     @property
-    def view(self) -> tree.View:
-        """Return the trees of the members as they were last looked at."""
+    def view(self) -> tree.TreePosition:
+        """Return this instance's position in the trees of known members."""
         if self._members is None:
             self.refresh()
-        return self._view
+        return self._position
 
     def refresh(self) -> None:
-        """Look at the members; build the trees anew if they changed."""
+        """Rebuild the trees if the members changed."""
         members = list(self._live())
         if members != self._members:
             self._members = members
-            self._view = tree.View(self._me, members)
+            self._position = tree.TreePosition(self._me, members)
 
     def publish(self, record: Record) -> list[Instance] | None:
-        """Keep a record made here; return whom to send it, None if old."""
+        """Store a new record; return its receivers, None if stale."""
         if not self.records.take(record):
             return None
-        # The watchers of every data centre, not only the own: a store that
-        # goes away right after the write tells no watcher of it.
+        # Sent to the watchers of all data centres, since the store may fail
+        # after the write and notify none of them.
         self.refresh()
         view = self.view
         return _distinct(view.watchers + view.children)
 
     def receive(self, record: Record) -> list[Instance] | None:
-        """Keep a record that came; return whom to send it, None if old."""
+        """Store a received record; return its receivers, None if stale."""
         if not self.records.take(record):
             return None
         return self.view.children
 
     def exchange_order(self) -> list[Instance]:
-        """Return the partners to compare versions with, best first."""
+        """Return the partners to compare versions with, in random order."""
         self.refresh()
         partners = list(self.view.partners)
         self._generator.shuffle(partners)
@@ -71,7 +71,7 @@
 
     def fetch_order(self) -> list[Instance]:
         """Return the peers to fetch a whole document from, best first."""
-        # Watchers are the first to have it, and near ones the cheapest.
+        # Watchers receive a document first; near peers are cheapest to ask.
         watchers = list(self.view.near_watchers)
         self._generator.shuffle(watchers)
         partners = sorted(
--- a/packages/yuccarill-core/src/yuccarill/core/dissemination/record.py
+++ b/packages/yuccarill-core/src/yuccarill/core/dissemination/record.py
@@ -1,4 +1,4 @@
-"""Versioned records and the newest of each that an instance holds."""
+"""Versioned records and a table of the newest one of each key."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Record(msgspec.Struct, frozen=True):
-    """Hold one version of what stands under a key."""
+    """One version of the value of a key."""
 
     key: str
     version: int
@@ -20,49 +20,48 @@
 
 
 class Comparison(msgspec.Struct, frozen=True):
-    """Say what each side of an exchange lacks."""
+    """Differences between the two sides of an exchange."""
 
-    # Records that the other side should take.
+    # Records that the other side lacks.
     newer_here: tuple[Record, ...]
-    # Keys whose record this side should be sent.
+    # Keys whose newest record this side lacks.
     newer_there: tuple[str, ...]
 
 
 class RecordTable:
-    """Keep the newest record of each key."""
+    """Store the newest record of each key."""
 
     def __init__(self) -> None:
         self._records_by_key: dict[str, Record] = {}
 
     def take(self, record: Record) -> bool:
-        """Keep a record if it is newer; tell whether it was."""
+        """Store a record if it is newer; return whether it was."""
         known = self._records_by_key.get(record.key)
-        # Copies arrive over several paths and out of order. Without the
-        # comparison a late copy would bring back what was replaced, and
-        # instances would act on a revision that no longer stands. Equal
-        # versions are refused as well, which ends their forwarding.
+        # Copies arrive over several paths and out of order; a late copy must
+        # not restore a replaced revision. Rejecting equal versions as well
+        # ends their forwarding.
         if known is not None and record.version <= known.version:
             return False
         self._records_by_key[record.key] = record
         return True
 
     def get(self, key: str) -> Record | None:
-        """Return the newest known record of a key."""
+        """Return the newest known record of a key, if any."""
         return self._records_by_key.get(key)
 
     def select(self, keys: Iterable[str]) -> list[Record]:
-        """Return the known records of some keys."""
+        """Return the known records among the keys."""
         found = (self._records_by_key.get(key) for key in keys)
         return [record for record in found if record is not None]
 
     def versions_by_key(self) -> dict[str, int]:
-        """Return the digest that exchanges compare."""
+        """Return the versions that an exchange compares."""
         return {
             key: record.version for key, record in self._records_by_key.items()
         }
 
     def compare(self, theirs: Mapping[str, int]) -> Comparison:
-        """Compare with another instance's versions."""
+        """Compare the records with another instance's versions."""
         mine = self.versions_by_key()
         return Comparison(
             newer_here=tuple(
--- a/packages/yuccarill-core/src/yuccarill/core/dissemination/tree.py
+++ b/packages/yuccarill-core/src/yuccarill/core/dissemination/tree.py
@@ -1,4 +1,4 @@
-"""The trees over which records spread, one pair a data centre."""
+"""The trees that disseminate records, two per data centre."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     from yuccarill.core.membership.instances import Instance
 
 FAN_OUT = 8
-# Partners of the exchange: in the own data centre, and anywhere.
+# Exchange partners: in the own data centre, and in all others.
 NEAR_PARTNERS = 4
 FAR_PARTNERS = 4
 
 
-class View:
-    """Place one instance in the trees of a set of members."""
+class TreePosition:
+    """One instance's position in the trees of a set of members."""
 
     def __init__(
         self,
@@ -34,9 +34,9 @@
         self._members_by_id = {member.id: member for member in members}
         self._members_by_id[me.id] = me
         self._order_by_data_centre = self._ordered()
-        self.children = self._select(self._children())
-        self.watchers = self._select(self._watchers())
-        self.partners = self._select(self._partners())
+        self.children = self._instances(self._children())
+        self.watchers = self._instances(self._watchers())
+        self.partners = self._instances(self._partners())
         self.near_watchers = [
             watcher
             for watcher in self.watchers
@@ -57,9 +57,9 @@
 
     def _children(self) -> list[InstanceId]:
         order = self._order_by_data_centre[self._me.data_centre]
-        # A tree loses the whole branch of an inner node that has died. The
-        # second tree runs over the same order backwards, so an inner node
-        # of one is a leaf of the other and one loss cuts off nobody.
+        # A failed inner node cuts off its whole subtree. The second tree
+        # uses the reverse order, so an inner node of one tree is a leaf of
+        # the other and a single failure cuts off no instance.
         first = self._children_in(order)
         second = self._children_in(order[::-1])
         return list(dict.fromkeys(first + second))
@@ -76,8 +76,8 @@
         ]
 
     def _partners(self) -> list[InstanceId]:
-        # A fixed few bound the open streams of an instance; drawn by
-        # weight, they join all instances in one well-mixed graph.
+        # Few partners bound the open streams of an instance; choosing them
+        # by hash connects all instances in a random graph.
         near = self._order_by_data_centre[self._me.data_centre]
         far = [
             member.id
@@ -91,5 +91,5 @@
             *placement.rank(duty, far)[:FAR_PARTNERS],
         ]
 
-    def _select(self, ids: Iterable[InstanceId]) -> list[Instance]:
+    def _instances(self, ids: Iterable[InstanceId]) -> list[Instance]:
         return [self._members_by_id[i] for i in ids if i != self._me.id]
--- a/packages/yuccarill-core/src/yuccarill/core/membership/__init__.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which instances there are and which to use."""
+"""Membership: the instances, their states and the choice among them."""
--- a/packages/yuccarill-core/src/yuccarill/core/membership/addresses.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/addresses.py
@@ -1,4 +1,4 @@
-"""Choose the instances that a caller is told to use."""
+"""Choose the instances whose addresses a caller receives."""
 
 from __future__ import annotations
 
@@ -23,16 +23,15 @@
 ) -> list[Instance]:
     """Return the instances for a caller, its data centre's first.
 
-    Ranked by a hash of caller and instance: callers spread evenly, and
-    only the callers of an instance that goes away move.
+    Rendezvous hashing spreads callers evenly and moves only the callers of
+    an instance that leaves.
     """
     by_id = {instance.id: instance for instance in live}
     ranked = [by_id[i] for i in placement.rank(f'caller/{caller}', by_id)]
     near = [i for i in ranked if i.data_centre == data_centre]
     far = [i for i in ranked if i.data_centre != data_centre]
     chosen = (near + far)[:limit]
-    # A caller whose whole answer stands in one data centre would be left
-    # with no address when that one is lost.
+    # Keeps one address usable if the caller's data centre is lost.
     if far and near and len(near) >= limit:
         chosen[-1] = far[0]
     return chosen
--- a/packages/yuccarill-core/src/yuccarill/core/membership/instances.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/instances.py
@@ -1,4 +1,4 @@
-"""Instances as the instance list and peers show them."""
+"""Instances as reported by the instance list and by peers."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class InstanceState(enum.Enum):
-    """Say whether an instance may be given new work."""
+    """Whether an instance may be given new work."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
 
 
 class Instance(msgspec.Struct, frozen=True, kw_only=True):
-    """Describe one instance of the system."""
+    """One instance of the service and its addresses."""
 
     id: InstanceId
     data_centre: DataCentreId
--- a/packages/yuccarill-core/src/yuccarill/core/membership/list_reading.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/list_reading.py
@@ -1,4 +1,4 @@
-"""Decide who reads the instance list, when, and what it changes."""
+"""Decide which instances read the instance list, when, and merge it."""
 
 from __future__ import annotations
 
@@ -23,37 +23,39 @@
 READER_SECONDS = 2.0
 OTHERS_SECONDS = 600.0
 ALONE_SECONDS = 1.0
-# Reads in a row that must miss a member before it counts as gone.
+# Consecutive reads without a member before it counts as gone.
 MISSED_READS = 2
 
 
 def is_reader(view: View) -> bool:
-    """Tell whether this instance reads the list for its data centre."""
+    """Return whether this instance reads the list for its data centre."""
     me = view.me
     near = [m.id for m in view.live() if m.data_centre == me.data_centre]
     ranked = placement.rank(f'list/{me.data_centre}', near)
     return me.id in ranked[:READERS_PER_DATA_CENTRE]
 
 
-def next_read_at(view: View, now: Instant, chance: random.Random) -> Instant:
-    """Choose when to read the list again."""
+def next_read_at(
+    view: View, now: Instant, generator: random.Random
+) -> Instant:
+    """Return when to read the list again, with jitter."""
     if len(view.members_by_id) == 1:
         pause = ALONE_SECONDS
     elif is_reader(view) or view.me.state is MemberState.LISTED_LEAVING:
         pause = READER_SECONDS
     else:
         pause = OTHERS_SECONDS
-    return Instant(now + pause * chance.uniform(0.5, 1.5))
+    return Instant(now + pause * generator.uniform(0.5, 1.5))
 
 
 class ListReading:
-    """Turn what the list shows into statements about members."""
+    """Merge reads of the instance list into the view."""
 
     def __init__(self, view: View) -> None:
         self._view = view
         self._state_by_id: dict[InstanceId, InstanceState] = {}
         self._missed_by_id: dict[InstanceId, int] = {}
-        # Members believed gone that the list shows again.
+        # Members in state GONE that the last read lists as live.
         self.returned: list[Member] = []
 
     def take(self, instances: Iterable[Instance]) -> list[Member]:
@@ -62,12 +64,12 @@
         changed = [
             member_id
             for member_id, instance in listed_by_id.items()
-            if self._take_one(instance)
+            if self._merge_entry(instance)
         ]
-        changed += self._drop_missing(listed_by_id)
+        changed += self._mark_missing_gone(listed_by_id)
         self._state_by_id = {i.id: i.state for i in listed_by_id.values()}
-        # Two sides of a cut that each read a list without the other would
-        # believe each other gone and never probe again.
+        # The two sides of a network partition may each count the other as
+        # gone, and would never probe each other again.
         self.returned = [
             self._view.members_by_id[i.id]
             for i in listed_by_id.values()
@@ -76,30 +78,30 @@
         ]
         return [self._view.members_by_id[i] for i in changed]
 
-    def _take_one(self, instance: Instance) -> bool:
+    def _merge_entry(self, instance: Instance) -> bool:
         view = self._view
-        is_news = view.offer(member_module.from_instance(instance))
-        former = self._state_by_id.get(instance.id)
+        has_changed = view.offer(member_module.from_instance(instance))
+        previous = self._state_by_id.get(instance.id)
         is_leaving = instance.state is InstanceState.LEAVING
         if instance.id == view.me.id and not is_leaving:
-            return view.answer_listing()
-        # A first read that shows oneself as leaving shows one's former
-        # process.
-        if instance.id == view.me.id and former is None:
+            return view.refute_listing()
+        # A first read that lists this instance as leaving refers to its
+        # previous process.
+        if instance.id == view.me.id and previous is None:
             return False
-        # Only the change counts: a list that lags still shows the former
-        # process as leaving when its successor has started under the same
-        # id, and would take the successor out on every read.
-        if is_leaving and former is not InstanceState.LEAVING:
-            is_news |= view.mark(instance.id, MemberState.LISTED_LEAVING)
-        return is_news
-
-    def _drop_missing(
+        # Only the change to leaving counts: a stale list still shows the
+        # previous process as leaving after a restart, and would exclude the
+        # new process on every read.
+        if is_leaving and previous is not InstanceState.LEAVING:
+            has_changed |= view.mark(instance.id, MemberState.LISTED_LEAVING)
+        return has_changed
+
+    def _mark_missing_gone(
         self, listed_by_id: dict[InstanceId, Instance]
     ) -> list[InstanceId]:
         view = self._view
-        # A list that lacks its own reader is behind or partial. Members
-        # that it lacks may run as well as this process does.
+        # A list without this instance is stale or partial, so the other
+        # members that it lacks may be running.
         if view.me.id not in listed_by_id:
             return []
         missing = [i for i in view.members_by_id if i not in listed_by_id]
@@ -109,8 +111,7 @@
             member_id
             for member_id, reads in self._missed_by_id.items()
             if reads >= MISSED_READS
-            # An instance that answers probes runs, whatever a lagging
-            # list shows.
+            # A member that answers probes is running; the list is stale.
             and view.members_by_id[member_id].state is not MemberState.ALIVE
             and view.mark(member_id, MemberState.GONE)
         ]
--- a/packages/yuccarill-core/src/yuccarill/core/membership/member.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/member.py
@@ -1,4 +1,4 @@
-"""What one instance knows and says of another."""
+"""Versioned statements about members."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 from yuccarill.core.membership.instances import Instance
 from yuccarill.core.membership.instances import InstanceState
 
-# Of a member that only the instance list has shown so far.
+# Incarnation of a member known only from the instance list.
 UNKNOWN = Incarnation('')
 
 
 class MemberState(enum.IntEnum):
-    """Order what is said of a member; at one version the higher wins."""
+    """State of a member; at equal versions the higher state wins."""
 
     ALIVE = 0
     SUSPECT = 1
-    # The instance list shows it as leaving, the member has not said so.
+    # Leaving according to the instance list, not to the member itself.
     LISTED_LEAVING = 2
     LEAVING = 3
-    # The list shows it no more, and it is suspect or leaving.
+    # No longer in the instance list, and suspect or leaving.
     GONE = 4
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """Hold one statement about a member."""
+    """One statement about a member."""
 
     id: InstanceId
     data_centre: DataCentreId
@@ -37,19 +37,19 @@
     http_port: int
     peer_port: int
     incarnation: Incarnation
-    # Raised by the member alone, to answer what others say of it. Its
-    # first one is the wall clock's milliseconds at its start.
+    # Raised only by the member itself, to refute statements about it.
+    # Starts at the wall clock, in milliseconds, of the process start.
     version: int
     state: MemberState = MemberState.ALIVE
 
     @property
     def rank(self) -> tuple[int, int, str]:
-        """Order statements; the highest of all stands."""
+        """Return the sort key of statements; the highest one wins."""
         return self.version, self.state, self.incarnation
 
     @property
     def is_stopping(self) -> bool:
-        """Tell whether the member ends or has ended."""
+        """Return whether the member is leaving or gone."""
         return self.state in (MemberState.LEAVING, MemberState.GONE)
 
     def changed(self, state: MemberState) -> Member:
@@ -57,7 +57,7 @@
         return msgspec.structs.replace(self, state=state)
 
     def as_instance(self) -> Instance:
-        """Return how others may reach the member."""
+        """Return the member's addresses and whether it takes new work."""
         leaving = self.is_stopping or self.state is MemberState.LISTED_LEAVING
         return Instance(
             id=self.id,
@@ -72,7 +72,7 @@
 def from_instance(
     instance: Instance, incarnation: Incarnation = UNKNOWN, version: int = 0
 ) -> Member:
-    """Return the first statement about an instance."""
+    """Return the initial statement about an instance."""
     return Member(
         id=instance.id,
         data_centre=instance.data_centre,
@@ -85,7 +85,7 @@
 
 
 def newer(current: Member | None, offered: Member) -> Member:
-    """Return the statement that stands."""
+    """Return the statement that wins; the current one on a tie."""
     if current is None or offered.rank > current.rank:
         return offered
     return current
--- a/packages/yuccarill-core/src/yuccarill/core/membership/placement.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/placement.py
@@ -1,4 +1,4 @@
-"""Place duties on instances so that few move when one comes or goes."""
+"""Rendezvous hashing: few duties move when an instance joins or leaves."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def rank(duty: str, instances: Iterable[InstanceId]) -> list[InstanceId]:
-    """Order instances by their weight for a duty, the highest first."""
+    """Return the instances by their hash weight for a duty, highest first."""
     return sorted(
         instances,
         key=lambda i: (xxhash.xxh3_64_intdigest(f'{duty}|{i}'.encode()), i),
--- a/packages/yuccarill-core/src/yuccarill/core/membership/probing.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/probing.py
@@ -1,4 +1,4 @@
-"""Judge one member by direct and indirect probes."""
+"""Failure detection of one member by direct and indirect probes."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 
 class ProbeStep(enum.Enum):
-    """Say how far the judgement of a member got."""
+    """Step or result of a probe round."""
 
     DIRECT = 'direct'
     RETRY = 'retry'
     INDIRECT = 'indirect'
     REACHED = 'reached'
-    # Not reached from here, but nobody else confirmed it.
+    # Not reached from here, and no other member confirmed the failure.
     UNCLEAR = 'unclear'
     SUSPECT = 'suspect'
 
 
 class HelperAnswer(enum.Enum):
-    """Say what came of asking a helper to probe."""
+    """Result of an indirect probe by a helper."""
 
     REACHED = 'reached'
     NOT_REACHED = 'not reached'
@@ -39,15 +39,15 @@
 
 
 class ProbeRound:
-    """Walk one member's judgement through its steps."""
+    """Steps of probing one member."""
 
     def __init__(self) -> None:
-        self._helpers = 0
+        self._helper_count = 0
         self._answers: list[HelperAnswer] = []
         self.step = ProbeStep.DIRECT
 
     def on_direct(self, was_reached: bool) -> ProbeStep:
-        """Take the outcome of a direct probe."""
+        """Record the outcome of a direct probe; return the next step."""
         if was_reached:
             self.step = ProbeStep.REACHED
         elif self.step is ProbeStep.DIRECT:
@@ -57,29 +57,29 @@
         return self.step
 
     def ask(self, helpers: int) -> ProbeStep:
-        """Note how many helpers are asked."""
-        self._helpers = helpers
+        """Record how many helpers probe indirectly; return the next step."""
+        self._helper_count = helpers
         if self.step is ProbeStep.INDIRECT:
-            self._judge()
+            self._evaluate()
         return self.step
 
     def on_helper(self, answer: HelperAnswer) -> ProbeStep:
-        """Take what a helper found."""
+        """Record a helper's answer; return the next step."""
         if self.step is ProbeStep.INDIRECT:
             self._answers.append(answer)
-            self._judge()
+            self._evaluate()
         return self.step
 
-    def _judge(self) -> None:
+    def _evaluate(self) -> None:
         if HelperAnswer.REACHED in self._answers:
             self.step = ProbeStep.REACHED
             return
-        if len(self._answers) < self._helpers:
+        if len(self._answers) < self._helper_count:
             return
-        # Silence towards this instance alone may be its own cut link: it
-        # would take every peer for dead. A second one must have tried.
+        # This instance may itself be partitioned and would suspect every
+        # peer, so a second instance must confirm the failure.
         is_confirmed = HelperAnswer.NOT_REACHED in self._answers
-        if is_confirmed or not self._helpers:
+        if is_confirmed or not self._helper_count:
             self.step = ProbeStep.SUSPECT
         else:
             self.step = ProbeStep.UNCLEAR
@@ -89,20 +89,20 @@
     members: Iterable[Member],
     me: InstanceId,
     target: InstanceId,
-    chance: random.Random,
+    generator: random.Random,
 ) -> list[Member]:
-    """Choose who probes a silent member, in different data centres."""
-    fit = [
+    """Choose the helpers for an indirect probe, across data centres."""
+    candidates = [
         m
         for m in members
         if m.state is MemberState.ALIVE and m.id not in (me, target)
     ]
-    chance.shuffle(fit)
-    # A cut between two data centres leaves a third that reaches both;
-    # helpers that all stand on one side would confirm a false suspicion.
+    generator.shuffle(candidates)
+    # In a partition between two data centres, helpers on one side only
+    # would confirm a false suspicion; a third data centre reaches both.
     first_by_data_centre: dict[DataCentreId, Member] = {}
-    for each in fit:
-        first_by_data_centre.setdefault(each.data_centre, each)
+    for member in candidates:
+        first_by_data_centre.setdefault(member.data_centre, member)
     first = list(first_by_data_centre.values())
-    rest = [each for each in fit if each not in first]
+    rest = [member for member in candidates if member not in first]
     return (first + rest)[:HELPERS]
--- a/packages/yuccarill-core/src/yuccarill/core/membership/ring.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/ring.py
@@ -1,4 +1,4 @@
-"""Choose the few members that an instance probes and tells news."""
+"""Choose the few members that an instance probes and gossips with."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
     from yuccarill.core.membership.member import Member
 
 PROBED = 4
-# Members looked at in place of one that is not alive.
+# Further members considered in position of one that is not alive.
 MAX_STEPS = 4
 
 
 def order(members: Mapping[InstanceId, Member]) -> list[InstanceId]:
-    """Put the members that may still run on a ring, mixed by hash."""
-    # A leaving one still answers callers and has to hear the news.
+    """Return the members that may be running, ordered by hash."""
+    # A leaving member still serves callers and needs membership updates.
     running = [m for m in members.values() if m.state is not MemberState.GONE]
-    return sorted((m.id for m in running), key=_place)
+    return sorted((m.id for m in running), key=_ring_key)
 
 
 def offsets(size: int, count: int = PROBED) -> list[int]:
-    """Return how far along the ring each probed member stands.
+    """Return the offset along the ring of each probed member.
 
     Powers of one base: each member is probed by as many as it probes, and
-    news passed along these edges reaches everybody in few hops.
+    updates along these edges reach all members in few hops.
     """
     if size - 1 <= count:
         return list(range(1, size))
@@ -48,19 +48,19 @@
     ring: Sequence[InstanceId],
     members: Mapping[InstanceId, Member],
 ) -> list[InstanceId]:
-    """Return whom an instance probes, suspects among them."""
+    """Return the members that an instance probes, including suspects."""
     if me not in ring:
-        # The list may drop a leaving instance before its end.
-        ring = sorted([*ring, me], key=_place)
-    place = ring.index(me)
+        # The instance list may drop a leaving instance before it stops.
+        ring = sorted([*ring, me], key=_ring_key)
+    position = ring.index(me)
     found: dict[InstanceId, None] = {}
     for offset in offsets(len(ring)):
         for step in range(MAX_STEPS + 1):
-            other = ring[(place + offset + step) % len(ring)]
+            other = ring[(position + offset + step) % len(ring)]
             if other == me:
                 continue
-            # The first one is probed whatever is said of it: nobody else
-            # would find out that a suspect is back.
+            # The first one is probed whatever its state, so that the
+            # recovery of a suspect is detected.
             if step == 0:
                 found[other] = None
             if members[other].state is MemberState.ALIVE:
@@ -69,5 +69,5 @@
     return list(found)
 
 
-def _place(member_id: InstanceId) -> tuple[int, InstanceId]:
+def _ring_key(member_id: InstanceId) -> tuple[int, InstanceId]:
     return xxhash.xxh3_64_intdigest(member_id.encode()), member_id
--- a/packages/yuccarill-core/src/yuccarill/core/membership/shutdown.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/shutdown.py
@@ -1,4 +1,4 @@
-"""Decide when a stopping instance may take each step to its end."""
+"""Decide when a stopping instance takes each step of its shutdown."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class StopStep(enum.Enum):
-    """Say how far a graceful shutdown got."""
+    """Step of a graceful shutdown."""
 
     SERVING = 'serving'
-    # Told to all; answers to callers that name it still run out.
+    # Announced to all; addresses given to callers are still valid.
     LEAVING = 'leaving'
     HANDING_OVER = 'handing over'
     FINISHING = 'finishing'
@@ -27,7 +27,7 @@
 
 
 class StopOutcome(enum.Enum):
-    """Say whether anything was cut off."""
+    """Whether requests were cut off."""
 
     COMPLETE = 'complete'
     CUT = 'cut'
@@ -35,76 +35,76 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class StopPolicy:
-    """Bound a graceful shutdown in seconds."""
+    """Time limits of a graceful shutdown, in seconds."""
 
-    # Until when callers may use an address that they were told.
+    # How long callers may use an address after receiving it.
     address_validity: float
-    # From the first signal to the end, whatever is still in flight.
+    # From the first signal to the end, even with work in flight.
     stop_timeout: float
-    # Until every instance has heard of the leaving or suspects it.
+    # Until every instance knows that this one leaves, or suspects it.
     spread: float = 3.0
-    # Kept of the time limit to hand shards over.
+    # Part of stop_timeout that is reserved to hand shards over.
     hand_over: float = 5.0
-    # Left to what runs after a second signal.
+    # From a second signal to the end.
     hurry: float = 1.0
-    # Without anything in flight, before the end.
+    # Continuous time with nothing in flight before the end.
     quiet: float = 0.25
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class InFlight:
-    """Count what a stopping instance still works on."""
+    """Work in flight on a stopping instance."""
 
     requests: int = 0
-    # Made anew by another instance if they are cut off.
+    # Repeated by another instance if they are cut off.
     samples: int = 0
     steps: int = 0
     shards: int = 0
 
 
 class Shutdown:
-    """Walk one graceful shutdown through its steps."""
+    """Steps of one graceful shutdown."""
 
     def __init__(self, policy: StopPolicy, now: Instant) -> None:
         self._policy = policy
         self.step = StopStep.SERVING
         self.outcome = StopOutcome.COMPLETE
-        # Other instances name this one until they have heard; only then
-        # the last answer starts to run out.
+        # Other instances give callers this address until they know of the
+        # shutdown; the last address expires address_validity later.
         self.serves_until = Instant(
             now + policy.spread + policy.address_validity
         )
         self._deadline = Instant(now + policy.stop_timeout)
         self._quiet_since: Instant | None = None
-        self._steps = StopMachine(self)
+        self._machine = StopMachine(self)
 
     def hurry(self, now: Instant) -> None:
-        """Take a second signal: end soon, whatever is in flight."""
+        """Process a second signal: end soon, even with work in flight."""
         soon = Instant(now + self._policy.hurry)
         self._deadline = min(self._deadline, soon)
         self.serves_until = min(self.serves_until, now)
 
     def advance(self, now: Instant, in_flight: InFlight) -> StopStep:
-        """Return the step that is due."""
-        self._steps.advance(now, in_flight)
+        """Move on if the current step is over; return the step."""
+        self._machine.advance(now, in_flight)
         return self.step
 
-    def _must_hand_over(self, now: Instant, in_flight: InFlight) -> bool:
-        """Tell whether shards go to their next holders now."""
-        # A step in the middle is finished here if it can be: its next
-        # holder would have to make its samples anew.
+    def _is_hand_over_due(self, now: Instant, in_flight: InFlight) -> bool:
+        """Return whether shards go to their next holders now."""
+        # Running steps finish here if time allows, since the next holder
+        # would have to repeat their samples.
         hand_over_at = self._deadline - self._policy.hand_over
         return not in_flight.steps or now >= hand_over_at
 
-    def _must_finish(self, now: Instant, in_flight: InFlight) -> bool:
-        """Tell whether no shard is waited for any more."""
+    def _is_hand_over_done(self, now: Instant, in_flight: InFlight) -> bool:
+        """Return whether all shards are handed over or the time is up."""
         return not in_flight.shards or now >= self._deadline
 
-    def _must_end(self, now: Instant, in_flight: InFlight) -> bool:
-        """Note quiet and cut requests; tell whether it is over."""
+    def _is_over(self, now: Instant, in_flight: InFlight) -> bool:
+        """Return whether the shutdown ends now; record cut-off requests."""
         if now >= self._deadline:
-            # Steps and samples are no part of it: their next holder has
-            # what was finished and makes the rest.
+            # Steps and samples do not count as cut off: their next holder
+            # completes them.
             if in_flight.requests:
                 self.outcome = StopOutcome.CUT
             return True
@@ -112,27 +112,27 @@
         if is_busy or now < self.serves_until:
             self._quiet_since = None
             return False
-        # A request that has just been accepted shows in no count until it
-        # is read; a moment without any tells that none was on its way.
+        # A request is not counted between its accept and its read, so the
+        # counts must stay zero for some time.
         if self._quiet_since is None:
             self._quiet_since = now
         return now - self._quiet_since >= self._policy.quiet
 
 
 class StopInputs(Protocol):
-    """Name what moves a shutdown from step to step."""
+    """Inputs of the shutdown's state machine."""
 
     def advance(self, now: Instant, in_flight: InFlight) -> None:
-        """Go on if what the step waits for is over."""
+        """Move on if the current step is over."""
 
     def leave(self) -> None:
-        """Begin to leave."""
+        """Start to leave."""
 
     def hand_over(self) -> None:
-        """Begin to hand shards over."""
+        """Start to hand shards over."""
 
     def finish(self) -> None:
-        """Begin to wait for what is in flight."""
+        """Start to wait for work in flight."""
 
     def end(self) -> None:
         """End the shutdown."""
@@ -145,8 +145,8 @@
 
 
 def _enter(step: StopStep) -> Callable[[StopInputs, Shutdown], None]:
-    def enter(_: StopInputs, walk: Shutdown) -> None:
-        walk.step = step
+    def enter(_: StopInputs, shutdown: Shutdown) -> None:
+        shutdown.step = step
 
     return enter
 
@@ -163,33 +163,33 @@
 
 @_serving.upon(StopInputs.advance).loop()
 def _begin(
-    steps: StopInputs, walk: Shutdown, now: Instant, in_flight: InFlight
+    machine: StopInputs, shutdown: Shutdown, now: Instant, in_flight: InFlight
 ) -> None:
-    steps.leave()
+    machine.leave()
 
 
 @_leaving.upon(StopInputs.advance).loop()
 def _wait_for_steps(
-    steps: StopInputs, walk: Shutdown, now: Instant, in_flight: InFlight
+    machine: StopInputs, shutdown: Shutdown, now: Instant, in_flight: InFlight
 ) -> None:
-    if walk._must_hand_over(now, in_flight):
-        steps.hand_over()
+    if shutdown._is_hand_over_due(now, in_flight):
+        machine.hand_over()
 
 
 @_handing_over.upon(StopInputs.advance).loop()
 def _wait_for_shards(
-    steps: StopInputs, walk: Shutdown, now: Instant, in_flight: InFlight
+    machine: StopInputs, shutdown: Shutdown, now: Instant, in_flight: InFlight
 ) -> None:
-    if walk._must_finish(now, in_flight):
-        steps.finish()
+    if shutdown._is_hand_over_done(now, in_flight):
+        machine.finish()
 
 
 @_finishing.upon(StopInputs.advance).loop()
 def _wait_for_requests(
-    steps: StopInputs, walk: Shutdown, now: Instant, in_flight: InFlight
+    machine: StopInputs, shutdown: Shutdown, now: Instant, in_flight: InFlight
 ) -> None:
-    if walk._must_end(now, in_flight):
-        steps.end()
+    if shutdown._is_over(now, in_flight):
+        machine.end()
 
 
 _ended.upon(StopInputs.advance).loop().returns(None)
--- a/packages/yuccarill-core/src/yuccarill/core/membership/spreading.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/spreading.py
@@ -1,4 +1,4 @@
-"""Pass news on along the edges of the ring until each is confirmed."""
+"""Gossip of member statements to ring neighbours until confirmed."""
 
 from __future__ import annotations
 
@@ -11,41 +11,43 @@
     from yuccarill.core.ids import InstanceId
     from yuccarill.core.membership.member import Member
 
-# Bounds one message to some kilobytes.
+# Bounds the size of one message.
 MAX_RECORDS = 32
 
 
 class Spreading:
-    """Remember which neighbour has yet to confirm which news."""
+    """Track the statements that each neighbour has yet to confirm."""
 
     def __init__(self) -> None:
         self._pending_by_id: dict[InstanceId, dict[InstanceId, Member]] = {}
 
     def set_neighbours(self, neighbours: Iterable[InstanceId]) -> None:
-        """Follow a change of the ring, keeping what is pending."""
-        former = self._pending_by_id
-        self._pending_by_id = {n: former.get(n, {}) for n in neighbours}
-
-    def add(self, news: Iterable[Member], source: InstanceId | None) -> None:
-        """Note news for every neighbour but the one that told it."""
-        for each in news:
+        """Replace the neighbours; keep what is pending for known ones."""
+        previous = self._pending_by_id
+        self._pending_by_id = {n: previous.get(n, {}) for n in neighbours}
+
+    def add(
+        self, statements: Iterable[Member], source: InstanceId | None
+    ) -> None:
+        """Queue statements for every neighbour except their source."""
+        for statement in statements:
             for neighbour, pending in self._pending_by_id.items():
                 if neighbour != source:
-                    pending[each.id] = each
+                    pending[statement.id] = statement
 
     def batch(self, neighbour: InstanceId) -> tuple[Member, ...]:
-        """Return what to tell a neighbour next."""
+        """Return the next statements to send to a neighbour."""
         pending = self._pending_by_id.get(neighbour, {})
         return tuple(pending.values())[:MAX_RECORDS]
 
-    def confirm(self, neighbour: InstanceId, told: Iterable[Member]) -> None:
-        """Note that a neighbour has received a batch."""
+    def confirm(self, neighbour: InstanceId, sent: Iterable[Member]) -> None:
+        """Drop the statements that a neighbour has received."""
         pending = self._pending_by_id.get(neighbour, {})
-        for each in told:
-            # A newer statement may have replaced the told one meanwhile.
-            if pending.get(each.id) == each:
-                del pending[each.id]
+        for statement in sent:
+            # A newer statement may have replaced the one that was sent.
+            if pending.get(statement.id) == statement:
+                del pending[statement.id]
 
     def pending(self) -> Mapping[InstanceId, Mapping[InstanceId, Member]]:
-        """Return the unconfirmed news by neighbour."""
+        """Return the unconfirmed statements by neighbour."""
         return self._pending_by_id
--- a/packages/yuccarill-core/src/yuccarill/core/membership/stream_health.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/stream_health.py
@@ -1,4 +1,4 @@
-"""Tell a silent stream from a quiet one."""
+"""Detection of dead streams between instances by heartbeats."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class HealthAction(enum.Enum):
-    """Say what a check of a stream asks for."""
+    """Action after a check of a stream."""
 
     NONE = 'none'
     HEARTBEAT = 'heartbeat'
@@ -18,18 +18,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HealthPolicy:
-    """Bound in seconds how long a stream may be silent."""
+    """Limits on the silence of a stream, in seconds."""
 
-    # Silence while a reply is due, before a heartbeat is sent.
+    # Silence before a heartbeat is sent, while a reply is due.
     due_silence: float = 0.5
-    # Silence while nothing is due, before a heartbeat is sent.
+    # Silence before a heartbeat is sent, while no reply is due.
     idle_silence: float = 15.0
-    # Silence after a heartbeat, before the stream counts as lost.
+    # Silence after a heartbeat before the stream is closed.
     answer_limit: float = 3.0
 
 
 class StreamHealth:
-    """Track one stream's last sign of progress."""
+    """Track one stream's last progress."""
 
     def __init__(self, policy: HealthPolicy, now: Instant) -> None:
         self._policy = policy
@@ -37,16 +37,15 @@
         self._close_at: Instant | None = None
 
     def on_progress(self, now: Instant) -> None:
-        """Note bytes that came, or a write buffer that was drained."""
+        """Record received bytes or a drained write buffer."""
         self._progress_at = now
         self._close_at = None
 
     def check(self, now: Instant, due_since: Instant | None) -> HealthAction:
-        """Choose what to do, given since when a reply is due, if any."""
+        """Return the action; due_since is None if no reply is due."""
         if self._close_at is not None:
-            # A slow target is no silent stream: the peer answers the
-            # heartbeat at once while the request still runs there. Only
-            # a stream on which nothing comes back at all is closed.
+            # A peer answers heartbeats even while a slow request runs, so
+            # only a stream that returns nothing is closed.
             if now >= self._close_at:
                 return HealthAction.CLOSE
             return HealthAction.NONE
--- a/packages/yuccarill-core/src/yuccarill/core/membership/view.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/view.py
@@ -1,4 +1,4 @@
-"""All members as one instance sees them."""
+"""One instance's view of all members."""
 
 from __future__ import annotations
 
@@ -21,26 +21,25 @@
 
 
 class View:
-    """Merge statements about members and answer those about oneself.
+    """Merge statements about members and refute false ones about oneself.
 
-    Merging keeps the highest statement of each member, so views that have
-    heard the same statements are equal, in whatever order and however
-    often they heard them.
+    Merging keeps the highest statement of each member, so it is idempotent
+    and independent of the order of the statements.
     """
 
     def __init__(self, me: Member) -> None:
         self._me = me.id
-        # One's own statement as others repeated it, not yet answered.
-        self._accusation: Member | None = None
+        # Suspicion of this instance that is not yet refuted.
+        self._suspicion: Member | None = None
         self._gone_until_by_id: dict[InstanceId, Instant] = {}
         self.members_by_id: dict[InstanceId, Member] = {me.id: me}
-        # Grows with each change; whoever copies the view compares it.
+        # Change counter, so that copies of the view can detect changes.
         self.changes = 1
         self.digest = _digest(me)
 
     @property
     def me(self) -> Member:
-        """Return one's own statement."""
+        """Return this instance's own statement."""
         return self.members_by_id[self._me]
 
     def live(self) -> list[Member]:
@@ -49,54 +48,52 @@
         return [m for m in members if m.state is MemberState.ALIVE]
 
     def offer(self, offered: Member) -> bool:
-        """Take a statement if it is news; tell whether it was."""
+        """Merge a statement; return whether the view changed."""
         if offered.id == self._me:
-            return self._hear_of_me(offered)
+            return self._merge_own(offered)
         current = self.members_by_id.get(offered.id)
         if member_module.newer(current, offered) is current:
             return False
-        self._set(offered)
+        self._store(offered)
         return True
 
     def offer_all(self, offered: Iterable[Member]) -> list[Member]:
-        """Take statements and return the members that changed."""
+        """Merge statements; return the members that changed."""
         return [
             self.members_by_id[each.id] for each in offered if self.offer(each)
         ]
 
     def mark(self, member_id: InstanceId, state: MemberState) -> bool:
-        """Say something of a member that it may answer; tell if news."""
+        """Set a state that the member may refute; return if it changed."""
         current = self.members_by_id.get(member_id)
         return current is not None and self.offer(current.changed(state))
 
     def leave(self) -> None:
-        """Say of oneself that one leaves; never taken back."""
-        self._answer(self.me, MemberState.LEAVING)
+        """Announce that this instance leaves; irrevocable."""
+        self._supersede(self.me, MemberState.LEAVING)
 
     def answer_suspicion(self) -> bool:
-        """Refute a suspicion of oneself; tell whether there was one.
+        """Refute a suspicion of this instance; return if there was one.
 
-        To be called when a peer has reached this instance.
+        Call this only when a peer has reached this instance: one that can
+        send but not be reached must stay suspect.
         """
-        # An instance that sends but can't be reached would otherwise
-        # refute every suspicion over its own streams: it would be taken
-        # back into every answer to callers, again and again.
-        if self._accusation is None:
+        if self._suspicion is None:
             return False
-        self._answer(self._accusation, self.me.state)
+        self._supersede(self._suspicion, self.me.state)
         return True
 
-    def answer_listing(self) -> bool:
-        """Answer that the list shows oneself as live; tell if it's news."""
+    def refute_listing(self) -> bool:
+        """Announce that the list shows oneself as live; return if changed."""
         if self.me.state is not MemberState.LISTED_LEAVING:
             return False
-        self._answer(self.me, MemberState.ALIVE)
+        self._supersede(self.me, MemberState.ALIVE)
         return True
 
     def sweep(self, now: Instant) -> None:
-        """Drop members that have been gone for long."""
-        # Dropped at once, a member would come back with the next late
-        # statement that it is alive.
+        """Drop members that have been gone for GONE_SECONDS."""
+        # A member dropped at once would return with a late statement that
+        # it is alive.
         gone = [
             m.id
             for m in self.members_by_id.values()
@@ -110,39 +107,38 @@
                 del self.members_by_id[member_id]
                 self.changes += 1
 
-    def _hear_of_me(self, offered: Member) -> bool:
+    def _merge_own(self, offered: Member) -> bool:
         mine = self.me
         if offered.rank <= mine.rank:
             return False
         if offered.incarnation != mine.incarnation:
-            # This process stands under an id whose former process had a
-            # later version (its clock was ahead). Without a higher one
-            # the others would go on believing the former's end.
-            self._answer(offered, mine.state)
+            # The previous process of this instance had a higher version,
+            # because its clock was ahead; a higher one must supersede it.
+            self._supersede(offered, mine.state)
             return True
         match offered.state:
             case MemberState.SUSPECT:
-                if self._accusation is not None:
-                    offered = member_module.newer(self._accusation, offered)
-                self._accusation = offered
+                if self._suspicion is not None:
+                    offered = member_module.newer(self._suspicion, offered)
+                self._suspicion = offered
                 return False
             case MemberState.LISTED_LEAVING:
-                self._set(offered)
+                self._store(offered)
             case MemberState.GONE if mine.state is MemberState.LEAVING:
-                # The list dropped it before its last work was done.
-                self._set(offered)
+                # The instance list dropped it before its shutdown ended.
+                self._store(offered)
             case _:
-                self._answer(offered, mine.state)
+                self._supersede(offered, mine.state)
         return True
 
-    def _answer(self, said: Member, state: MemberState) -> None:
-        version = max(said.version, self.me.version) + 1
-        self._accusation = None
-        self._set(
+    def _supersede(self, statement: Member, state: MemberState) -> None:
+        version = max(statement.version, self.me.version) + 1
+        self._suspicion = None
+        self._store(
             msgspec.structs.replace(self.me, version=version, state=state)
         )
 
-    def _set(self, statement: Member) -> None:
+    def _store(self, statement: Member) -> None:
         former = self.members_by_id.get(statement.id)
         if former is not None:
             self.digest ^= _digest(former)
@@ -152,8 +148,8 @@
 
 
 def _digest(statement: Member) -> int:
-    # Tombstones run out at different times on different instances; counted
-    # in, equal views would look different for minutes.
+    # Instances drop gone members at different times, which must not make
+    # the digests of equal views differ.
     if statement.state is MemberState.GONE:
         return 0
     key = f'{statement.id}|{statement.rank}'
--- a/packages/yuccarill-core/tests/dissemination/test_tree.py
+++ b/packages/yuccarill-core/tests/dissemination/test_tree.py
@@ -1,4 +1,4 @@
-"""Test who passes records on to whom."""
+"""Test to which instances records are sent."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def spread(live: list[Instance], lost: set[str]) -> set[str]:
-    """Return who holds a record that every live watcher was given."""
+    """Return the holders of a record sent to every live watcher."""
     by_id = {
         member.id: disseminator.Disseminator(
             member, lambda: live, random.Random(1)
@@ -58,7 +58,7 @@
     ) -> None:
         live = members(count, data_centres)
         self.assertEqual({m.id for m in live}, spread(live, set()))
-        views = [tree.View(member, live) for member in live]
+        views = [tree.TreePosition(member, live) for member in live]
         self.assertLessEqual(
             max(len(view.children) for view in views), 2 * tree.FAN_OUT
         )
@@ -70,16 +70,16 @@
         self.assertLessEqual(watchers, 2 * data_centres)
 
     def test_one_loss_cuts_off_nobody(self) -> None:
-        # Any one instance dies and the others do not know it yet; what it
-        # should have passed on still comes over the second tree, at once.
+        # The second tree delivers what a failed instance does not forward,
+        # before its failure is detected.
         live = members(37, 1)
         for lost in live:
             held = spread(live, {lost.id})
             self.assertEqual({m.id for m in live} - {lost.id}, held)
 
     def test_takes_no_lower_version(self) -> None:
-        # A copy delayed in the network arrives after its successor; it is
-        # neither kept nor passed on, so it can't bring back what is gone.
+        # A delayed copy of an older version must be neither stored nor
+        # forwarded.
         mine = disseminator.Disseminator(
             members(3, 1)[0], lambda: members(3, 1), random.Random(1)
         )
--- a/packages/yuccarill-core/tests/membership/test_choices.py
+++ b/packages/yuccarill-core/tests/membership/test_choices.py
@@ -1,4 +1,4 @@
-"""Test whom an instance probes, asks, tells and names to callers."""
+"""Test the choice of probed members, helpers, receivers and addresses."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         probed = {i: ring.neighbours(i, order, members) for i in members}
         counts = collections.Counter(t for ts in probed.values() for t in ts)
         self.assertEqual({min(size - 1, ring.PROBED)}, set(counts.values()))
-        # News passed along the edges reaches all in few hops.
+        # Updates passed along the edges reach all members in few hops.
         reached, hops = {'i0'}, 0
         while len(reached) < size:
             reached |= {t for i in reached for t in probed[i]}
@@ -60,22 +60,22 @@
 class ProbeRoundTest(unittest.TestCase):
     @params(
         ('reached', 3, [True], [], P.REACHED),
-        ('reached at the second try', 3, [False, True], [], P.REACHED),
+        ('reached at the second attempt', 3, [False, True], [], P.REACHED),
         ('one helper reaches', 3, 0, [H.NOT_REACHED, H.REACHED], P.REACHED),
         ('late helper reaches', 2, 0, [H.NO_ANSWER, H.REACHED], P.REACHED),
         ('confirmed', 2, 0, [H.NOT_REACHED, H.NO_ANSWER], P.SUSPECT),
-        ('cut off oneself', 2, 0, [H.NO_ANSWER] * 2, P.UNCLEAR),
+        ('partitioned itself', 2, 0, [H.NO_ANSWER] * 2, P.UNCLEAR),
         ('helpers still asked', 2, 0, [H.NOT_REACHED], P.INDIRECT),
         ('nobody to ask', 0, 0, [], P.SUSPECT),
     )
     def test_outcomes(self, name, helpers, direct, answers, expected) -> None:
-        walk = probing.ProbeRound()
+        probe_round = probing.ProbeRound()
         for was_reached in direct or [False, False]:
-            walk.on_direct(was_reached)
-        walk.ask(helpers)
+            probe_round.on_direct(was_reached)
+        probe_round.ask(helpers)
         for answer in answers:
-            walk.on_helper(answer)
-        self.assertIs(expected, walk.step, name)
+            probe_round.on_helper(answer)
+        self.assertIs(expected, probe_round.step, name)
 
     def test_helpers_stand_in_different_data_centres(self) -> None:
         members = fleet(60, centres=3).values()
@@ -89,28 +89,30 @@
 
 class SpreadingTest(unittest.TestCase):
     def test_news_is_told_until_confirmed(self) -> None:
-        # A reply is lost: the neighbour is told again. News that changed
-        # while an older form was on its way is not taken for confirmed.
-        told = spreading.Spreading()
-        told.set_neighbours(['n', 'source'])
+        # A batch is resent until confirmed, and the confirmation of an older
+        # statement must not drop a newer one.
+        gossip = spreading.Spreading()
+        gossip.set_neighbours(['n', 'source'])
         old, new = statement('x', 1), statement('x', 2)
-        told.add([old], 'source')
-        self.assertEqual(((old,), ()), (told.batch('n'), told.batch('source')))
-        sent = told.batch('n')
-        told.add([new], None)
-        told.confirm('n', sent)
-        self.assertEqual((new,), told.batch('n'))
-        told.confirm('n', (new,))
-        self.assertEqual((), told.batch('n'))
+        gossip.add([old], 'source')
+        self.assertEqual(
+            ((old,), ()), (gossip.batch('n'), gossip.batch('source'))
+        )
+        sent = gossip.batch('n')
+        gossip.add([new], None)
+        gossip.confirm('n', sent)
+        self.assertEqual((new,), gossip.batch('n'))
+        gossip.confirm('n', (new,))
+        self.assertEqual((), gossip.batch('n'))
 
     def test_one_message_is_bounded(self) -> None:
-        told = spreading.Spreading()
-        told.set_neighbours(['n'])
-        told.add(fleet(410).values(), None)
+        gossip = spreading.Spreading()
+        gossip.set_neighbours(['n'])
+        gossip.add(fleet(410).values(), None)
         rounds = 0
-        while batch := told.batch('n'):
+        while batch := gossip.batch('n'):
             self.assertLessEqual(len(batch), spreading.MAX_RECORDS)
-            told.confirm('n', batch)
+            gossip.confirm('n', batch)
             rounds += 1
         self.assertEqual(-(-410 // spreading.MAX_RECORDS), rounds)
 
@@ -174,8 +176,8 @@
 
     @params(('dc3', 7), ('unknown', 0), (None, 0))
     def test_own_data_centre_comes_first(self, centre, near) -> None:
-        # Seven of eight are near; the last stands elsewhere, for the day
-        # on which the whole data centre is lost.
+        # The last of eight addresses is in another data centre, so that one
+        # remains if the caller's data centre is lost.
         chosen = addresses.choose(self.live, 'caller', centre)
         self.assertEqual(addresses.MAX_ADDRESSES, len(chosen))
         first = [i.data_centre == centre for i in chosen]
--- a/packages/yuccarill-core/tests/membership/test_shutdown.py
+++ b/packages/yuccarill-core/tests/membership/test_shutdown.py
@@ -20,21 +20,21 @@
 SHARD = shutdown.InFlight(shards=1)
 
 
-def ends(work_by_time: dict[float, shutdown.InFlight], hurry_at=None):
+def stop(work_by_time: dict[float, shutdown.InFlight], second_at=None):
     """Return when each step began, and the outcome."""
-    walk = shutdown.Shutdown(POLICY, Instant(0.0))
+    stopping = shutdown.Shutdown(POLICY, Instant(0.0))
     began: dict[shutdown.StopStep, float] = {}
     in_flight = NOTHING
     for tick in range(400):
         now = tick / 4
         in_flight = work_by_time.get(now, in_flight)
-        if now == hurry_at:
-            walk.hurry(Instant(now))
-        began.setdefault(walk.advance(Instant(now), in_flight), now)
-    return began, walk.outcome
+        if now == second_at:
+            stopping.hurry(Instant(now))
+        began.setdefault(stopping.advance(Instant(now), in_flight), now)
+    return began, stopping.outcome
 
 
-# Every move that may be made; each step's way begins with the first.
+# All transitions, in the order of the steps.
 MOVES = {
     (S.SERVING, 'leave'): S.LEAVING,
     (S.LEAVING, 'hand_over'): S.HANDING_OVER,
@@ -45,34 +45,34 @@
 
 
 def machine_at(step: shutdown.StopStep):
-    """Return a shutdown and its machine once they are at a step."""
-    walk = shutdown.Shutdown(POLICY, Instant(0.0))
-    machine = shutdown.StopMachine(walk)
+    """Return a shutdown and its machine, moved to a step."""
+    stopping = shutdown.Shutdown(POLICY, Instant(0.0))
+    machine = shutdown.StopMachine(stopping)
     for _, name in MOVES:
-        if walk.step is not step:
+        if stopping.step is not step:
             getattr(machine, name)()
-    return walk, machine
+    return stopping, machine
 
 
 class StopMachineTest(unittest.TestCase):
     @params(*itertools.product(S, INPUTS))
     def test_only_the_next_step_may_follow(self, step, name: str) -> None:
-        walk, machine = machine_at(step)
-        self.assertIs(step, walk.step)
+        stopping, machine = machine_at(step)
+        self.assertIs(step, stopping.step)
         expected = MOVES.get((step, name))
         if expected is None:
             with self.assertRaises(automat.NoTransition):
                 getattr(machine, name)()
         else:
             getattr(machine, name)()
-        self.assertIs(expected or step, walk.step)
+        self.assertIs(expected or step, stopping.step)
 
     @params(*S)
     def test_advance_is_taken_in_each_step(self, step) -> None:
-        walk, machine = machine_at(step)
+        stopping, machine = machine_at(step)
         machine.advance(Instant(100.0), NOTHING)
         following = [new for (old, _), new in MOVES.items() if old is step]
-        self.assertIs([*following, S.ENDED][0], walk.step)
+        self.assertIs([*following, S.ENDED][0], stopping.step)
 
 
 class ShutdownTest(unittest.TestCase):
@@ -117,21 +117,20 @@
         ('second signal, busy', {1.0: REQUEST}, 2.0, 0.25, 3.0, 'cut'),
         ('second signal, step', {0.0: STEP}, 2.0, 2.0, 2.75, 'complete'),
     )
-    def test_times(self, name, work, hurry_at, handing, ended, outcome):
-        began, found = ends(work, hurry_at)
+    def test_times(self, name, work, second_at, handing, ended, outcome):
+        began, found = stop(work, second_at)
         times = began[S.HANDING_OVER], began[S.ENDED]
         self.assertEqual((handing, ended), times, name)
         self.assertEqual(outcome, found.value, name)
 
     @params(*shutdown.StopStep)
     def test_second_signal_in_each_step(self, step) -> None:
-        # Whatever the first stop is at, the second signal ends it within
-        # its second, and a third one changes nothing.
+        # A second signal must end the shutdown soon, at any step.
         work = {0.0: STEP, 4.0: SHARD, 6.0: REQUEST}
-        began, _ = ends(work)
+        began, _ = stop(work)
         at = began.get(step, 0.0)
-        hurried, _ = ends(work, at)
+        shortened, _ = stop(work, at)
         latest = at + POLICY.hurry + 0.5
-        self.assertLessEqual(hurried[S.ENDED], max(latest, began[S.ENDED]))
+        self.assertLessEqual(shortened[S.ENDED], max(latest, began[S.ENDED]))
         if step not in (S.ENDED, S.FINISHING):
-            self.assertLess(hurried[S.ENDED], began[S.ENDED])
+            self.assertLess(shortened[S.ENDED], began[S.ENDED])
--- a/packages/yuccarill-core/tests/membership/test_stream_health.py
+++ b/packages/yuccarill-core/tests/membership/test_stream_health.py
@@ -1,4 +1,4 @@
-"""Test how silence on a stream is judged."""
+"""Test the actions on a silent stream."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 class StreamHealthTest(unittest.TestCase):
     @params(
-        # (time of each check, due since, progress at, expected actions)
+        # (name, times of checks, due since, times of progress, actions)
         ('idle and quiet', [9.0], None, [], [NONE]),
         (
             'idle too long',
--- a/packages/yuccarill-core/tests/membership/test_view.py
+++ b/packages/yuccarill-core/tests/membership/test_view.py
@@ -1,4 +1,4 @@
-"""Test how statements about members are merged and answered."""
+"""Test how statements about members are merged and refuted."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
 
     @params(
         ('suspicion waits until reached', S.ALIVE, S.SUSPECT, False, 5, 0),
-        ('suspicion answered', S.ALIVE, S.SUSPECT, True, 6, 0),
+        ('suspicion refuted', S.ALIVE, S.SUSPECT, True, 6, 0),
         ('leaving stays leaving', S.LEAVING, S.GONE, False, 5, S.GONE),
-        ('gone is answered', S.ALIVE, S.GONE, False, 6, 0),
-        ('listing is taken', S.ALIVE, S.LISTED_LEAVING, True, 5, 2),
+        ('gone is refuted', S.ALIVE, S.GONE, False, 6, 0),
+        ('listing is accepted', S.ALIVE, S.LISTED_LEAVING, True, 5, 2),
     )
     def test_answers(self, name, mine, said, reached, version, state) -> None:
         view = view_module.View(statement('a', 5, mine))
@@ -56,8 +56,8 @@
 
     @params(*MemberState)
     def test_restart_with_a_clock_set_back(self, state) -> None:
-        # What is said of the former process has a version from a clock
-        # that was ahead. The new one would stay excluded for as long.
+        # Statements about the previous process have a higher version, since
+        # its clock was ahead; they must not exclude the new process.
         view = view_module.View(statement('a', 3, incarnation='new'))
         view.offer(statement('a', 900, state, incarnation='old'))
         self.assertEqual(statement('a', 901, incarnation='new'), view.me)
@@ -73,7 +73,7 @@
 
 
 class Gossip(stateful.RuleBasedStateMachine):
-    """Let views hear any statement ever made, late, twice, unordered."""
+    """Deliver statements to views late, repeatedly and out of order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -111,7 +111,7 @@
 
     @stateful.rule(name=names)
     def restart(self, name: str) -> None:
-        # Each start has a lower first version: its clock was set back.
+        # The clock is set back: each start has a lower first version.
         self.starts[name] += 1
         self.views[name] = self.view(name)
         self.seen_leaving = {s for s in self.seen_leaving if s[0] != name}
@@ -134,8 +134,8 @@
                     assert key not in self.seen_leaving, each
 
     def teardown(self) -> None:
-        # The naive merge: every statement ever made, the highest stands.
-        # Once everybody has heard and answered all, nobody differs.
+        # Once every view has merged and refuted all statements, it must
+        # equal a naive merge that keeps the highest statement.
         chance = random.Random(1)
         for _ in range(4):
             self.says_all()
