--- a/packages/yuccarill-core/src/yuccarill/core/weights/__init__.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on bringing new weight versions to all engines of a model."""
+"""Rollout of new weight versions to all engines of a model."""
--- a/packages/yuccarill-core/src/yuccarill/core/weights/capacity.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/capacity.py
@@ -1,4 +1,4 @@
-"""Decide how many engines may be out of service for a switch."""
+"""Decide how many engines may be out of service to switch versions."""
 
 from __future__ import annotations
 
@@ -14,100 +14,98 @@
     from yuccarill.core.weights.record import TargetRecord
 
 _ROUNDING = 1e-9
-# Stands for all data centres together.
-EVERYWHERE = DataCentreId('')
+# Key of the counts over all data centres.
+ALL_DATA_CENTRES = DataCentreId('')
 
 
-def floor(engines: int, serving_part: float) -> int:
-    """Return how many engines must serve.
+def min_serving(engines: int, serving_part: float) -> int:
+    """Return how many engines must keep serving.
 
-    At most all but one: a floor of all would never let a version in.
+    At most all but one, since otherwise no engine could ever switch.
     """
     wanted = math.ceil(engines * serving_part - _ROUNDING)
     return max(0, min(wanted, engines - 1))
 
 
 @dataclasses.dataclass
-class _Tally:
+class _Count:
     total: int = 0
     serving: int = 0
     switching: int = 0
 
     def slack(self, serving_part: float) -> int:
-        slack = self.serving - floor(self.total, serving_part)
-        # Engines lost to other faults may use up the floor's slack for
-        # hours. Waiting for them would leave all others on an old
-        # version; one at a time costs the least capacity.
+        slack = self.serving - min_serving(self.total, serving_part)
+        # Failed engines may use up the slack for hours. One engine at a time
+        # switches even then, so that the others don't stay on an old version.
         if slack <= 0 and not self.switching:
             return 1
         return slack
 
 
-def _sum(tallies: list[_Tally]) -> _Tally:
-    return _Tally(
-        sum(tally.total for tally in tallies),
-        sum(tally.serving for tally in tallies),
-        sum(tally.switching for tally in tallies),
+def _sum(counts: list[_Count]) -> _Count:
+    return _Count(
+        sum(entry.total for entry in counts),
+        sum(entry.serving for entry in counts),
+        sum(entry.switching for entry in counts),
     )
 
 
-class Tallies:
-    """Count engines, those that serve and those that switch, by place."""
+class Counts:
+    """Count all, serving and switching engines by data centre."""
 
     def __init__(self) -> None:
-        self._tallies_by_place: dict[DataCentreId, _Tally] = {}
+        self._counts_by_scope: dict[DataCentreId, _Count] = {}
 
     @classmethod
-    def count(cls, records: Iterable[TargetRecord]) -> Tallies:
-        """Count all of some engines."""
-        tallies = cls()
+    def count(cls, records: Iterable[TargetRecord]) -> Counts:
+        """Return the counts of the engines of some records."""
+        counts = cls()
         for record in records:
-            tallies.add(record.data_centre)
+            counts.add(record.data_centre)
             is_switching = record.is_switching
             is_serving = not is_switching and record.is_serving
-            tallies.change(record.data_centre, is_serving, is_switching)
-        return tallies
+            counts.change(record.data_centre, is_serving, is_switching)
+        return counts
 
     def add(self, data_centre: DataCentreId) -> None:
-        """Count one more engine, out of service."""
-        self._tallies_by_place.setdefault(data_centre, _Tally()).total += 1
+        """Add an engine that is out of service."""
+        self._counts_by_scope.setdefault(data_centre, _Count()).total += 1
 
     def change(
         self, data_centre: DataCentreId, serving: int, switching: int
     ) -> None:
-        """Count so many more, or fewer, as serving and as switching."""
-        tally = self._tallies_by_place[data_centre]
-        tally.serving += serving
-        tally.switching += switching
-
-    def slack_by_place(self, serving_part: float) -> dict[DataCentreId, int]:
-        """Return how many may go in each data centre and in all."""
-        tallies = dict(self._tallies_by_place)
-        tallies[EVERYWHERE] = _sum(list(tallies.values()))
+        """Change the numbers of serving and switching engines."""
+        entry = self._counts_by_scope[data_centre]
+        entry.serving += serving
+        entry.switching += switching
+
+    def slack_by_scope(self, serving_part: float) -> dict[DataCentreId, int]:
+        """Return how many engines may switch, per data centre and in all."""
+        counts = dict(self._counts_by_scope)
+        counts[ALL_DATA_CENTRES] = _sum(list(counts.values()))
         return {
-            place: tally.slack(serving_part)
-            for place, tally in tallies.items()
+            scope: entry.slack(serving_part) for scope, entry in counts.items()
         }
 
 
 class Slack:
-    """Count how many more engines may go, in each data centre and in all."""
+    """Engines that may still leave service, per data centre and in all."""
 
     def __init__(
-        self, records: Iterable[TargetRecord] | Tallies, serving_part: float
+        self, records: Iterable[TargetRecord] | Counts, serving_part: float
     ) -> None:
-        if not isinstance(records, Tallies):
-            records = Tallies.count(records)
-        self._slack_by_place = records.slack_by_place(serving_part)
+        if not isinstance(records, Counts):
+            records = Counts.count(records)
+        self._slack_by_scope = records.slack_by_scope(serving_part)
 
-    def of(self, data_centre: DataCentreId) -> int:
-        """Return how many more may go in a data centre."""
+    def remaining(self, data_centre: DataCentreId) -> int:
+        """Return how many more engines of a data centre may leave service."""
         return min(
-            self._slack_by_place[data_centre],
-            self._slack_by_place[EVERYWHERE],
+            self._slack_by_scope[data_centre],
+            self._slack_by_scope[ALL_DATA_CENTRES],
         )
 
-    def use(self, data_centre: DataCentreId) -> None:
-        """Count one more as gone."""
-        self._slack_by_place[data_centre] -= 1
-        self._slack_by_place[EVERYWHERE] -= 1
+    def reserve(self, data_centre: DataCentreId) -> None:
+        """Reserve the slack for one engine of a data centre."""
+        self._slack_by_scope[data_centre] -= 1
+        self._slack_by_scope[ALL_DATA_CENTRES] -= 1
--- a/packages/yuccarill-core/src/yuccarill/core/weights/desk.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/desk.py
@@ -1,4 +1,4 @@
-"""Decide which orders the holder of an engine's duty may send."""
+"""Decide which weight orders the holder of an engine may send."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
     from yuccarill.core.weights.orders import Order
     from yuccarill.core.weights.orders import TargetState
 
-# Swaps take seconds; past this the engine is read instead of awaited.
+# Timeout of an order, after which the engine's state is read instead.
 ORDER_SECONDS = 8.0
 FIRST_EPOCH = Epoch(1)
 
 
 @dataclasses.dataclass
-class _Place:
+class _Entry:
     epoch: Epoch
     busy_until: Instant
     state: TargetState | None = None
@@ -40,159 +40,158 @@
     sequence: int = 0
     reported: tuple[object, ...] | None = None
 
-    def facts(self, now: Instant) -> tuple[object, ...]:
-        """Return what the model's holder must know."""
+    def reportable_facts(self, now: Instant) -> tuple[object, ...]:
+        """Return what is reported to the model's holder on a change."""
         return (
             self.is_reachable,
-            # A running order is no news to the one who gave it.
+            # The model's holder knows the order that it gave itself.
             now < self.busy_until,
             _versions(self.state),
             self.last_number,
         )
 
     def is_busy(self, now: Instant) -> bool:
-        """Tell whether an order may take effect."""
+        """Return whether an order may still take effect."""
         return self.running is not None or now < self.busy_until
 
 
 class OrderDesk:
-    """Keep what the holder knows of its engines under its epochs."""
+    """Track the engines that an instance holds, and their orders."""
 
     def __init__(self) -> None:
-        self._places_by_id: dict[TargetId, _Place] = {}
+        self._entries_by_id: dict[TargetId, _Entry] = {}
         self._epochs_by_model: dict[ModelName, Epoch] = {}
-        # Targets that may have news.
-        self._touched: set[TargetId] = set()
+        # Targets whose state may have changed since their last report.
+        self._changed_targets: set[TargetId] = set()
 
     def accept_model_epoch(self, model: ModelName, epoch: Epoch) -> bool:
-        """Tell whether a model's holder is the newest that was heard."""
-        # A holder that was paused past its lease wakes with a batch of
-        # orders. Its successor counts capacity without them, and both
-        # together would take the model under its floor.
+        """Return whether no newer epoch of the model's holder is known."""
+        # A holder that resumes after its lease may send a batch of orders.
+        # Together with its successor's orders they would leave too few
+        # engines serving.
         if epoch < self._epochs_by_model.get(model, epoch):
             return False
         self._epochs_by_model[model] = epoch
         return True
 
     def hold(self, target: TargetId, epoch: Epoch, now: Instant) -> bool:
-        """Note the epoch under which a target is held; tell if it is new."""
-        place = self._places_by_id.get(target)
-        if place is not None and place.epoch == epoch:
+        """Set the epoch under which a target is held; return if it is new."""
+        entry = self._entries_by_id.get(target)
+        if entry is not None and entry.epoch == epoch:
             return False
-        # The last order of the holder before may still take effect on the
-        # engine; until it can not, the engine counts as out of service.
+        # The engine counts as out of service while the last order of its
+        # previous holder may still take effect.
         busy_until = now
         if epoch > FIRST_EPOCH:
             busy_until = Instant(now + ORDER_SECONDS)
-        self._places_by_id[target] = _Place(epoch, busy_until)
-        self._touched.add(target)
+        self._entries_by_id[target] = _Entry(epoch, busy_until)
+        self._changed_targets.add(target)
         return True
 
     def release(self, target: TargetId) -> None:
-        """Forget a target that is no longer held."""
-        self._places_by_id.pop(target, None)
+        """Remove a target that is no longer held."""
+        self._entries_by_id.pop(target, None)
 
     def targets(self) -> Set[TargetId]:
-        """Return the targets that are held."""
-        return self._places_by_id.keys()
+        """Return the held targets."""
+        return self._entries_by_id.keys()
 
     def is_read(self, target: TargetId) -> bool:
-        """Tell whether a target has answered under the current epoch."""
-        place = self._places_by_id.get(target)
-        return place is not None and place.state is not None
+        """Return whether a target has answered under the current epoch."""
+        entry = self._entries_by_id.get(target)
+        return entry is not None and entry.state is not None
 
     def see(self, target: TargetId, state: TargetState | None) -> None:
-        """Take what was read of a target, None for no answer."""
-        place = self._places_by_id.get(target)
-        if place is None:
+        """Record the state read from a target, None if it did not answer."""
+        entry = self._entries_by_id.get(target)
+        if entry is None:
             return
-        self._touched.add(target)
-        place.is_read = True
-        place.is_reachable = state is not None
-        place.state = state or place.state
+        self._changed_targets.add(target)
+        entry.is_read = True
+        entry.is_reachable = state is not None
+        entry.state = state or entry.state
 
     def begin(
         self, order: Order, epoch: Epoch | None, now: Instant
     ) -> OrderOutcome | None:
-        """Note an order as running; return its outcome if it must not be."""
-        place = self._places_by_id.get(order.target)
-        if place is None or place.running == order:
+        """Record an order as running; return its outcome if it is not sent."""
+        entry = self._entries_by_id.get(order.target)
+        if entry is None or entry.running == order:
             return OrderOutcome.NOT_SENT
-        if epoch != place.epoch or place.is_busy(now):
+        if epoch != entry.epoch or entry.is_busy(now):
             outcome: OrderOutcome | None = OrderOutcome.NOT_SENT
         else:
-            outcome = _refusal(order, place.state)
+            outcome = _refusal(order, entry.state)
         if outcome is not None:
-            self._end(place, order, outcome)
+            self._end(entry, order, outcome)
             return outcome
-        place.running = order
+        entry.running = order
         return None
 
     def finish(self, order: Order, outcome: OrderOutcome) -> None:
-        """Note how a running order ended."""
-        place = self._places_by_id.get(order.target)
-        if place is not None and place.running == order:
-            place.running = None
-            self._end(place, order, outcome)
+        """Record the outcome of a running order."""
+        entry = self._entries_by_id.get(order.target)
+        if entry is not None and entry.running == order:
+            entry.running = None
+            self._end(entry, order, outcome)
 
     def report(self, target: TargetId, now: Instant) -> Report | None:
-        """Return what is known of a target, None before it was read."""
-        place = self._places_by_id.get(target)
-        if place is None or not place.is_read:
+        """Return a report on a target, None before its first read."""
+        entry = self._entries_by_id.get(target)
+        if entry is None or not entry.is_read:
             return None
-        place.sequence += 1
-        place.reported = place.facts(now)
-        weight, staged = _versions(place.state)
+        entry.sequence += 1
+        entry.reported = entry.reportable_facts(now)
+        weight, staged = _versions(entry.state)
         return Report(
             target=target,
-            epoch=place.epoch,
-            sequence=place.sequence,
-            is_reachable=place.is_reachable,
-            is_busy=place.is_busy(now),
+            epoch=entry.epoch,
+            sequence=entry.sequence,
+            is_reachable=entry.is_reachable,
+            is_busy=entry.is_busy(now),
             weight_version=weight,
             staged_version=staged,
-            order_number=place.last_number,
-            outcome=place.last_outcome,
+            order_number=entry.last_number,
+            outcome=entry.last_outcome,
         )
 
     def news(self, now: Instant) -> list[Report]:
-        """Return reports on the targets of which something changed."""
+        """Return reports on the targets that changed since the last report."""
         reports = []
-        for target in list(self._touched):
-            place = self._places_by_id.get(target)
-            if place is None or now >= place.busy_until:
-                self._touched.discard(target)
-            if place is None or not place.is_read:
+        for target in list(self._changed_targets):
+            entry = self._entries_by_id.get(target)
+            if entry is None or now >= entry.busy_until:
+                self._changed_targets.discard(target)
+            if entry is None or not entry.is_read:
                 continue
-            if place.reported != place.facts(now):
+            if entry.reported != entry.reportable_facts(now):
                 reports.append(self.report(target, now))
         return [report for report in reports if report is not None]
 
     def unreport(self, target: TargetId) -> None:
-        """Report a target again, since the last report was lost."""
-        place = self._places_by_id.get(target)
-        if place is not None:
-            place.reported = None
-            self._touched.add(target)
+        """Repeat the report on a target, after the last one was lost."""
+        entry = self._entries_by_id.get(target)
+        if entry is not None:
+            entry.reported = None
+            self._changed_targets.add(target)
 
-    def _end(self, place: _Place, order: Order, outcome: OrderOutcome) -> None:
-        place.last_number = order.number
-        place.last_outcome = outcome
+    def _end(self, entry: _Entry, order: Order, outcome: OrderOutcome) -> None:
+        entry.last_number = order.number
+        entry.last_outcome = outcome
 
 
 def _refusal(order: Order, state: TargetState | None) -> OrderOutcome | None:
     if state is None:
-        # Not read under this epoch: its version may be past the order's.
+        # Not read under this epoch; the engine may have a newer version.
         return OrderOutcome.NOT_SENT
     weight, staged = _versions(state)
-    # An order that waited here while a newer version came would take the
-    # engine back; samples would come from weights that are out of date.
+    # A delayed order must not return the engine to an older version.
     if weight >= order.version:
         return OrderOutcome.DONE
     if order.kind is OrderKind.STAGE:
         return OrderOutcome.DONE if staged >= order.version else None
-    # A restart loses what was staged; a switch would then download it
-    # outside of the store's schedule, with the engine out of service.
+    # A restarted engine has lost its staged version; a switch would download
+    # it again, beyond the store's rate limit and with the engine not serving.
     return None if staged == order.version else OrderOutcome.NOT_SENT
 
 
--- a/packages/yuccarill-core/src/yuccarill/core/weights/index.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/index.py
@@ -1,4 +1,4 @@
-"""Keep engines sorted by what a turn of a switch may do with them."""
+"""Index of engines by their next possible action in a rollout."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 from typing import TypeVar
 
-from yuccarill.core.weights.capacity import Tallies
+from yuccarill.core.weights.capacity import Counts
 from yuccarill.core.weights.orders import NO_VERSION
 from yuccarill.core.weights.record import WeightState
 
@@ -20,92 +20,95 @@
     from yuccarill.core.weights.record import TargetRecord
 
 
-class _Facts(NamedTuple):
+class _EngineStatus(NamedTuple):
     is_serving: bool = False
     is_switching: bool = False
     may_expire: bool = False
     may_progress: bool = False
-    is_awaited: bool = False
+    is_awaiting_stage: bool = False
     wants_stage: bool = False
-    # None unless the engine may switch.
+    # Order among the engines that may switch, None for all others.
     rank: int | None = None
 
 
-_NOTHING = _Facts()
+_NO_STATUS = _EngineStatus()
 _Item = TypeVar('_Item', int, tuple[int, int])
 
 
 class EngineIndex:
-    """Count and sort engines anew only once their records change.
+    """Maintain counts and sorted lists of engines incrementally.
 
-    Engines are named by their place in the order they were given in.
+    Engines are identified by their position in the given records.
     """
 
     def __init__(self, records: Iterable[TargetRecord]) -> None:
         self.records = list(records)
-        self.tallies = Tallies()
+        self.counts = Counts()
         self.progressing = 0
         # Reachable engines that have not staged the newest version.
-        self.awaited = 0
+        self.awaiting_stage = 0
         self.expiring: set[int] = set()
         self.stageable: list[int] = []
         self.ready_by_data_centre: dict[
             DataCentreId, list[tuple[int, int]]
         ] = {}
         self._newest = NO_VERSION
-        self._opened = NO_VERSION
-        self._facts = [_NOTHING] * len(self.records)
-        self._places_by_id = {
-            record.target: place for place, record in enumerate(self.records)
+        self._switchable = NO_VERSION
+        self._statuses = [_NO_STATUS] * len(self.records)
+        self._positions_by_id = {
+            record.target: position
+            for position, record in enumerate(self.records)
         }
-        self._touched: set[TargetId] = set(self._places_by_id)
+        self._changed_targets: set[TargetId] = set(self._positions_by_id)
         for record in self.records:
-            record.touched = self._touched
-            self.tallies.add(record.data_centre)
+            record.changed_targets = self._changed_targets
+            self.counts.add(record.data_centre)
             self.ready_by_data_centre.setdefault(record.data_centre, [])
 
-    def refresh(self, newest: WeightVersion, opened: WeightVersion) -> None:
-        """Take in what changed since the last time."""
-        if (newest, opened) != (self._newest, self._opened):
+    def refresh(
+        self, newest: WeightVersion, switchable: WeightVersion
+    ) -> None:
+        """Apply the changes since the last refresh."""
+        if (newest, switchable) != (self._newest, self._switchable):
             self._newest = newest
-            self._opened = opened
-            self._touched.update(self._places_by_id)
-        for target in self._touched:
-            self._replace(self._places_by_id[target])
-        self._touched.clear()
-
-    def _replace(self, place: int) -> None:
-        record = self.records[place]
-        old = self._facts[place]
-        new = self._read(record)
+            self._switchable = switchable
+            self._changed_targets.update(self._positions_by_id)
+        for target in self._changed_targets:
+            self._update_engine(self._positions_by_id[target])
+        self._changed_targets.clear()
+
+    def _update_engine(self, position: int) -> None:
+        record = self.records[position]
+        old = self._statuses[position]
+        new = self._status_of(record)
         if new == old:
             return
-        self._facts[place] = new
-        self.tallies.change(
+        self._statuses[position] = new
+        self.counts.change(
             record.data_centre,
             new.is_serving - old.is_serving,
             new.is_switching - old.is_switching,
         )
         self.progressing += new.may_progress - old.may_progress
-        self.awaited += new.is_awaited - old.is_awaited
+        self.awaiting_stage += new.is_awaiting_stage - old.is_awaiting_stage
         if new.may_expire:
-            self.expiring.add(place)
+            self.expiring.add(position)
         else:
-            self.expiring.discard(place)
+            self.expiring.discard(position)
         if old.wants_stage:
-            _remove(self.stageable, place)
+            _remove(self.stageable, position)
         if new.wants_stage:
-            bisect.insort(self.stageable, place)
+            bisect.insort(self.stageable, position)
         ready = self.ready_by_data_centre[record.data_centre]
         if old.rank is not None:
-            _remove(ready, (old.rank, place))
+            _remove(ready, (old.rank, position))
         if new.rank is not None:
-            bisect.insort(ready, (new.rank, place))
+            bisect.insort(ready, (new.rank, position))
 
-    def _read(self, record: TargetRecord) -> _Facts:
+    def _status_of(self, record: TargetRecord) -> _EngineStatus:
         is_switching = record.is_switching
         is_behind = record.best_version < self._newest
-        return _Facts(
+        return _EngineStatus(
             not is_switching and record.is_serving,
             is_switching,
             record.may_expire,
@@ -119,16 +122,16 @@
         if record.is_busy or record.order is not None:
             return False
         if record.state is WeightState.STAGED:
-            # What may be switched now is switched first; what may not yet
-            # is out of date.
-            return record.staged_version > self._opened
+            # A staged version that may be switched to is switched to first;
+            # one that may not is out of date.
+            return record.staged_version > self._switchable
         return record.state is WeightState.SERVING
 
     def _may_switch(self, record: TargetRecord) -> bool:
         return (
             record.state is WeightState.STAGED
             and not record.is_busy
-            and record.staged_version <= self._opened
+            and record.staged_version <= self._switchable
         )
 
 
@@ -137,7 +140,7 @@
 
 
 def _rank(record: TargetRecord) -> int:
-    # A second try that waits for all others would end the switch later by
-    # a whole swap. One that fails again may fail for ever and only cost
-    # capacity.
+    # An engine that failed once is retried first, so that it does not
+    # delay the rollout by a whole switch; one that failed more often may
+    # keep failing and comes last.
     return -1 if record.failures == 1 else record.failures
--- a/packages/yuccarill-core/src/yuccarill/core/weights/orders.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines about their weights, and what is reported back."""
+"""Weight orders to engines, and reports on their state."""
 
 from __future__ import annotations
 
@@ -17,30 +17,30 @@
 
 
 class OrderKind(enum.Enum):
-    """Say what an engine is to do with a weight version."""
+    """What an engine does with a weight version."""
 
     STAGE = 'stage'
     SWITCH = 'switch'
 
 
 class OrderOutcome(enum.Enum):
-    """Say how an order ended, as far as its sender knows."""
+    """Outcome of an order, as known to its sender."""
 
     DONE = 'done'
-    # The engine reports that it could not; its old version serves.
+    # The engine reported a failure; its old version serves.
     FAILED = 'failed'
     # The engine has seen a newer epoch.
     REFUSED = 'refused'
-    # No reply in time; the order may have taken effect.
+    # The order timed out; it may have taken effect.
     SILENT = 'silent'
     # The order was not sent and will not be.
     NOT_SENT = 'not-sent'
 
 
 class Order(msgspec.Struct, frozen=True, array_like=True):
-    """Tell one engine's holder what to order."""
+    """An order for one engine, sent to the engine's holder."""
 
-    # Unique under one epoch of the model's holder.
+    # Unique within one epoch of the model's holder.
     number: int
     target: TargetId
     kind: OrderKind
@@ -48,14 +48,14 @@
 
 
 class Report(msgspec.Struct, frozen=True, array_like=True):
-    """Tell the model's holder what is known of one engine."""
+    """A report on one engine, sent to the model's holder."""
 
     target: TargetId
-    # The epoch of the reporting holder and a count that grows under it.
+    # Epoch of the reporting holder; the sequence counts its reports.
     epoch: Epoch
     sequence: int
     is_reachable: bool
-    # An order, maybe of an earlier holder, may still take effect.
+    # An order, also of a previous holder, may still take effect.
     is_busy: bool
     weight_version: WeightVersion
     staged_version: WeightVersion
@@ -65,7 +65,7 @@
 
 
 class TargetState(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what an engine said of itself when it was last read."""
+    """State of an engine at its last read."""
 
     model: ModelName
     weight_version: WeightVersion
--- a/packages/yuccarill-core/src/yuccarill/core/weights/polling.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/polling.py
@@ -1,4 +1,4 @@
-"""Decide which targets' states are read next."""
+"""Schedule of reads of targets' states."""
 
 from __future__ import annotations
 
@@ -15,54 +15,53 @@
 
 INTERVAL_SECONDS = 5.0
 LONGEST_SECONDS = 60.0
-# Bounds what polling costs an instance that holds many targets: they are
-# then read less often each.
+# Bounds the cost of polling for an instance that holds many targets.
 READS_PER_SECOND = 5.0
 BURST_SECONDS = 0.25
 
 
 @dataclasses.dataclass
-class _Turn:
+class _PollState:
     due_at: Instant
     failures: int = 0
     is_running: bool = False
 
 
 class PollSchedule:
-    """Spread reads over time; read silent targets less and less often."""
+    """Spread reads over time; back off from unreachable targets."""
 
     def __init__(self, now: Instant, rate: float = READS_PER_SECOND) -> None:
         self._tokens = TokenSchedule(rate, now, BURST_SECONDS)
-        self._turns_by_id: dict[TargetId, _Turn] = {}
+        self._states_by_id: dict[TargetId, _PollState] = {}
 
     def set_targets(self, targets: Iterable[TargetId], now: Instant) -> None:
-        """Read these targets, new ones as soon as may be."""
-        self._turns_by_id = {
-            target: self._turns_by_id.get(target) or _Turn(now)
+        """Replace the targets; new ones are due at once."""
+        self._states_by_id = {
+            target: self._states_by_id.get(target) or _PollState(now)
             for target in targets
         }
 
     def due(self, now: Instant) -> list[TargetId]:
         """Return the targets to read now, the longest due first."""
         ready = [
-            (turn.due_at, target)
-            for target, turn in self._turns_by_id.items()
-            if turn.due_at <= now and not turn.is_running
+            (state.due_at, target)
+            for target, state in self._states_by_id.items()
+            if state.due_at <= now and not state.is_running
         ]
         chosen = []
         for _, target in sorted(ready):
             if not self._tokens.take(now):
                 break
-            self._turns_by_id[target].is_running = True
+            self._states_by_id[target].is_running = True
             chosen.append(target)
         return chosen
 
     def done(self, target: TargetId, is_reachable: bool, now: Instant) -> None:
-        """Note that a read ended."""
-        turn = self._turns_by_id.get(target)
-        if turn is None:
+        """Record the end of a read and schedule the next one."""
+        state = self._states_by_id.get(target)
+        if state is None:
             return
-        turn.is_running = False
-        turn.failures = 0 if is_reachable else turn.failures + 1
-        backoff = INTERVAL_SECONDS * 2.0 ** min(turn.failures, 8)
-        turn.due_at = Instant(now + min(LONGEST_SECONDS, backoff))
+        state.is_running = False
+        state.failures = 0 if is_reachable else state.failures + 1
+        backoff = INTERVAL_SECONDS * 2.0 ** min(state.failures, 8)
+        state.due_at = Instant(now + min(LONGEST_SECONDS, backoff))
--- a/packages/yuccarill-core/src/yuccarill/core/weights/record.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/record.py
@@ -1,4 +1,4 @@
-"""What a model's holder knows of one engine."""
+"""A model holder's record of one engine."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class WeightState(enum.Enum):
-    """Name the steps of an engine's way to a new version."""
+    """State of an engine in a rollout."""
 
     UNKNOWN = 'unknown'
     LOST = 'lost'
@@ -41,14 +41,14 @@
         WeightState.FAILED,
     }
 )
-_UNREACHED = frozenset({WeightState.UNKNOWN, WeightState.LOST})
-# Ends that say nothing against the engine.
-_NO_FAILURES = frozenset({OrderOutcome.REFUSED, OrderOutcome.NOT_SENT})
+_UNREACHABLE_STATES = frozenset({WeightState.UNKNOWN, WeightState.LOST})
+# Outcomes that do not count as failures of the engine.
+_NON_FAILURES = frozenset({OrderOutcome.REFUSED, OrderOutcome.NOT_SENT})
 
 
 @dataclasses.dataclass
 class TargetRecord:
-    """Follow one engine from reports and from the orders given."""
+    """Track one engine by its reports and orders."""
 
     target: TargetId
     data_centre: DataCentreId
@@ -57,16 +57,15 @@
     staged_version: WeightVersion = NO_VERSION
     is_busy: bool = False
     order: Order | None = None
-    # The reporting holder's epoch when the order was given.
+    # Epoch of the engine's holder when the order was given.
     order_epoch: Epoch = Epoch(0)
     order_until: Instant = Instant(0.0)
     failures: int = 0
     retry_at: Instant = Instant(0.0)
     seen: tuple[Epoch, int] = (Epoch(0), 0)
-    # Takes the target's id at each change. A change that is not noted
-    # would leave the engine counted as serving while it switches, and the
-    # floor would be broken; every method that changes a field notes it.
-    touched: set[TargetId] = dataclasses.field(
+    # Every method that changes a field adds the target's id, so that the
+    # index never counts a switching engine as serving.
+    changed_targets: set[TargetId] = dataclasses.field(
         default_factory=set, repr=False, compare=False
     )
 
@@ -76,8 +75,8 @@
 
     @property
     def is_switching(self) -> bool:
-        # An order of a predecessor that still runs takes capacity like an
-        # own one; left out, one more engine would go beside it.
+        # An order of a previous holder that may still take effect uses
+        # capacity like an own order.
         return self.state is WeightState.SWITCHING or self.is_busy
 
     @property
@@ -85,8 +84,8 @@
         return self.order is not None or self.state is WeightState.FAILED
 
     def may_progress(self, newest: WeightVersion) -> bool:
-        """Tell whether an order runs on it or may be given to it."""
-        if self.state in _UNREACHED:
+        """Return whether an order is running or may be given."""
+        if self.state in _UNREACHABLE_STATES:
             return self.order is not None
         return (
             self.order is not None
@@ -100,8 +99,8 @@
         return max(self.weight_version, self.staged_version)
 
     def begin(self, order: Order, until: Instant) -> None:
-        """Note an order that is being given."""
-        self.touched.add(self.target)
+        """Record an order that is being given."""
+        self.changed_targets.add(self.target)
         self.order = order
         self.order_epoch = self.seen[0]
         self.order_until = until
@@ -112,13 +111,13 @@
         )
 
     def take(self, report: Report, now: Instant, retries: RetryPolicy) -> bool:
-        """Take a report unless a newer one was taken; tell if it was."""
-        # Reports on a stream that was cut and made anew can be overtaken.
-        # The older one would show a version that is gone as current.
+        """Apply a report unless a newer one was; return if it was applied."""
+        # Reports can be reordered when a stream reconnects; an older one
+        # must not restore a former version.
         if (report.epoch, report.sequence) <= self.seen:
             return False
         self.seen = (report.epoch, report.sequence)
-        self.touched.add(self.target)
+        self.changed_targets.add(self.target)
         self.weight_version = report.weight_version
         self.staged_version = report.staged_version
         self.is_busy = report.is_busy
@@ -132,32 +131,32 @@
         return True
 
     def expire(self, now: Instant, retries: RetryPolicy) -> None:
-        """Give up an order that nobody reports on, end a backoff."""
+        """Time out an order without reports, or end a backoff."""
         if self.order is not None:
             if now >= self.order_until:
-                self.touched.add(self.target)
+                self.changed_targets.add(self.target)
                 self._conclude(OrderOutcome.SILENT, now, retries)
                 self._settle(True, now)
         elif self.state is WeightState.FAILED:
-            self.touched.add(self.target)
+            self.changed_targets.add(self.target)
             self._settle(True, now)
 
     def drop_order(self, now: Instant, retries: RetryPolicy) -> None:
-        """Forget an order that can not have been sent."""
-        self.touched.add(self.target)
+        """Drop an order that can not have been sent."""
+        self.changed_targets.add(self.target)
         if self.order is not None:
             self._conclude(OrderOutcome.NOT_SENT, now, retries)
             self._settle(True, now)
 
     def forget(self) -> None:
-        """Hold what is known as out of date, once the holder changed."""
-        self.touched.add(self.target)
+        """Mark the state as unknown after a change of the holder."""
+        self.changed_targets.add(self.target)
         if self.order is None:
             self.state = WeightState.UNKNOWN
 
     def renew_budget(self) -> None:
-        """Let a new version be tried at once."""
-        self.touched.add(self.target)
+        """Reset the retries, so that a new version is tried at once."""
+        self.changed_targets.add(self.target)
         self.failures = 0
         self.retry_at = Instant(0.0)
 
@@ -165,8 +164,8 @@
         assert self.order is not None
         if report.order_number == self.order.number:
             return report.outcome is None
-        # The holder that was to send the order has lost its lease, and
-        # what it may have sent shows in the successor's is_busy.
+        # The holder that was to send the order has lost its lease; its
+        # successor reports the engine as busy if the order may be running.
         if report.epoch > self.order_epoch:
             return False
         return not self._has_effect(self.order)
@@ -180,11 +179,11 @@
         self, outcome: OrderOutcome, now: Instant, retries: RetryPolicy
     ) -> None:
         assert self.order is not None
-        # What the engine reports decides, not what the reply said: a reply
-        # may be lost after the effect, or say done without one.
+        # The engine's reported version decides: the reply may be lost after
+        # the effect, or report success without one.
         if self._has_effect(self.order):
             self.renew_budget()
-        elif outcome in _NO_FAILURES:
+        elif outcome in _NON_FAILURES:
             self.retry_at = Instant(now + retries.base_seconds)
         else:
             self.failures += 1
--- a/packages/yuccarill-core/src/yuccarill/core/weights/rollout.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/rollout.py
@@ -1,4 +1,4 @@
-"""Bring a model's newest weight version to all its engines."""
+"""Roll out a model's newest weight version to all its engines."""
 
 from __future__ import annotations
 
@@ -26,12 +26,11 @@
     from yuccarill.core.ids import WeightVersion
     from yuccarill.core.weights.orders import Report
 
-# A holder that is paused with the order in its socket may send it up to
-# its lease's end, and the engine may then take its time; only after both
-# is the order sure to be over.
+# Covers a paused holder that sends the order just before its lease expires,
+# and the time that the engine then takes.
 ORDER_VALID_SECONDS = 16.0
-# Engines that can not stage hold the others back this long at most,
-# beyond the time that the store's rate asks for.
+# How long engines that can not stage delay the switch of the others, beyond
+# the staging time that the store's rate limit requires.
 STAGE_PATIENCE_SECONDS = 30.0
 EPOCH_SHIFT = 32
 
@@ -49,25 +48,25 @@
     ) -> None:
         self.records_by_id: dict[TargetId, TargetRecord] = {}
         self.newest = NO_VERSION
-        # Engines that have staged a version up to this one may switch.
-        self.opened = NO_VERSION
-        self._open_by = Instant(0.0)
-        # Nothing can be ordered before the next report or version.
-        self._is_quiet = False
+        # Highest version that engines may switch to.
+        self.switchable = NO_VERSION
+        self._switch_by = Instant(0.0)
+        # No order is due before the next report or version.
+        self._is_idle = False
         self._serving_part = serving_part
         self.tokens = tokens
         self._retries = retries or RetryPolicy()
-        # A predecessor's order that ends late must not be taken for one of
-        # ours: the engine would count as back in service too early.
+        # Numbers differ from a predecessor's: the late end of its order must
+        # not count the engine as back in service too early.
         self._numbers = itertools.count((epoch << EPOCH_SHIFT) + 1)
         self.set_engines(engines, serving_part)
 
     def set_engines(
         self, engines: Mapping[TargetId, DataCentreId], serving_part: float
     ) -> None:
-        """Take the engines and the part that the inventory names."""
+        """Set the engines and the serving part from the inventory."""
         self._serving_part = serving_part
-        self._is_quiet = False
+        self._is_idle = False
         self.records_by_id = {
             target: self.records_by_id.get(target)
             or TargetRecord(target, data_centre)
@@ -76,96 +75,95 @@
         self._index = EngineIndex(self.records_by_id.values())
 
     def see_newest(self, version: WeightVersion, now: Instant) -> None:
-        """Take a version that the store or an engine names."""
+        """Set the newest version if the store or an engine has a newer one."""
         if version <= self.newest:
             return
-        # Versions that come faster than they are staged would move the
-        # deadline on for ever, and no engine would ever switch.
-        if self.opened == self.newest:
+        # Versions that arrive faster than they are staged must not postpone
+        # the deadline, or no engine would ever switch.
+        if self.switchable == self.newest:
             staging = len(self.records_by_id) / max(self.tokens.rate, 1e-9)
-            self._open_by = Instant(now + staging + STAGE_PATIENCE_SECONDS)
+            self._switch_by = Instant(now + staging + STAGE_PATIENCE_SECONDS)
         self.newest = version
-        self._is_quiet = False
+        self._is_idle = False
         for record in self.records_by_id.values():
             record.renew_budget()
 
     def observe(self, report: Report, now: Instant) -> None:
-        """Take a report on one engine."""
+        """Apply a report on one engine."""
         record = self.records_by_id.get(report.target)
         if record is None:
             return
         if not record.take(report, now, self._retries):
             return
-        self._is_quiet = False
-        # The store's answer may be older than what a predecessor ordered;
-        # following it would order a lower version.
+        self._is_idle = False
+        # The store may return an older version than engines already have;
+        # engines must not be ordered back to it.
         self.see_newest(record.best_version, now)
 
     def decide(self, now: Instant) -> list[Order]:
-        """Return the orders to give now."""
-        if self._is_quiet:
+        """Return the orders to send now."""
+        if self._is_idle:
             return []
-        self._index.refresh(self.newest, self.opened)
-        for place in self._index.expiring:
-            self._index.records[place].expire(now, self._retries)
-        self._index.refresh(self.newest, self.opened)
-        self._is_quiet = not self._index.progressing
-        self._open(now)
-        if self._is_quiet:
+        self._index.refresh(self.newest, self.switchable)
+        for position in self._index.expiring:
+            self._index.records[position].expire(now, self._retries)
+        self._index.refresh(self.newest, self.switchable)
+        self._is_idle = not self._index.progressing
+        self._raise_switchable(now)
+        if self._is_idle:
             return []
-        self._index.refresh(self.newest, self.opened)
+        self._index.refresh(self.newest, self.switchable)
         return self._stages(now) + self._switches(now)
 
     def drop(self, orders: Iterable[Order], now: Instant) -> None:
-        """Take back orders of which no byte was sent."""
+        """Drop orders of which nothing was sent."""
         for order in orders:
             record = self.records_by_id.get(order.target)
             if record is not None and record.order == order:
-                self._is_quiet = False
+                self._is_idle = False
                 record.drop_order(now, self._retries)
 
     @property
     def is_active(self) -> bool:
-        """Tell whether orders run or may soon be given."""
-        return not self._is_quiet
+        """Return whether orders are running or may be due."""
+        return not self._is_idle
 
     @property
     def is_switching(self) -> bool:
-        """Tell whether a report may let further engines switch."""
-        return self.opened == self.newest and not self._is_quiet
+        """Return whether a report may allow further engines to switch."""
+        return self.switchable == self.newest and not self._is_idle
 
-    def _open(self, now: Instant) -> None:
-        if self.opened == self.newest:
+    def _raise_switchable(self, now: Instant) -> None:
+        if self.switchable == self.newest:
             return
-        if not self._index.awaited or now >= self._open_by:
-            self.opened = self.newest
+        if not self._index.awaiting_stage or now >= self._switch_by:
+            self.switchable = self.newest
 
     def _stages(self, now: Instant) -> list[Order]:
         orders = []
-        for place in self._index.stageable:
+        for position in self._index.stageable:
             if not self.tokens.take(now):
                 break
-            record = self._index.records[place]
+            record = self._index.records[position]
             orders.append(
                 self._begin(record, OrderKind.STAGE, self.newest, now)
             )
         return orders
 
     def _switches(self, now: Instant) -> list[Order]:
-        slack = Slack(self._index.tallies, self._serving_part)
-        # No more of a data centre's engines can go than its slack, so
-        # that the rest of them need not be looked at.
+        slack = Slack(self._index.counts, self._serving_part)
+        # Only as many engines of a data centre as its slack can switch.
         ready = [
-            itertools.islice(places, max(0, slack.of(data_centre)))
-            for data_centre, places in self._index.ready_by_data_centre.items()
-            if places
+            itertools.islice(ranked, max(0, slack.remaining(data_centre)))
+            for data_centre, ranked in self._index.ready_by_data_centre.items()
+            if ranked
         ]
         orders = []
-        for _, place in heapq.merge(*ready):
-            record = self._index.records[place]
-            if slack.of(record.data_centre) <= 0:
+        for _, position in heapq.merge(*ready):
+            record = self._index.records[position]
+            if slack.remaining(record.data_centre) <= 0:
                 continue
-            slack.use(record.data_centre)
+            slack.reserve(record.data_centre)
             version = record.staged_version
             orders.append(self._begin(record, OrderKind.SWITCH, version, now))
         return orders
--- a/packages/yuccarill-core/src/yuccarill/core/weights/tokens.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/tokens.py
@@ -1,4 +1,4 @@
-"""Spread downloads and reads over time so that a rate limit holds."""
+"""Token bucket that bounds the number of uses in any second."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 @dataclasses.dataclass
 class TokenSchedule:
-    """Hand out at most so many tokens in any second; start with none."""
+    """Token bucket that grants at most limit tokens in any second."""
 
-    # A new holder that started with a full burst would add it to what its
-    # predecessor took a moment ago, and the store would refuse both.
+    # Starts empty: a new holder's initial burst, added to the tokens that
+    # its predecessor just used, would exceed the store's rate limit.
     limit: float
     filled_at: Instant
     burst_seconds: float = BURST_SECONDS
@@ -24,9 +24,9 @@
 
     @property
     def rate(self) -> float:
-        """Return the tokens a second that come in."""
-        # A second may begin with a full burst, so that the burst beyond
-        # its first token has to be left out of what comes in.
+        """Return the refill rate in tokens per second."""
+        # A second may start with a full burst, so the burst beyond its first
+        # token is subtracted from the limit.
         return self.limit - (self._burst - 1.0)
 
     def take(self, now: Instant, cost: float = 1.0) -> bool:
@@ -38,7 +38,7 @@
         return True
 
     def set_limit(self, limit: float, now: Instant) -> None:
-        """Change the limit from now on."""
+        """Change the limit."""
         self._fill(now)
         self.limit = limit
 
@@ -53,9 +53,9 @@
 
 
 def model_limit(total: float, engines: int, all_engines: int) -> float:
-    """Return a model's share of the store's downloads a second.
+    """Return a model's share of the store's downloads per second.
 
     The shares of all models add up to the total, so that their holders
-    keep the store's limit without asking each other.
+    keep the store's limit without coordination.
     """
     return total * engines / all_engines if all_engines else 0.0
--- a/packages/yuccarill-core/tests/weights/fleet.py
+++ b/packages/yuccarill-core/tests/weights/fleet.py
@@ -1,4 +1,4 @@
-"""Fake engines and their holders in virtual time, with faults."""
+"""Simulated engines and their holders in virtual time, with faults."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 TICK = 0.1
 LATENCY = 0.005
-SOON = 0.04
+DECIDE_DELAY = 0.04
 POLL_SECONDS = 5.0
 TAKEOVER_SECONDS = 10.0
 MODEL = ModelName('m')
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass
 class FakeEngine:
-    """Be one engine."""
+    """One simulated engine and its planned faults."""
 
     name: TargetId
     data_centre: DataCentreId
@@ -46,14 +46,14 @@
     epoch: int = 0
     is_up: bool = True
     is_swapping: bool = False
-    # Nothing is answered before this time; what arrived is done then.
+    # Answers and executes orders only from this time on.
     frozen_until: float = 0.0
     failures_left: int = 0
     lost_orders: int = 0
     lost_replies: int = 0
-    # Orders written to a connection that has gone silent.
+    # Orders lost on a dead connection.
     silent_orders: int = 0
-    # Grows at each restart: what ran before it has no effect.
+    # Number of restarts; orders from before a restart have no effect.
     starts: int = 0
 
     def restart(self, version: int) -> None:
@@ -64,19 +64,19 @@
 
 @dataclasses.dataclass
 class Holder:
-    """Be the holder of one shard's targets."""
+    """The holder of one shard's targets."""
 
     engines: list[FakeEngine]
     epoch: Epoch
     is_up: bool = True
-    # A holder whose lease lapsed gets no epoch for its orders.
+    # A holder without a lease has no epoch for its orders.
     has_lease: bool = True
     polled_at: float = -POLL_SECONDS
     desk: desk.OrderDesk = dataclasses.field(default_factory=desk.OrderDesk)
 
 
 class Fleet:
-    """Run a model's holder and its shards' holders on one queue."""
+    """Run a model's holder and its shards' holders on one event queue."""
 
     def __init__(
         self,
@@ -119,7 +119,7 @@
         heapq.heappush(self._queue, entry)
 
     def run(self, seconds: float, until: Callable[[], bool]) -> bool:
-        """Run for some seconds or until something holds."""
+        """Run for some seconds or until a condition holds."""
         end = self.now + seconds
         while self.now < end:
             self._tick()
@@ -155,7 +155,7 @@
         self.at(TAKEOVER_SECONDS, lambda: self._take_over(holder))
 
     def pause_holder(self, holder: Holder) -> None:
-        """Stop a holder until after its successor has taken over."""
+        """Pause a holder until after its successor has taken over."""
         paused = Holder(holder.engines, holder.epoch, True, False)
         paused.desk = holder.desk
         self.crash_holder(holder)
@@ -165,7 +165,9 @@
             records = self.rollout.records_by_id if self.rollout else {}
             for name in names & records.keys():
                 if records[name].order is not None:
-                    self._take(paused, records[name].order, self.model_epoch)
+                    self._receive(
+                        paused, records[name].order, self.model_epoch
+                    )
             self._push(paused)
 
         self.at(TAKEOVER_SECONDS + 2, wake)
@@ -219,7 +221,9 @@
         epoch = self.model_epoch
         for order in self.rollout.decide(self.now):
             holder = self._holders_by_id[order.target]
-            self.at(LATENCY, lambda h=holder, o=order: self._take(h, o, epoch))
+            self.at(
+                LATENCY, lambda h=holder, o=order: self._receive(h, o, epoch)
+            )
 
     def _poll(self, holder: Holder) -> None:
         for engine in holder.engines:
@@ -249,9 +253,9 @@
         self.rollout.observe(report, self.now)
         if not self._is_deciding_soon and self.rollout.is_switching:
             self._is_deciding_soon = True
-            self.at(SOON, self._decide)
+            self.at(DECIDE_DELAY, self._decide)
 
-    def _take(self, holder: Holder, order: Order, epoch: Epoch) -> None:
+    def _receive(self, holder: Holder, order: Order, epoch: Epoch) -> None:
         engine = next(e for e in holder.engines if e.name == order.target)
         if engine.lost_orders:
             engine.lost_orders -= 1
@@ -343,7 +347,7 @@
             ]
             serving = sum(e.is_up and not e.is_swapping for e in members)
             swapping = sum(e.is_up and e.is_swapping for e in members)
-            floor = capacity.floor(len(members), self.part)
-            # One at a time is allowed where the floor is lost already.
+            floor = capacity.min_serving(len(members), self.part)
+            # One engine may switch even with too few serving.
             if serving < floor and swapping > 1:
                 self.faults.append(f'{serving} of {floor} at {self.now:.1f}')
--- a/packages/yuccarill-core/tests/weights/test_desk.py
+++ b/packages/yuccarill-core/tests/weights/test_desk.py
@@ -1,4 +1,4 @@
-"""Test which orders a holder of engines sends."""
+"""Test which orders the holder of an engine sends."""
 
 from __future__ import annotations
 
@@ -41,9 +41,8 @@
         self.desk = desk.OrderDesk()
         self.desk.hold(TARGET, Epoch(1), NOW)
 
-    # An order waits here, in a socket or before a pause of the process,
-    # while the engine goes on under other orders. Sent all the same it
-    # would take the engine back, or have it download while out of service.
+    # A delayed order must not return the engine to an older version, nor make
+    # it download while out of service.
     @params(
         (STAGE, 3, state(2), 1, None),
         (STAGE, 3, state(2, 3), 1, DONE),
--- a/packages/yuccarill-core/tests/weights/test_fault_matrix.py
+++ b/packages/yuccarill-core/tests/weights/test_fault_matrix.py
@@ -1,4 +1,4 @@
-"""Test each fault at each step of an engine's way to a version."""
+"""Test each fault in each state of an engine during a rollout."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Fault(enum.Enum):
-    """Name what goes wrong."""
+    """A fault of an engine, a holder or the store."""
 
     ORDER_LOST = 'order lost'
     REPLY_LOST = 'reply lost after the effect'
@@ -42,8 +42,8 @@
     NEWER_VERSION = 'newer version arrives'
 
 
-class Cell:
-    """Bring one engine to a state, then let the fault happen."""
+class FaultScenario:
+    """Bring one engine to a state, then inject a fault."""
 
     def __init__(self) -> None:
         self.fleet = build(4, 2, 0.5, shards=2)
@@ -64,8 +64,8 @@
             return True
         return fleet.run(30, lambda: self._record_state() is state)
 
-    def happen(self, fault: Fault) -> None:
-        """Let a fault happen now."""
+    def inject(self, fault: Fault) -> None:
+        """Inject a fault."""
         fleet, engine = self.fleet, self.engine
         match fault:
             case Fault.ORDER_LOST:
@@ -114,13 +114,12 @@
 class FaultMatrixTest(unittest.TestCase):
     @params(*itertools.product(WeightState, Fault))
     def test_cell(self, state: WeightState, fault: Fault) -> None:
-        # Callers see engines that keep serving; trainers see samples of
-        # the newest version after a while. The fault strikes one engine,
-        # its holder or the store while the version is on its way.
-        cell = Cell()
-        self.assertTrue(cell.reach(state), 'state not reached')
-        cell.happen(fault)
-        fleet = cell.fleet
+        # A fault during a rollout must neither leave too few engines serving
+        # nor keep an engine from the newest version.
+        scenario = FaultScenario()
+        self.assertTrue(scenario.reach(state), 'state not reached')
+        scenario.inject(fault)
+        fleet = scenario.fleet
         fleet.store_newest = max(fleet.store_newest, 2)
         self.assertTrue(fleet.run(SETTLE_SECONDS, fleet.is_done))
         fleet.run(STEADY_SECONDS, lambda: False)
@@ -130,29 +129,28 @@
 
 class TakeoverTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.cell = Cell()
-        self.cell.fleet.store_newest = 2
+        self.scenario = FaultScenario()
+        self.scenario.fleet.store_newest = 2
 
     def test_successor_waits_for_the_last_order(self) -> None:
-        # The holder crashes with a switch on its way to a frozen engine.
-        # Its successor must not count the engine as serving, or a second
-        # one goes out of service when the first wakes and swaps.
-        cell = self.cell
-        self.assertTrue(cell.reach(WeightState.SWITCHING))
-        cell.fleet.crash_holder(cell.holder)
+        # A crashed holder's order may still take effect on a frozen engine,
+        # so its successor must not count the engine as serving.
+        scenario = self.scenario
+        self.assertTrue(scenario.reach(WeightState.SWITCHING))
+        scenario.fleet.crash_holder(scenario.holder)
         fleet_module.POLL_SECONDS, usual = 0.5, fleet_module.POLL_SECONDS
         self.addCleanup(setattr, fleet_module, 'POLL_SECONDS', usual)
-        cell.fleet.run(fleet_module.TAKEOVER_SECONDS + 1, lambda: False)
-        rollout = cell.fleet.rollout
+        scenario.fleet.run(fleet_module.TAKEOVER_SECONDS + 1, lambda: False)
+        rollout = scenario.fleet.rollout
         assert rollout is not None
-        record = rollout.records_by_id[cell.engine.name]
+        record = rollout.records_by_id[scenario.engine.name]
         self.assertTrue(record.is_busy)
         self.assertFalse(record.is_serving)
 
     def test_store_that_answers_an_old_version_orders_nothing(self) -> None:
-        # A successor reads the store's replica that lags. The engines have
-        # more; ordering the store's version would take them back.
-        fleet = self.cell.fleet
+        # A stale answer of the store must not return engines to an older
+        # version.
+        fleet = self.scenario.fleet
         fleet.run(60, fleet.is_done)
         fleet.store_newest = 1
         fleet.crash_model_holder()
@@ -162,9 +160,9 @@
 
     @params(0, 1)
     def test_old_model_holder_is_not_obeyed(self, age: int) -> None:
-        # The model's holder is paused past its lease and wakes with orders
-        # in its sockets, while its successor counts capacity without them.
-        holder = self.cell.holder
+        # Orders of a model's holder that resumes after its lease would leave
+        # too few engines serving.
+        holder = self.scenario.holder
         accept: Callable[[str, int], bool] = holder.desk.accept_model_epoch
         self.assertTrue(accept(fleet_module.MODEL, 5))
         self.assertIs(age == 0, accept(fleet_module.MODEL, 5 - age))
--- a/packages/yuccarill-core/tests/weights/test_index.py
+++ b/packages/yuccarill-core/tests/weights/test_index.py
@@ -1,4 +1,4 @@
-"""Test the counts that are kept up to date beside a recount of all."""
+"""Test the incremental index against a full recount."""
 
 from __future__ import annotations
 
@@ -46,12 +46,12 @@
 
 
 def recount(plan: rollout.ModelRollout) -> tuple[object, ...]:
-    """Look at all engines, as each turn once did."""
+    """Compute the contents of the index from all records."""
     records = list(plan.records_by_id.values())
     behind = [r for r in records if r.best_version < plan.newest]
     idle = [r for r in records if not r.is_busy and r.order is None]
     staged = [r for r in idle if r.state is State.STAGED]
-    ready = [r for r in staged if r.staged_version <= plan.opened]
+    ready = [r for r in staged if r.staged_version <= plan.switchable]
     ready.sort(key=lambda r: -1 if r.failures == 1 else r.failures)
     stageable = [
         r
@@ -66,23 +66,23 @@
         {r.target for r in records if r.may_expire},
         [r.target for r in stageable],
         [[r.target for r in ready if r.data_centre == c] for c in CENTRES],
-        {r.data_centre: slack.of(r.data_centre) for r in records},
+        {r.data_centre: slack.remaining(r.data_centre) for r in records},
     )
 
 
-def kept(plan: rollout.ModelRollout) -> tuple[object, ...]:
+def indexed(plan: rollout.ModelRollout) -> tuple[object, ...]:
     index = plan._index
-    index.refresh(plan.newest, plan.opened)
+    index.refresh(plan.newest, plan.switchable)
     names = [r.target for r in index.records]
     ready = index.ready_by_data_centre
-    slack = capacity.Slack(index.tallies, PART)
+    slack = capacity.Slack(index.counts, PART)
     return (
         index.progressing,
-        index.awaited,
+        index.awaiting_stage,
         {names[n] for n in index.expiring},
         [names[n] for n in index.stageable],
         [[names[n] for _, n in ready.get(c, [])] for c in CENTRES],
-        {r.data_centre: slack.of(r.data_centre) for r in index.records},
+        {r.data_centre: slack.remaining(r.data_centre) for r in index.records},
     )
 
 
@@ -91,8 +91,8 @@
     @settings(max_examples=200, deadline=None, database=None)
     @given(STEPS)
     def test_equals_a_recount(self, steps) -> None:
-        # A change that the counts miss keeps an engine counted as serving
-        # while it switches: the floor breaks and callers wait.
+        # A missed change would count a switching engine as serving and
+        # leave too few engines in service.
         self.now = Instant(100.0)
         self.plan = rollout.ModelRollout(
             ENGINES, PART, tokens.TokenSchedule(10.0, self.now), Epoch(1)
@@ -100,7 +100,7 @@
         self.plan.see_newest(WeightVersion(3), self.now)
         for number, step in enumerate(steps):
             self._do(number, *step)
-            self.assertEqual(recount(self.plan), kept(self.plan))
+            self.assertEqual(recount(self.plan), indexed(self.plan))
 
     def _do(self, number, name, target, low, high, outcome, seen, wait):
         record = self.plan.records_by_id.get(target)
--- a/packages/yuccarill-core/tests/weights/test_polling.py
+++ b/packages/yuccarill-core/tests/weights/test_polling.py
@@ -1,4 +1,4 @@
-"""Test the reading of targets' states."""
+"""Test the schedule of reads of targets' states."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     def test_reads_a_minute(
         self, count: int, is_reachable: bool, expected: int
     ) -> None:
-        # An instance holds 20 targets, all 1,300 of them, or 20 that are
-        # gone; reading must cost it no more than its share in each case.
+        # Many targets, or unreachable ones, must not raise the rate of reads
+        # above its limit.
         polls = polling.PollSchedule(Instant(0.0))
         polls.set_targets(
             [TargetId(f't{n:04}') for n in range(count)], Instant(0.0)
--- a/packages/yuccarill-core/tests/weights/test_record.py
+++ b/packages/yuccarill-core/tests/weights/test_record.py
@@ -1,4 +1,4 @@
-"""Test what a model's holder makes of reports on one engine."""
+"""Test how reports change a model holder's record of one engine."""
 
 from __future__ import annotations
 
@@ -51,8 +51,8 @@
         self.record.take(report(sequence, 0), NOW, RETRIES)
         self.assertEqual(1, self.record.weight_version)
 
-    # The reply to an order is lost, or says done although the old version
-    # serves: only what the engine reports of itself decides.
+    # The reply to an order may be lost or wrong: the engine's reported
+    # version decides.
     @params(
         (report(6, 2, order_number=7, outcome=Outcome.DONE), State.SERVING),
         (report(6, 2, order_number=7, outcome=Outcome.SILENT), State.SERVING),
@@ -75,7 +75,7 @@
         self.assertIs(State.FAILED, self.record.state)
 
     def test_numbers_of_two_epochs_differ(self) -> None:
-        # A predecessor's order that ends now carries its own number.
+        # The late end of a predecessor's order must not match an own order.
         numbers = []
         for epoch in (Epoch(1), Epoch(2)):
             plan = rollout.ModelRollout(
@@ -91,9 +91,8 @@
 
     @params((False, 1), (True, 0))
     def test_lost_floor_lets_one_go(self, is_busy: bool, slack: int) -> None:
-        # A data centre is lost for hours. Without this, no engine of the
-        # others would ever switch. One that a predecessor's order may
-        # still take out of service is that one.
+        # With too few engines serving, one engine at a time still switches.
+        # A busy engine counts as that one.
         self.record.state = State.STAGED
         lost = [
             record.TargetRecord(TargetId(f'l{n}'), DataCentreId('a'))
@@ -101,7 +100,7 @@
         ]
         lost[0].is_busy = is_busy
         found = capacity.Slack([self.record, *lost], 0.9)
-        self.assertEqual(slack, max(0, found.of(DataCentreId('a'))))
+        self.assertEqual(slack, max(0, found.remaining(DataCentreId('a'))))
 
 
 class TokensTest(unittest.TestCase):
--- a/packages/yuccarill-core/tests/weights/test_rollout.py
+++ b/packages/yuccarill-core/tests/weights/test_rollout.py
@@ -1,4 +1,4 @@
-"""Test bringing versions to all engines, beside a naive version."""
+"""Test rollouts of versions to all engines, also against a naive model."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
     return fleet_module.Fleet(engines, shards, part, rate=10.0)
 
 
-class Naive:
-    """Switch one engine after the other."""
+class NaiveRollout:
+    """NaiveRollout reference model: switch one engine after the other."""
 
     def __init__(self, versions: dict[str, int]) -> None:
         self.versions = versions
@@ -48,8 +48,8 @@
 
     @params(0, 300)
     def test_no_engine_switches_before_all_have_staged(self, idle: int):
-        # Staging takes as long as the store's rate asks for. Engines that
-        # switched as they finish would spread the change over that time.
+        # Switching each engine once it has staged would spread the switch
+        # over the whole staging time.
         fleet = build(30, 3, 0.5)
         fleet.run(idle, lambda: False)
         fleet.store_newest = 2
@@ -65,8 +65,8 @@
             self.assertLessEqual(len(window), 10)
 
     def test_spent_budget_pauses(self) -> None:
-        # One engine fails every swap. It must not be out of service all
-        # the time, and the others must get the version.
+        # An engine that fails every switch must not be out of service all
+        # the time, nor keep the others from the version.
         fleet = build(4, 2, 0.5)
         fleet.store_newest = 2
         fleet.engines[0].failures_left = 10**6
@@ -75,8 +75,8 @@
         self.assertLess(fleet.orders_sent, 6 + 6)
 
     def test_versions_that_come_too_fast_still_switch(self) -> None:
-        # A version every 2 s, each staged for 2 s: waiting for all to have
-        # staged the newest would wait for ever.
+        # Versions that arrive as fast as they are staged must not postpone
+        # the switch for ever.
         fleet = build(6, 2, 0.5)
         for n in range(60):
             fleet.at(
@@ -89,8 +89,8 @@
     @settings(max_examples=40, deadline=None, database=None)
     @given(strategies.data())
     def test_ends_as_the_naive_version(self, data) -> None:
-        # Faults come at any time, several at once; the naive version knows
-        # none. Both must end with the same versions.
+        # Under random faults the rollout must end with the same versions as
+        # the naive model without faults.
         count = data.draw(strategies.integers(1, 9))
         part = data.draw(strategies.sampled_from([0.0, 0.5, 0.8, 1.0]))
         fleet = build(count, 2, part, shards=3)
@@ -98,7 +98,7 @@
         for _ in range(data.draw(strategies.integers(0, 6))):
             delay = data.draw(strategies.floats(0, 20))
             fleet.at(delay, self._draw_fault(data, fleet))
-        expected = Naive({e.name: e.version for e in fleet.engines})
+        expected = NaiveRollout({e.name: e.version for e in fleet.engines})
         fleet.run(40, lambda: False)
         self.assertTrue(fleet.run(400, fleet.is_done))
         found = {e.name: e.version for e in fleet.engines}
@@ -127,4 +127,4 @@
 class FloorTest(unittest.TestCase):
     @params((0, 0.5, 0), (1, 1.0, 0), (5, 0.6, 3), (10, 0.8, 8), (3, 1.0, 2))
     def test_floor(self, count: int, part: float, expected: int) -> None:
-        self.assertEqual(expected, capacity.floor(count, part))
+        self.assertEqual(expected, capacity.min_serving(count, part))
