--- a/packages/yuccarill-core/src/yuccarill/core/weights/record.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/record.py
@@ -142,7 +142,7 @@
             self._settle(True, now)
 
     def drop_order(self, now: Instant, retries: RetryPolicy) -> None:
-        """Drop an order that can not have been sent."""
+        """Drop an order that cannot have been sent."""
         self.changed_targets.add(self.target)
         if self.order is not None:
             self._conclude(OrderOutcome.NOT_SENT, now, retries)
--- a/packages/yuccarill-core/src/yuccarill/core/weights/rollout.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/rollout.py
@@ -29,7 +29,7 @@
 # Covers a paused holder that sends the order just before its lease expires,
 # and the time that the engine then takes.
 ORDER_VALID_SECONDS = 16.0
-# How long engines that can not stage delay the switch of the others, beyond
+# How long engines that cannot stage delay the switch of the others, beyond
 # the staging time that the store's rate limit requires.
 STAGE_PATIENCE_SECONDS = 30.0
 EPOCH_SHIFT = 32
--- a/packages/yuccarill-core/tests/dissemination/test_tree.py
+++ b/packages/yuccarill-core/tests/dissemination/test_tree.py
@@ -77,7 +77,7 @@
             held = spread(live, {lost.id})
             self.assertEqual({m.id for m in live} - {lost.id}, held)
 
-    def test_takes_no_lower_version(self) -> None:
+    def test_rejects_lower_versions(self) -> None:
         # A delayed copy of an older version must be neither stored nor
         # forwarded.
         mine = disseminator.Disseminator(
--- a/packages/yuccarill-core/tests/leases/test_keeper.py
+++ b/packages/yuccarill-core/tests/leases/test_keeper.py
@@ -52,7 +52,7 @@
         self.assertEqual(lost, moved)
         self.assertEqual([], cluster.faults)
 
-    def test_paused_holder_gives_no_order_on_waking(self) -> None:
+    def test_resumed_holder_sends_no_order(self) -> None:
         # A holder that resumes after its lease still has itself in its
         # cached table and must not act beside its successor.
         cluster = settled()
@@ -84,7 +84,7 @@
         self.assertEqual(shards.SHARD_COUNT, cluster.covered())
         self.assertEqual([], cluster.faults)
 
-    def test_restart_waits_for_a_stopped_twin(self) -> None:
+    def test_restart_waits_for_paused_process(self) -> None:
         # The previous process of a restarted instance resumes within its
         # lease and acts; the new process must wait for the lease to expire.
         cluster = settled()
@@ -117,7 +117,7 @@
             )
         self.assertEqual(seconds[0], seconds[1])
 
-    def test_differing_views_do_not_drag_shards(self) -> None:
+    def test_differing_views_move_no_shards(self) -> None:
         # A new instance that sees no peer requests all shards. Granting
         # them would move shards back and forth.
         cluster = settled(SIX[:5])
@@ -126,7 +126,7 @@
         cluster.run(20)
         self.assertLess(cluster.held()['f'], shards.SHARD_COUNT / 3)
 
-    def test_view_of_members_takes_no_shard(self) -> None:
+    def test_instance_without_peers_claims_no_shard(self) -> None:
         # An instance that sees no live peer must not claim shards whose
         # holders still renew their sessions.
         cluster = settled()
@@ -137,7 +137,7 @@
         self.assertEqual(before, cluster.held())
         self.assertEqual(writes, cluster.store.calls_by_step[Step.TAKE])
 
-    def test_newcomer_gets_its_part_once(self) -> None:
+    def test_new_instance_receives_its_shards_once(self) -> None:
         cluster = settled(SIX[:5])
         before = dict(cluster.actor_by_shard)
         cluster.start('f')
@@ -148,7 +148,7 @@
         self.assertEqual(cluster.held()['f'], len(moved))
         self.assertEqual([], cluster.faults)
 
-    def test_short_visit_moves_nothing(self) -> None:
+    def test_short_lived_instance_moves_no_shard(self) -> None:
         cluster = settled(SIX[:5])
         before = dict(cluster.actor_by_shard)
         cluster.start('f')
--- a/packages/yuccarill-core/tests/leases/test_own_session.py
+++ b/packages/yuccarill-core/tests/leases/test_own_session.py
@@ -47,7 +47,7 @@
         self.assertTrue(self._is_usable_for(POLICY.usable_time - 0.01))
         self.assertFalse(self._is_usable_for(POLICY.usable_time))
 
-    def test_lost_reply_is_made_good_by_reading_the_beat(self) -> None:
+    def test_lost_reply_is_confirmed_by_reading_the_record(self) -> None:
         # A renewal confirmed by a read counts from its sending, not from
         # the read.
         opened = self._complete(operations.Unknown(), SENT, Instant(SENT + 2))
--- a/packages/yuccarill-core/tests/leases/world.py
+++ b/packages/yuccarill-core/tests/leases/world.py
@@ -192,7 +192,7 @@
         return self.now - begun
 
     def check(self) -> None:
-        """Record a fault if two act at once or an epoch goes back."""
+        """Record a fault if two nodes act at once or an epoch decreases."""
         for shard, acting in self.acting().items():
             if len(acting) > 1:
                 self.faults.append(f'{self.now}: {shard} acted by {acting}')
--- a/packages/yuccarill-core/tests/membership/test_choices.py
+++ b/packages/yuccarill-core/tests/membership/test_choices.py
@@ -88,7 +88,7 @@
 
 
 class SpreadingTest(unittest.TestCase):
-    def test_news_is_told_until_confirmed(self) -> None:
+    def test_statement_is_resent_until_confirmed(self) -> None:
         # A batch is resent until confirmed, and the confirmation of an older
         # statement must not drop a newer one.
         gossip = spreading.Spreading()
@@ -137,7 +137,7 @@
             self.reading.take(listed)
         self.assertIs(expected, self.state_of_b(), name)
 
-    def test_two_readers_a_data_centre(self) -> None:
+    def test_two_readers_per_data_centre(self) -> None:
         members = fleet(410)
         readers = collections.Counter()
         for member in members.values():
@@ -185,7 +185,7 @@
         if near:
             self.assertFalse(first[-1])
 
-    def test_leaving_are_no_live(self) -> None:
+    def test_only_alive_members_are_live(self) -> None:
         view = view_module.View(statement('a'))
         for state in MemberState:
             view.offer(statement(state.name, 1, state))
--- a/packages/yuccarill-core/tests/weights/test_desk.py
+++ b/packages/yuccarill-core/tests/weights/test_desk.py
@@ -67,7 +67,7 @@
         again = orders.Order(2, TARGET, STAGE, WeightVersion(4))
         self.assertIs(NOT_SENT, self.desk.begin(again, Epoch(1), NOW))
 
-    def test_news_are_told_once_unless_lost(self) -> None:
+    def test_change_is_reported_once_unless_lost(self) -> None:
         self.assertEqual([], self.desk.news(NOW))
         self.desk.see(TARGET, state(2))
         self.assertEqual(1, len(self.desk.news(NOW)))
--- a/packages/yuccarill-core/tests/weights/test_fault_matrix.py
+++ b/packages/yuccarill-core/tests/weights/test_fault_matrix.py
@@ -159,7 +159,7 @@
         self.assertEqual(sent, fleet.orders_sent)
 
     @params(0, 1)
-    def test_old_model_holder_is_not_obeyed(self, age: int) -> None:
+    def test_stale_model_holder_is_rejected(self, age: int) -> None:
         # Orders of a model's holder that resumes after its lease would leave
         # too few engines serving.
         holder = self.scenario.holder
--- a/packages/yuccarill-core/tests/weights/test_polling.py
+++ b/packages/yuccarill-core/tests/weights/test_polling.py
@@ -13,7 +13,7 @@
 
 class PollingTest(unittest.TestCase):
     @params((20, True, 240), (1300, True, 240), (20, False, 60))
-    def test_reads_a_minute(
+    def test_reads_per_minute(
         self, count: int, is_reachable: bool, expected: int
     ) -> None:
         # Many targets, or unreachable ones, must not raise the rate of reads
--- a/packages/yuccarill-core/tests/weights/test_record.py
+++ b/packages/yuccarill-core/tests/weights/test_record.py
@@ -90,7 +90,9 @@
         self.assertEqual(2, len(set(numbers)))
 
     @params((False, 1), (True, 0))
-    def test_lost_floor_lets_one_go(self, is_busy: bool, slack: int) -> None:
+    def test_one_engine_switches_below_the_minimum(
+        self, is_busy: bool, slack: int
+    ) -> None:
         # With too few engines serving, one engine at a time still switches.
         # A busy engine counts as that one.
         self.record.state = State.STAGED
--- a/packages/yuccarill-core/tests/weights/test_rollout.py
+++ b/packages/yuccarill-core/tests/weights/test_rollout.py
@@ -29,7 +29,7 @@
 
 
 class NaiveRollout:
-    """NaiveRollout reference model: switch one engine after the other."""
+    """Naive reference model: switch one engine after the other."""
 
     def __init__(self, versions: dict[str, int]) -> None:
         self.versions = versions
