--- a/packages/yuccarill-core/src/yuccarill/core/dissemination/record.py
+++ b/packages/yuccarill-core/src/yuccarill/core/dissemination/record.py
@@ -38,8 +38,8 @@
         """Store a record if it is newer; return whether it was."""
         known = self._records_by_key.get(record.key)
         # Copies arrive over several paths and out of order; a late copy must
-        # not restore a replaced revision. Rejecting equal versions as well
-        # ends their forwarding.
+        # not restore a replaced version. Equal versions are rejected too, so
+        # that duplicates are not forwarded endlessly.
         if known is not None and record.version <= known.version:
             return False
         self._records_by_key[record.key] = record
--- a/packages/yuccarill-core/src/yuccarill/core/leases/demand.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/demand.py
@@ -35,7 +35,7 @@
         ended: set[SessionId],
         now: Instant,
     ) -> None:
-        """Update the shard table and the ended sessions."""
+        """Set the table and ended sessions; reschedule claims and requests."""
         self._table = table
         self._ended = ended
         for shard, entry in zip(shards.ALL_SHARDS, table.entries, strict=True):
@@ -87,8 +87,8 @@
         return shards_by_holder
 
     def _rank(self, shard: ShardNumber) -> int:
-        # The former holder may stay in the instance list for long; the
-        # next-ranked instance does not wait for it.
+        # A former holder may stay in the instance list for long, so its
+        # rank adds no delay for the instances ranked after it.
         entry = self._entry(shard)
         gone = entry.holder.instance if entry.holder else entry.previous
         return self._placement.rank_without(shard, gone)
--- a/packages/yuccarill-core/src/yuccarill/core/leases/keeper.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/keeper.py
@@ -82,7 +82,7 @@
             self._is_view_stale = True
 
     def epoch_of(self, shard: ShardNumber, now: Instant) -> Epoch | None:
-        """Return the epoch for an order sent now, None if not the holder."""
+        """Return the epoch for an order, None if none may be sent now."""
         if not self._session.is_usable(now) or not self._is_held(shard):
             return None
         return self._tables.table.entries[shard].epoch
@@ -164,7 +164,7 @@
         busy: frozenset[ShardNumber] = frozenset(),
     ) -> list[ShardNumber]:
         """Transfer requested shards to a peer; return the accepted ones."""
-        # A shard moves only if this instance too ranks the peer higher;
+        # A shard moves only if this instance also ranks the peer higher;
         # otherwise differing membership views would move it back and forth.
         given = [
             shard
@@ -183,11 +183,11 @@
         self._pending_holders_by_shard.update(holders_by_shard)
 
     def begin_leaving(self) -> None:
-        """Claim no more shards; transfer them to any live peer on request."""
+        """Stop claiming; on request, transfer shards to any live peer."""
         self._is_leaving = True
 
     def leave(self) -> dict[ShardNumber, InstanceId | None]:
-        """Claim no more shards; return the next holder of each held shard."""
+        """Stop claiming shards; return the next holder of each held one."""
         self.begin_leaving()
         heirs_by_shard: dict[ShardNumber, InstanceId | None] = {}
         for shard in self.held():
--- a/packages/yuccarill-core/src/yuccarill/core/leases/life_cycle.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/life_cycle.py
@@ -33,7 +33,7 @@
         """Stop using the session; its closing write is still to be sent."""
 
     def end(self) -> None:
-        """Record that the session has ended or was never opened."""
+        """Record that the session has ended or its opening has failed."""
 
 
 class _Core:
--- a/packages/yuccarill-core/src/yuccarill/core/leases/own_session.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/own_session.py
@@ -56,8 +56,8 @@
         """Return whether an order may be sent under this session."""
         # A holder paused past its lease must not send orders beside its
         # successor, so each order checks the clock. The deadline counts
-        # from the sending of the renewal, since a successor may revoke the
-        # session that long after a renewal whose reply is slow.
+        # from the sending of the renewal: counted from a slow reply, it
+        # would end after a successor may revoke the session.
         return now < self._usable_until and self.state is OwnState.OPEN
 
     def close(self) -> None:
@@ -158,8 +158,8 @@
 
     def _has_active_predecessor(self) -> bool:
         # An earlier process of the same instance may be paused, not dead,
-        # and act until its lease expires, so this one waits for the expiry
-        # and inherits nothing.
+        # and act until its lease expires, so the new process waits for the
+        # expiry and takes over none of the shards.
         if self._record is None:
             return False
         if self._record.state is not session_module.SessionState.ACTIVE:
--- a/packages/yuccarill-core/src/yuccarill/core/leases/policy.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/policy.py
@@ -11,7 +11,7 @@
     time_to_live and drift_margin must be equal on all instances.
     """
 
-    # From sending a renewal until a successor may revoke the session.
+    # Lease duration from the sending of a renewal, before drift_margin.
     time_to_live: float = 7.5
     renewal_period: float = 2.5
     # Allows for clock drift: a holder stops this early and a successor
@@ -24,8 +24,8 @@
     # How long a session without shards is kept open.
     idle_time: float = 10.0
     retry_delay: float = 0.25
-    # Renewal periods between reads of a session, per watching instance,
-    # while the holder is live and renews.
+    # Renewal periods between reads of a session that a live holder renews,
+    # for the first watcher and for each further one.
     watch_paces: tuple[float, ...] = (2.0, 4.0)
 
     @property
--- a/packages/yuccarill-core/src/yuccarill/core/leases/staleness.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/staleness.py
@@ -40,9 +40,9 @@
 
     def is_stale(self) -> bool:
         """Return whether the session may be revoked at the version read."""
-        # The renewal that the first read returned was sent before that
-        # read's reply arrived, so the holder's deadline has passed too,
-        # whatever the delays; the margins allow for clock drift.
+        # The last renewal was sent before the reply of the first read that
+        # returned its version. The holder's deadline, which counts from the
+        # sending, has therefore passed; drift_margin covers clock drift.
         revocable_at = self._revocable_at()
         return revocable_at is not None and self._last >= revocable_at
 
--- a/packages/yuccarill-core/src/yuccarill/core/leases/table_keeper.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/table_keeper.py
@@ -32,7 +32,7 @@
         self._generator = generator
         self._slot = operations.CallSlot(numbers)
         self._needs_read = True
-        # Expected version of the last swap that transfers each shard.
+        # Table version that the last swap transferring each shard expects.
         self._expected_by_shard: dict[ShardNumber, int] = {}
         self.table = table_module.EMPTY
         self.version = -1
@@ -72,9 +72,9 @@
     ) -> operations.Operation:
         """Return the compare-and-swap that sets new holders."""
         if step is Step.GIVE:
-            # This holder stops acting before the swap is sent, and until a
-            # newer table shows whether the swap took effect: with a lost
-            # reply the next holder may already act.
+            # This holder must not act from before the swap is sent until a
+            # newer table shows whether the swap took effect: if the reply
+            # is lost, the next holder may already act.
             for shard in holders_by_shard:
                 self._expected_by_shard[shard] = self.version
         return self._slot.send(
--- a/packages/yuccarill-core/src/yuccarill/core/leases/watching.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/watching.py
@@ -41,7 +41,7 @@
         self.has_ended = False
 
     def set_pace(self, pace: float) -> None:
-        """Set the renewal periods between reads; read at once if fewer."""
+        """Set the renewal periods between reads; read now if reduced."""
         if pace < self._pace:
             self._slot.not_before = Instant(float('-inf'))
         self._pace = pace
@@ -111,9 +111,9 @@
 
     def set_watched(self, paces_by_holder: Mapping[Holder, float]) -> None:
         """Replace the watched holders and their read paces."""
-        # Each session has its own reads: a read sent before the session was
-        # in the table could return its predecessor, which would look like
-        # proof that the session has ended.
+        # Watches share no reads: a read sent before a session was in the
+        # table could return the previous session of the same instance,
+        # which would look like proof that the new session has ended.
         self._watches_by_holder = {
             holder: self._watches_by_holder.get(holder)
             or SessionWatch(holder, self._policy, self._numbers)
--- a/packages/yuccarill-core/src/yuccarill/core/membership/list_reading.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/list_reading.py
@@ -20,10 +20,10 @@
     from yuccarill.core.membership.view import View
 
 READERS_PER_DATA_CENTRE = 2
-READER_SECONDS = 2.0
-OTHERS_SECONDS = 600.0
-ALONE_SECONDS = 1.0
-# Consecutive reads without a member before it counts as gone.
+READER_INTERVAL_SECONDS = 2.0
+NON_READER_INTERVAL_SECONDS = 600.0
+SINGLE_MEMBER_INTERVAL_SECONDS = 1.0
+# Consecutive reads that lack a member before the member counts as gone.
 MISSED_READS = 2
 
 
@@ -40,11 +40,11 @@
 ) -> Instant:
     """Return when to read the list again, with jitter."""
     if len(view.members_by_id) == 1:
-        pause = ALONE_SECONDS
+        pause = SINGLE_MEMBER_INTERVAL_SECONDS
     elif is_reader(view) or view.me.state is MemberState.LISTED_LEAVING:
-        pause = READER_SECONDS
+        pause = READER_INTERVAL_SECONDS
     else:
-        pause = OTHERS_SECONDS
+        pause = NON_READER_INTERVAL_SECONDS
     return Instant(now + pause * generator.uniform(0.5, 1.5))
 
 
--- a/packages/yuccarill-core/src/yuccarill/core/membership/probing.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/probing.py
@@ -15,7 +15,7 @@
     from yuccarill.core.ids import InstanceId
     from yuccarill.core.membership.member import Member
 
-HELPERS = 3
+HELPER_COUNT = 3
 
 
 class ProbeStep(enum.Enum):
@@ -25,7 +25,7 @@
     RETRY = 'retry'
     INDIRECT = 'indirect'
     REACHED = 'reached'
-    # Not reached from here, and no other member confirmed the failure.
+    # This instance cannot reach the member; no helper confirms the failure.
     UNCLEAR = 'unclear'
     SUSPECT = 'suspect'
 
@@ -76,8 +76,8 @@
             return
         if len(self._answers) < self._helper_count:
             return
-        # This instance may itself be partitioned and would suspect every
-        # peer, so a second instance must confirm the failure.
+        # A partitioned instance would suspect every peer, so a helper must
+        # confirm the failure if there is any helper.
         is_confirmed = HelperAnswer.NOT_REACHED in self._answers
         if is_confirmed or not self._helper_count:
             self.step = ProbeStep.SUSPECT
@@ -105,4 +105,4 @@
         first_by_data_centre.setdefault(member.data_centre, member)
     first = list(first_by_data_centre.values())
     rest = [member for member in candidates if member not in first]
-    return (first + rest)[:HELPERS]
+    return (first + rest)[:HELPER_COUNT]
--- a/packages/yuccarill-core/src/yuccarill/core/membership/ring.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/ring.py
@@ -16,7 +16,7 @@
     from yuccarill.core.membership.member import Member
 
 PROBED = 4
-# Further members considered in position of one that is not alive.
+# Further members tried in place of one that is not alive.
 MAX_STEPS = 4
 
 
@@ -30,8 +30,8 @@
 def offsets(size: int, count: int = PROBED) -> list[int]:
     """Return the offset along the ring of each probed member.
 
-    Powers of one base: each member is probed by as many as it probes, and
-    updates along these edges reach all members in few hops.
+    All members use the same offsets, so each is probed by as many as it
+    probes. Exponential growth lets updates reach all in few hops.
     """
     if size - 1 <= count:
         return list(range(1, size))
--- a/packages/yuccarill-core/src/yuccarill/core/membership/shutdown.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/shutdown.py
@@ -19,7 +19,7 @@
     """Step of a graceful shutdown."""
 
     SERVING = 'serving'
-    # Announced to all; addresses given to callers are still valid.
+    # The shutdown is announced; callers may still hold valid addresses.
     LEAVING = 'leaving'
     HANDING_OVER = 'handing over'
     FINISHING = 'finishing'
@@ -41,7 +41,7 @@
     address_validity: float
     # From the first signal to the end, even with work in flight.
     stop_timeout: float
-    # Until every instance knows that this one leaves, or suspects it.
+    # Time in which every instance learns of the shutdown or suspects this one.
     spread: float = 3.0
     # Part of stop_timeout that is reserved to hand shards over.
     hand_over: float = 5.0
@@ -85,7 +85,7 @@
         self.serves_until = min(self.serves_until, now)
 
     def advance(self, now: Instant, in_flight: InFlight) -> StopStep:
-        """Move on if the current step is over; return the step."""
+        """Enter the next step if the current one is over; return the step."""
         self._machine.advance(now, in_flight)
         return self.step
 
@@ -112,8 +112,8 @@
         if is_busy or now < self.serves_until:
             self._quiet_since = None
             return False
-        # A request is not counted between its accept and its read, so the
-        # counts must stay zero for some time.
+        # A request is counted only once it has been read from an accepted
+        # connection, so the counts must stay zero for a while.
         if self._quiet_since is None:
             self._quiet_since = now
         return now - self._quiet_since >= self._policy.quiet
@@ -123,7 +123,7 @@
     """Inputs of the shutdown's state machine."""
 
     def advance(self, now: Instant, in_flight: InFlight) -> None:
-        """Move on if the current step is over."""
+        """Enter the next step if the current one is over."""
 
     def leave(self) -> None:
         """Start to leave."""
--- a/packages/yuccarill-core/src/yuccarill/core/membership/view.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/view.py
@@ -21,7 +21,7 @@
 
 
 class View:
-    """Merge statements about members and refute false ones about oneself.
+    """Merge statements about members; refute false ones about this instance.
 
     Merging keeps the highest statement of each member, so it is idempotent
     and independent of the order of the statements.
@@ -84,7 +84,7 @@
         return True
 
     def refute_listing(self) -> bool:
-        """Announce that the list shows oneself as live; return if changed."""
+        """Refute LISTED_LEAVING after a live listing; return if changed."""
         if self.me.state is not MemberState.LISTED_LEAVING:
             return False
         self._supersede(self.me, MemberState.ALIVE)
@@ -112,8 +112,8 @@
         if offered.rank <= mine.rank:
             return False
         if offered.incarnation != mine.incarnation:
-            # The previous process of this instance had a higher version,
-            # because its clock was ahead; a higher one must supersede it.
+            # The previous process had a higher version, because its clock
+            # was ahead; the new process must supersede that version.
             self._supersede(offered, mine.state)
             return True
         match offered.state:
@@ -125,7 +125,7 @@
             case MemberState.LISTED_LEAVING:
                 self._store(offered)
             case MemberState.GONE if mine.state is MemberState.LEAVING:
-                # The instance list dropped it before its shutdown ended.
+                # The instance list drops an instance before its shutdown ends.
                 self._store(offered)
             case _:
                 self._supersede(offered, mine.state)
--- a/packages/yuccarill-core/src/yuccarill/core/weights/capacity.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/capacity.py
@@ -19,10 +19,8 @@
 
 
 def min_serving(engines: int, serving_part: float) -> int:
-    """Return how many engines must keep serving.
-
-    At most all but one, since otherwise no engine could ever switch.
-    """
+    """Return how many engines must keep serving."""
+    # One engine may always leave service; otherwise none could ever switch.
     wanted = math.ceil(engines * serving_part - _ROUNDING)
     return max(0, min(wanted, engines - 1))
 
--- a/packages/yuccarill-core/src/yuccarill/core/weights/desk.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/desk.py
@@ -41,10 +41,10 @@
     reported: tuple[object, ...] | None = None
 
     def reportable_facts(self, now: Instant) -> tuple[object, ...]:
-        """Return what is reported to the model's holder on a change."""
+        """Return the facts whose change causes a report."""
         return (
             self.is_reachable,
-            # The model's holder knows the order that it gave itself.
+            # Running orders are omitted: the model's holder gave them.
             now < self.busy_until,
             _versions(self.state),
             self.last_number,
@@ -121,7 +121,7 @@
         if epoch != entry.epoch or entry.is_busy(now):
             outcome: OrderOutcome | None = OrderOutcome.NOT_SENT
         else:
-            outcome = _refusal(order, entry.state)
+            outcome = _precheck(order, entry.state)
         if outcome is not None:
             self._end(entry, order, outcome)
             return outcome
@@ -180,7 +180,7 @@
         entry.last_outcome = outcome
 
 
-def _refusal(order: Order, state: TargetState | None) -> OrderOutcome | None:
+def _precheck(order: Order, state: TargetState | None) -> OrderOutcome | None:
     if state is None:
         # Not read under this epoch; the engine may have a newer version.
         return OrderOutcome.NOT_SENT
--- a/packages/yuccarill-core/src/yuccarill/core/weights/index.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/index.py
@@ -122,8 +122,8 @@
         if record.is_busy or record.order is not None:
             return False
         if record.state is WeightState.STAGED:
-            # A staged version that may be switched to is switched to first;
-            # one that may not is out of date.
+            # The engine first switches to a staged version that it may
+            # switch to; a staged version above that is out of date.
             return record.staged_version > self._switchable
         return record.state is WeightState.SERVING
 
@@ -140,7 +140,7 @@
 
 
 def _rank(record: TargetRecord) -> int:
-    # An engine that failed once is retried first, so that it does not
-    # delay the rollout by a whole switch; one that failed more often may
-    # keep failing and comes last.
+    # An engine that failed once is retried first, since a retry at the end
+    # would prolong the rollout by a whole switch. One that failed more often
+    # may keep failing and comes last.
     return -1 if record.failures == 1 else record.failures
--- a/packages/yuccarill-core/src/yuccarill/core/weights/record.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/record.py
@@ -59,10 +59,10 @@
     order: Order | None = None
     # Epoch of the engine's holder when the order was given.
     order_epoch: Epoch = Epoch(0)
-    order_until: Instant = Instant(0.0)
+    order_expires_at: Instant = Instant(0.0)
     failures: int = 0
     retry_at: Instant = Instant(0.0)
-    seen: tuple[Epoch, int] = (Epoch(0), 0)
+    last_report: tuple[Epoch, int] = (Epoch(0), 0)
     # Every method that changes a field adds the target's id, so that the
     # index never counts a switching engine as serving.
     changed_targets: set[TargetId] = dataclasses.field(
@@ -75,8 +75,8 @@
 
     @property
     def is_switching(self) -> bool:
-        # An order of a previous holder that may still take effect uses
-        # capacity like an own order.
+        # A busy engine may be running a previous holder's order, which takes
+        # the engine out of service like an order of this holder.
         return self.state is WeightState.SWITCHING or self.is_busy
 
     @property
@@ -102,8 +102,8 @@
         """Record an order that is being given."""
         self.changed_targets.add(self.target)
         self.order = order
-        self.order_epoch = self.seen[0]
-        self.order_until = until
+        self.order_epoch = self.last_report[0]
+        self.order_expires_at = until
         self.state = (
             WeightState.STAGING
             if order.kind is OrderKind.STAGE
@@ -111,12 +111,12 @@
         )
 
     def take(self, report: Report, now: Instant, retries: RetryPolicy) -> bool:
-        """Apply a report unless a newer one was; return if it was applied."""
+        """Apply a report if it is newer than the last; return if it was."""
         # Reports can be reordered when a stream reconnects; an older one
         # must not restore a former version.
-        if (report.epoch, report.sequence) <= self.seen:
+        if (report.epoch, report.sequence) <= self.last_report:
             return False
-        self.seen = (report.epoch, report.sequence)
+        self.last_report = (report.epoch, report.sequence)
         self.changed_targets.add(self.target)
         self.weight_version = report.weight_version
         self.staged_version = report.staged_version
@@ -125,37 +125,37 @@
             outcome = OrderOutcome.NOT_SENT
             if report.order_number == self.order.number:
                 outcome = report.outcome or outcome
-            self._conclude(outcome, now, retries)
+            self._end_order(outcome, now, retries)
         if self.order is None:
-            self._settle(report.is_reachable, now)
+            self._update_state(report.is_reachable, now)
         return True
 
     def expire(self, now: Instant, retries: RetryPolicy) -> None:
-        """Time out an order without reports, or end a backoff."""
+        """Time out an overdue order, or end a backoff that is over."""
         if self.order is not None:
-            if now >= self.order_until:
+            if now >= self.order_expires_at:
                 self.changed_targets.add(self.target)
-                self._conclude(OrderOutcome.SILENT, now, retries)
-                self._settle(True, now)
+                self._end_order(OrderOutcome.SILENT, now, retries)
+                self._update_state(True, now)
         elif self.state is WeightState.FAILED:
             self.changed_targets.add(self.target)
-            self._settle(True, now)
+            self._update_state(True, now)
 
     def drop_order(self, now: Instant, retries: RetryPolicy) -> None:
         """Drop an order that cannot have been sent."""
         self.changed_targets.add(self.target)
         if self.order is not None:
-            self._conclude(OrderOutcome.NOT_SENT, now, retries)
-            self._settle(True, now)
+            self._end_order(OrderOutcome.NOT_SENT, now, retries)
+            self._update_state(True, now)
 
     def forget(self) -> None:
-        """Mark the state as unknown after a change of the holder."""
+        """Mark an idle engine's state as unknown after a holder change."""
         self.changed_targets.add(self.target)
         if self.order is None:
             self.state = WeightState.UNKNOWN
 
-    def renew_budget(self) -> None:
-        """Reset the retries, so that a new version is tried at once."""
+    def reset_retries(self) -> None:
+        """Reset the failures and the backoff, so that the next try is due."""
         self.changed_targets.add(self.target)
         self.failures = 0
         self.retry_at = Instant(0.0)
@@ -175,14 +175,14 @@
             return self.best_version >= order.version
         return self.weight_version >= order.version
 
-    def _conclude(
+    def _end_order(
         self, outcome: OrderOutcome, now: Instant, retries: RetryPolicy
     ) -> None:
         assert self.order is not None
         # The engine's reported version decides: the reply may be lost after
         # the effect, or report success without one.
         if self._has_effect(self.order):
-            self.renew_budget()
+            self.reset_retries()
         elif outcome in _NON_FAILURES:
             self.retry_at = Instant(now + retries.base_seconds)
         else:
@@ -190,7 +190,7 @@
             self.retry_at = retries.retry_at(self.failures, now)
         self.order = None
 
-    def _settle(self, is_reachable: bool, now: Instant) -> None:
+    def _update_state(self, is_reachable: bool, now: Instant) -> None:
         if not is_reachable:
             self.state = WeightState.LOST
         elif now < self.retry_at:
--- a/packages/yuccarill-core/src/yuccarill/core/weights/rollout.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/rollout.py
@@ -26,11 +26,11 @@
     from yuccarill.core.ids import WeightVersion
     from yuccarill.core.weights.orders import Report
 
-# Covers a paused holder that sends the order just before its lease expires,
-# and the time that the engine then takes.
+# An order times out only when it can no longer take effect: its sender may
+# pause and send it just before the lease expires, and the engine needs time.
 ORDER_VALID_SECONDS = 16.0
-# How long engines that cannot stage delay the switch of the others, beyond
-# the staging time that the store's rate limit requires.
+# How long the switch waits for engines that fail to stage, in addition to
+# the time that staging takes at the store's rate limit.
 STAGE_PATIENCE_SECONDS = 30.0
 EPOCH_SHIFT = 32
 
@@ -56,8 +56,8 @@
         self._serving_part = serving_part
         self.tokens = tokens
         self._retries = retries or RetryPolicy()
-        # Numbers differ from a predecessor's: the late end of its order must
-        # not count the engine as back in service too early.
+        # Order numbers differ between epochs: a late report on an order of
+        # the previous holder must not end an order of this one.
         self._numbers = itertools.count((epoch << EPOCH_SHIFT) + 1)
         self.set_engines(engines, serving_part)
 
@@ -86,7 +86,7 @@
         self.newest = version
         self._is_idle = False
         for record in self.records_by_id.values():
-            record.renew_budget()
+            record.reset_retries()
 
     def observe(self, report: Report, now: Instant) -> None:
         """Apply a report on one engine."""
--- a/packages/yuccarill-core/src/yuccarill/core/weights/tokens.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/tokens.py
@@ -25,8 +25,8 @@
     @property
     def rate(self) -> float:
         """Return the refill rate in tokens per second."""
-        # A second may start with a full burst, so the burst beyond its first
-        # token is subtracted from the limit.
+        # A full burst at the start of a second adds to the tokens refilled
+        # in that second, so the burst less one token reduces the rate.
         return self.limit - (self._burst - 1.0)
 
     def take(self, now: Instant, cost: float = 1.0) -> bool:
--- a/packages/yuccarill-core/tests/leases/test_differential.py
+++ b/packages/yuccarill-core/tests/leases/test_differential.py
@@ -16,7 +16,7 @@
 EVENTS = 8
 # The longest recovery: a lease expires, then two delayed claims and two
 # requests to the holder.
-QUIET_SECONDS = 26.0
+RECOVERY_SECONDS = 26.0
 
 
 class DifferentialTest(unittest.TestCase):
@@ -86,7 +86,7 @@
     def _compare(
         self, cluster: world.World, reference: naive.NaiveLeases
     ) -> None:
-        cluster.run(QUIET_SECONDS)
+        cluster.run(RECOVERY_SECONDS)
         acting = cluster.acting()
         found = {s: [name for name, _ in acting[s]] for s in acting}
         expected = {
--- a/packages/yuccarill-core/tests/leases/test_faults.py
+++ b/packages/yuccarill-core/tests/leases/test_faults.py
@@ -69,10 +69,10 @@
         self.run(FAULT_SECONDS + 2)
         self.start('d')
         self.run(6)
-        leaver = 'a' if not self.nodes_by_name['a'].is_dead else 'b'
-        self.leave(leaver)
-        self.run_until(lambda: self.has_left(leaver), 20)
-        self.crash(leaver)
+        leaving = 'a' if not self.nodes_by_name['a'].is_dead else 'b'
+        self.leave(leaving)
+        self.run_until(lambda: self.has_left(leaving), 20)
+        self.crash(leaving)
         self.run(PAUSE_SECONDS)
         self.run_until(lambda: self.covered() == shards.SHARD_COUNT, 40)
 
@@ -84,15 +84,15 @@
             if is_first:
                 self.faulted_by_name[node.id] = operation
                 self._until = self.now + FAULT_SECONDS
-                self._begin(node)
-        is_here = self.faulted_by_name.get(node.id) is operation
+                self._begin_faults(node)
+        is_faulted_call = self.faulted_by_name.get(node.id) is operation
         mode = world.CallMode()
         for fault in self._planned_faults if self.now < self._until else ():
-            self._add_fault(mode, fault, is_here)
+            self._add_fault(mode, fault, is_faulted_call)
         return mode
 
     def _add_fault(
-        self, mode: world.CallMode, fault: Fault, is_here: bool
+        self, mode: world.CallMode, fault: Fault, is_faulted_call: bool
     ) -> None:
         match fault:
             case Fault.SLOW:
@@ -100,16 +100,16 @@
             case Fault.TOO_SLOW:
                 mode.delay = max(mode.delay, 3.0)
             case Fault.DOWN:
-                mode.is_down = mode.is_down or not is_here
-            case Fault.REPLY_LOST if is_here:
+                mode.is_down = mode.is_down or not is_faulted_call
+            case Fault.REPLY_LOST if is_faulted_call:
                 mode.loses_reply = True
-            case Fault.EFFECT_LATE if is_here:
+            case Fault.EFFECT_LATE if is_faulted_call:
                 mode.loses_reply = True
                 mode.delay = 2 * FAULT_SECONDS
-            case Fault.DUPLICATED if is_here:
+            case Fault.DUPLICATED if is_faulted_call:
                 mode.is_duplicated = True
 
-    def _begin(self, node: world.Node) -> None:
+    def _begin_faults(self, node: world.Node) -> None:
         if Fault.PAUSED in self._planned_faults:
             node.is_paused = True
             self._at(PAUSE_SECONDS, setattr, node, 'is_paused', False)
--- a/packages/yuccarill-core/tests/leases/world.py
+++ b/packages/yuccarill-core/tests/leases/world.py
@@ -195,14 +195,14 @@
         """Record a fault if two nodes act at once or an epoch decreases."""
         for shard, acting in self.acting().items():
             if len(acting) > 1:
-                self.faults.append(f'{self.now}: {shard} acted by {acting}')
+                self.faults.append(f'{self.now}: {shard} held by {acting}')
             for name, epoch in acting:
                 node = self.nodes_by_name[name]
                 highest, by = self.actor_by_shard.get(shard, (Epoch(0), node))
                 if epoch < highest or (epoch == highest and by is not node):
                     self.faults.append(
-                        f'{self.now}: {shard} acted by {name} under {epoch} '
-                        f'after {highest} by {by.id}'
+                        f'{self.now}: {shard} held by {name}, epoch {epoch}, '
+                        f'after epoch {highest} of {by.id}'
                     )
                 self.actor_by_shard[shard] = (epoch, node)
 
--- a/packages/yuccarill-core/tests/membership/test_choices.py
+++ b/packages/yuccarill-core/tests/membership/test_choices.py
@@ -77,7 +77,7 @@
             probe_round.on_helper(answer)
         self.assertIs(expected, probe_round.step, name)
 
-    def test_helpers_stand_in_different_data_centres(self) -> None:
+    def test_helpers_are_in_different_data_centres(self) -> None:
         members = fleet(60, centres=3).values()
         for chance in range(20):
             chosen = probing.helpers(
--- a/packages/yuccarill-core/tests/membership/test_shutdown.py
+++ b/packages/yuccarill-core/tests/membership/test_shutdown.py
@@ -34,8 +34,8 @@
     return began, stopping.outcome
 
 
-# All transitions, in the order of the steps.
-MOVES = {
+# All transitions, by step and input, in the order of the steps.
+NEXT_STEP = {
     (S.SERVING, 'leave'): S.LEAVING,
     (S.LEAVING, 'hand_over'): S.HANDING_OVER,
     (S.HANDING_OVER, 'finish'): S.FINISHING,
@@ -48,7 +48,7 @@
     """Return a shutdown and its machine, moved to a step."""
     stopping = shutdown.Shutdown(POLICY, Instant(0.0))
     machine = shutdown.StopMachine(stopping)
-    for _, name in MOVES:
+    for _, name in NEXT_STEP:
         if stopping.step is not step:
             getattr(machine, name)()
     return stopping, machine
@@ -59,7 +59,7 @@
     def test_only_the_next_step_may_follow(self, step, name: str) -> None:
         stopping, machine = machine_at(step)
         self.assertIs(step, stopping.step)
-        expected = MOVES.get((step, name))
+        expected = NEXT_STEP.get((step, name))
         if expected is None:
             with self.assertRaises(automat.NoTransition):
                 getattr(machine, name)()
@@ -71,7 +71,7 @@
     def test_advance_is_taken_in_each_step(self, step) -> None:
         stopping, machine = machine_at(step)
         machine.advance(Instant(100.0), NOTHING)
-        following = [new for (old, _), new in MOVES.items() if old is step]
+        following = [new for (old, _), new in NEXT_STEP.items() if old is step]
         self.assertIs([*following, S.ENDED][0], stopping.step)
 
 
--- a/packages/yuccarill-core/tests/membership/test_view.py
+++ b/packages/yuccarill-core/tests/membership/test_view.py
@@ -79,7 +79,7 @@
         super().__init__()
         self.starts = dict.fromkeys(NAMES, 1)
         self.views = {name: self.view(name) for name in NAMES}
-        self.said = [view.me for view in self.views.values()]
+        self.known = [view.me for view in self.views.values()]
         self.left: set[tuple[str, str]] = set()
         self.seen_leaving: set[tuple[str, str, str]] = set()
 
@@ -92,7 +92,7 @@
 
     @stateful.rule(name=names, pick=strategies.integers(0, 10**6))
     def hear(self, name: str, pick: int) -> None:
-        self.views[name].offer(self.said[pick % len(self.said)])
+        self.views[name].offer(self.known[pick % len(self.known)])
 
     @stateful.rule(name=names, other=names)
     def suspect(self, name: str, other: str) -> None:
@@ -120,8 +120,8 @@
     def says_all(self) -> None:
         for view in self.views.values():
             for each in view.members_by_id.values():
-                if each not in self.said:
-                    self.said.append(each)
+                if each not in self.known:
+                    self.known.append(each)
 
     @stateful.invariant()
     def leaving_never_becomes_live(self) -> None:
@@ -136,18 +136,18 @@
     def teardown(self) -> None:
         # Once every view has merged and refuted all statements, it must
         # equal a naive merge that keeps the highest statement.
-        chance = random.Random(1)
+        generator = random.Random(1)
         for _ in range(4):
             self.says_all()
             for view in self.views.values():
-                heard = list(self.said)
-                chance.shuffle(heard)
+                heard = list(self.known)
+                generator.shuffle(heard)
                 view.offer_all(heard)
                 view.answer_suspicion()
         self.says_all()
         naive = {
             name: max(
-                (s for s in self.said if s.id == name), key=lambda s: s.rank
+                (s for s in self.known if s.id == name), key=lambda s: s.rank
             )
             for name in NAMES
         }
--- a/packages/yuccarill-core/tests/weights/fleet.py
+++ b/packages/yuccarill-core/tests/weights/fleet.py
@@ -161,7 +161,7 @@
         self.crash_holder(holder)
         names = {engine.name for engine in holder.engines}
 
-        def wake() -> None:
+        def resume() -> None:
             records = self.rollout.records_by_id if self.rollout else {}
             for name in names & records.keys():
                 if records[name].order is not None:
@@ -170,7 +170,7 @@
                     )
             self._push(paused)
 
-        self.at(TAKEOVER_SECONDS + 2, wake)
+        self.at(TAKEOVER_SECONDS + 2, resume)
 
     def is_done(self) -> bool:
         newest = self.newest
@@ -264,11 +264,11 @@
             return
         if not holder.desk.accept_model_epoch(MODEL, epoch):
             return
-        usable = holder.epoch if holder.has_lease else None
-        if holder.desk.begin(order, usable, self.now) is not None:
+        order_epoch = holder.epoch if holder.has_lease else None
+        if holder.desk.begin(order, order_epoch, self.now) is not None:
             return
         if order.version <= engine.version:
-            self.faults.append(f'{engine.name} ordered down')
+            self.faults.append(f'{engine.name} ordered to no newer version')
         self.orders_sent += 1
         wait = max(LATENCY, engine.frozen_until - self.now)
         self.at(wait, lambda: self._arrive(engine, order, holder))
@@ -295,7 +295,7 @@
             seconds = self.stage_seconds()
         else:
             engine.is_swapping = True
-            self._check_floor(engine)
+            self._check_min_serving(engine)
             seconds = self.switch_seconds()
 
         def finish() -> None:
@@ -338,7 +338,7 @@
         if holder.is_up:
             self._push(holder)
 
-    def _check_floor(self, engine: FakeEngine) -> None:
+    def _check_min_serving(self, engine: FakeEngine) -> None:
         for centre in (None, engine.data_centre):
             members = [
                 e
@@ -346,8 +346,10 @@
                 if centre is None or e.data_centre == centre
             ]
             serving = sum(e.is_up and not e.is_swapping for e in members)
-            swapping = sum(e.is_up and e.is_swapping for e in members)
-            floor = capacity.min_serving(len(members), self.part)
-            # One engine may switch even with too few serving.
-            if serving < floor and swapping > 1:
-                self.faults.append(f'{serving} of {floor} at {self.now:.1f}')
+            switching = sum(e.is_up and e.is_swapping for e in members)
+            minimum = capacity.min_serving(len(members), self.part)
+            # One engine may switch even if too few serve.
+            if serving < minimum and switching > 1:
+                self.faults.append(
+                    f'{serving} serving, minimum {minimum}, at {self.now:.1f}'
+                )
--- a/packages/yuccarill-core/tests/weights/test_rollout.py
+++ b/packages/yuccarill-core/tests/weights/test_rollout.py
@@ -40,7 +40,7 @@
 
 class RolloutTest(unittest.TestCase):
     @params((1, 1, 0.5), (2, 2, 0.9), (5, 3, 0.6), (30, 4, 0.8), (7, 2, 0.0))
-    def test_keeps_the_floor(self, count: int, centres: int, part: float):
+    def test_keeps_min_serving(self, count: int, centres: int, part: float):
         fleet = build(count, centres, part)
         fleet.store_newest = 2
         self.assertTrue(fleet.run(120, fleet.is_done))
@@ -64,7 +64,7 @@
             window = [d for d in fleet.downloads if start <= d < start + 1]
             self.assertLessEqual(len(window), 10)
 
-    def test_spent_budget_pauses(self) -> None:
+    def test_exhausted_retries_pause(self) -> None:
         # An engine that fails every switch must not be out of service all
         # the time, nor keep the others from the version.
         fleet = build(4, 2, 0.5)
@@ -124,7 +124,7 @@
         )
 
 
-class FloorTest(unittest.TestCase):
+class MinServingTest(unittest.TestCase):
     @params((0, 0.5, 0), (1, 1.0, 0), (5, 0.6, 3), (10, 0.8, 8), (3, 1.0, 2))
-    def test_floor(self, count: int, part: float, expected: int) -> None:
+    def test_min_serving(self, count: int, part: float, expected: int) -> None:
         self.assertEqual(expected, capacity.min_serving(count, part))
