--- a/packages/yuccarill-core/src/yuccarill/core/leases/operations.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/operations.py
@@ -102,7 +102,7 @@
         )
 
     def release(self, operation: Operation) -> bool:
-        """Free the slot if an operation is in flight; return if it was."""
+        """Free the slot if it is held by the operation; return if it was."""
         is_current = self._is_busy and operation.number == self._number
         if is_current:
             self._is_busy = False
--- a/packages/yuccarill-core/src/yuccarill/core/membership/spreading.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/spreading.py
@@ -22,7 +22,7 @@
         self._pending_by_id: dict[InstanceId, dict[InstanceId, Member]] = {}
 
     def set_neighbours(self, neighbours: Iterable[InstanceId]) -> None:
-        """Replace the neighbours; keep what is pending for known ones."""
+        """Replace the neighbours; keep the queues of those that remain."""
         previous = self._pending_by_id
         self._pending_by_id = {n: previous.get(n, {}) for n in neighbours}
 
--- a/packages/yuccarill-core/src/yuccarill/core/membership/view.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/view.py
@@ -75,8 +75,8 @@
     def answer_suspicion(self) -> bool:
         """Refute a suspicion of this instance; return if there was one.
 
-        Call this only when a peer has reached this instance: one that can
-        send but not be reached must stay suspect.
+        Call this only when a peer has reached this instance: an unreachable
+        one that refutes suspicions would be given to callers again.
         """
         if self._suspicion is None:
             return False
--- a/packages/yuccarill-core/src/yuccarill/core/weights/record.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/record.py
@@ -75,8 +75,8 @@
 
     @property
     def is_switching(self) -> bool:
-        # A busy engine may be running a previous holder's order, which takes
-        # the engine out of service like an order of this holder.
+        # A busy engine may still execute a previous holder's order; if it
+        # were not counted, one engine too many would leave service.
         return self.state is WeightState.SWITCHING or self.is_busy
 
     @property
--- a/packages/yuccarill-core/src/yuccarill/core/weights/rollout.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/rollout.py
@@ -56,8 +56,8 @@
         self._serving_part = serving_part
         self.tokens = tokens
         self._retries = retries or RetryPolicy()
-        # Order numbers differ between epochs: a late report on an order of
-        # the previous holder must not end an order of this one.
+        # Numbers differ between epochs: otherwise a late report on an earlier
+        # order would end a current one while its engine still switches.
         self._numbers = itertools.count((epoch << EPOCH_SHIFT) + 1)
         self.set_engines(engines, serving_part)
 
