--- a/packages/yuccarill-core/tests/membership/test_view.py
+++ b/packages/yuccarill-core/tests/membership/test_view.py
@@ -1,4 +1,4 @@
-"""Test how statements about members are merged and answered."""
+"""Test how statements about members are merged and refuted."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
 
     @params(
         ('suspicion waits until reached', S.ALIVE, S.SUSPECT, False, 5, 0),
-        ('suspicion answered', S.ALIVE, S.SUSPECT, True, 6, 0),
+        ('suspicion refuted', S.ALIVE, S.SUSPECT, True, 6, 0),
         ('leaving stays leaving', S.LEAVING, S.GONE, False, 5, S.GONE),
-        ('gone is answered', S.ALIVE, S.GONE, False, 6, 0),
-        ('listing is taken', S.ALIVE, S.LISTED_LEAVING, True, 5, 2),
+        ('gone is refuted', S.ALIVE, S.GONE, False, 6, 0),
+        ('listing is accepted', S.ALIVE, S.LISTED_LEAVING, True, 5, 2),
     )
     def test_answers(self, name, mine, said, reached, version, state) -> None:
         view = view_module.View(statement('a', 5, mine))
@@ -56,8 +56,8 @@
 
     @params(*MemberState)
     def test_restart_with_a_clock_set_back(self, state) -> None:
-        # What is said of the former process has a version from a clock
-        # that was ahead. The new one would stay excluded for as long.
+        # Statements about the previous process have a higher version, since
+        # its clock was ahead; they must not exclude the new process.
         view = view_module.View(statement('a', 3, incarnation='new'))
         view.offer(statement('a', 900, state, incarnation='old'))
         self.assertEqual(statement('a', 901, incarnation='new'), view.me)
@@ -73,13 +73,13 @@
 
 
 class Gossip(stateful.RuleBasedStateMachine):
-    """Let views hear any statement ever made, late, twice, unordered."""
+    """Deliver statements to views late, repeatedly and out of order."""
 
     def __init__(self) -> None:
         super().__init__()
         self.starts = dict.fromkeys(NAMES, 1)
         self.views = {name: self.view(name) for name in NAMES}
-        self.said = [view.me for view in self.views.values()]
+        self.known = [view.me for view in self.views.values()]
         self.left: set[tuple[str, str]] = set()
         self.seen_leaving: set[tuple[str, str, str]] = set()
 
@@ -92,7 +92,7 @@
 
     @stateful.rule(name=names, pick=strategies.integers(0, 10**6))
     def hear(self, name: str, pick: int) -> None:
-        self.views[name].offer(self.said[pick % len(self.said)])
+        self.views[name].offer(self.known[pick % len(self.known)])
 
     @stateful.rule(name=names, other=names)
     def suspect(self, name: str, other: str) -> None:
@@ -111,7 +111,7 @@
 
     @stateful.rule(name=names)
     def restart(self, name: str) -> None:
-        # Each start has a lower first version: its clock was set back.
+        # The clock is set back: each start has a lower first version.
         self.starts[name] += 1
         self.views[name] = self.view(name)
         self.seen_leaving = {s for s in self.seen_leaving if s[0] != name}
@@ -120,8 +120,8 @@
     def says_all(self) -> None:
         for view in self.views.values():
             for each in view.members_by_id.values():
-                if each not in self.said:
-                    self.said.append(each)
+                if each not in self.known:
+                    self.known.append(each)
 
     @stateful.invariant()
     def leaving_never_becomes_live(self) -> None:
@@ -134,20 +134,20 @@
                     assert key not in self.seen_leaving, each
 
     def teardown(self) -> None:
-        # The naive merge: every statement ever made, the highest stands.
-        # Once everybody has heard and answered all, nobody differs.
-        chance = random.Random(1)
+        # Once every view has merged and refuted all statements, it must
+        # equal a naive merge that keeps the highest statement.
+        generator = random.Random(1)
         for _ in range(4):
             self.says_all()
             for view in self.views.values():
-                heard = list(self.said)
-                chance.shuffle(heard)
+                heard = list(self.known)
+                generator.shuffle(heard)
                 view.offer_all(heard)
                 view.answer_suspicion()
         self.says_all()
         naive = {
             name: max(
-                (s for s in self.said if s.id == name), key=lambda s: s.rank
+                (s for s in self.known if s.id == name), key=lambda s: s.rank
             )
             for name in NAMES
         }
--- a/packages/yuccarill-core/tests/weights/test_desk.py
+++ b/packages/yuccarill-core/tests/weights/test_desk.py
@@ -1,4 +1,4 @@
-"""Test which orders a holder of engines sends."""
+"""Test which orders the holder of an engine sends."""
 
 from __future__ import annotations
 
@@ -41,9 +41,8 @@
         self.desk = desk.OrderDesk()
         self.desk.hold(TARGET, Epoch(1), NOW)
 
-    # An order waits here, in a socket or before a pause of the process,
-    # while the engine goes on under other orders. Sent all the same it
-    # would take the engine back, or have it download while out of service.
+    # A delayed order must not return the engine to an older version, nor make
+    # it download while out of service.
     @params(
         (STAGE, 3, state(2), 1, None),
         (STAGE, 3, state(2, 3), 1, DONE),
@@ -68,7 +67,7 @@
         again = orders.Order(2, TARGET, STAGE, WeightVersion(4))
         self.assertIs(NOT_SENT, self.desk.begin(again, Epoch(1), NOW))
 
-    def test_news_are_told_once_unless_lost(self) -> None:
+    def test_change_is_reported_once_unless_lost(self) -> None:
         self.assertEqual([], self.desk.news(NOW))
         self.desk.see(TARGET, state(2))
         self.assertEqual(1, len(self.desk.news(NOW)))
--- a/packages/yuccarill-core/tests/weights/test_polling.py
+++ b/packages/yuccarill-core/tests/weights/test_polling.py
@@ -1,4 +1,4 @@
-"""Test the reading of targets' states."""
+"""Test the schedule of reads of targets' states."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 class PollingTest(unittest.TestCase):
     @params((20, True, 240), (1300, True, 240), (20, False, 60))
-    def test_reads_a_minute(
+    def test_reads_per_minute(
         self, count: int, is_reachable: bool, expected: int
     ) -> None:
-        # An instance holds 20 targets, all 1,300 of them, or 20 that are
-        # gone; reading must cost it no more than its share in each case.
+        # Many targets, or unreachable ones, must not raise the rate of reads
+        # above its limit.
         polls = polling.PollSchedule(Instant(0.0))
         polls.set_targets(
             [TargetId(f't{n:04}') for n in range(count)], Instant(0.0)
