--- a/packages/yuccarill-core/src/yuccarill/core/jobs/__init__.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Decide how batch jobs of generations are run and listed."""
+"""Schedule batch jobs of text generation and track their results."""
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/engines.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/engines.py
@@ -1,4 +1,4 @@
-"""Choose the engine of an item by what is known of each engine."""
+"""Choose the engine of an item by load, pace and weight version."""
 
 from __future__ import annotations
 
@@ -24,46 +24,44 @@
     from yuccarill.core.jobs.job import Job
     from yuccarill.core.speeds.book import LogPaceBook
 
-# Seconds after which a gap has lost two thirds of its weight in an engine's
-# average. All runs of an engine share its pauses: counted by events, one
-# pause of 0.1 s made an engine look slow and moved 45 runs off it.
-_PACE_MEMORY = 0.3
-# Seconds for which a measured pace counts. An engine that nothing runs on
-# any more has to be tried again to see whether it still is slow.
+# Time constant of an engine's average pace. The weight of a gap decays by time
+# instead of by event, since one pause delays all runs of an engine at once.
+_PACE_DECAY_SECONDS = 0.3
+# Seconds for which a measured pace is valid. An idle engine is then tried
+# again, since only a run shows whether it is still slow.
 PACE_SECONDS = 2.0
-# Times the usual pace, and seconds at least, without an event after which
-# a run goes on elsewhere: to go on costs some ms of reading the text again.
+# A run moves to another engine after a time without an event: this many times
+# the usual pace, and at least this many seconds.
 SILENT_FACTOR = 10.0
-MIN_SILENCE = 0.4
-# Seconds that a run stays at an engine before its pace moves it on.
+MIN_SILENCE_SECONDS = 0.4
+# Seconds that a run stays at an engine before it may move for its pace.
 MIN_STAY = 0.25
-# Times the median pace above which an engine counts as slow. Engines of one
-# fleet differ by up to 1.3, a fault by 2.5 and more.
+# Multiple of the median pace from which an engine counts as slow.
 SLOW_FACTOR = 2.0
-# Seconds for which an engine that failed gets nothing new, doubled up to
-# the second with each failure in a row.
-FIRST_EJECTION = 0.5
-LAST_EJECTION = 4.0
-# Seconds for which the median of lasting paces stands.
-_USUAL_SECONDS = 0.1
+# Seconds for which a failed engine gets no new runs, doubled with each
+# consecutive failure up to the maximum.
+FIRST_EJECTION_SECONDS = 0.5
+MAX_EJECTION_SECONDS = 4.0
+# Seconds for which the median of long-term paces is cached.
+_USUAL_PACE_CACHE_SECONDS = 0.1
 
 
 class EngineState(msgspec.Struct, kw_only=True):
-    """Track one start of an engine."""
+    """Track one incarnation of an engine process."""
 
     target: ListedTarget
     runs_by_model: collections.Counter[ModelName | None] = msgspec.field(
         default_factory=collections.Counter
     )
-    # Seconds between two events, averaged; none until two were seen.
+    # Average seconds between two events, None before the first gap.
     pace: float | None = None
     paced_at: Instant = Instant(0.0)
     versions_by_model: dict[ModelName, WeightVersion] = {}
-    # Models of which a text runs here that has no time to spare.
+    # Models with an urgent text on this engine.
     hurried: set[ModelName] = set()
-    # Models whose weights are being changed here.
+    # Models whose weights the engine is changing.
     switching: set[ModelName] = set()
-    # Those of them whose runs had time to end and have to go elsewhere.
+    # Models in `switching` whose remaining runs have to move away.
     emptying: set[ModelName] = set()
     failures: int = 0
     ejected_until: Instant = Instant(0.0)
@@ -73,7 +71,7 @@
         return self.runs_by_model.total()
 
     def version(self, model: ModelName) -> WeightVersion | None:
-        """Return the newest version that the engine is known to have."""
+        """Return the newest known version of a model on the engine."""
         listed = self.target.versions_by_model.get(model)
         seen = self.versions_by_model.get(model)
         if listed is None or seen is None:
@@ -81,34 +79,36 @@
         return max(listed, seen)
 
     def saw_version(self, model: ModelName, version: WeightVersion) -> None:
-        """Learn a version from the engine itself."""
+        """Record a version that the engine itself has reported."""
         known = self.versions_by_model.get(model)
         if known is None or version > known:
             self.versions_by_model[model] = version
 
     def saw_gap(self, seconds: float, now: Instant) -> None:
-        """Learn from the time between two events of a run."""
-        is_old = self.known_pace(now) is None
-        part = 1.0 - math.exp((self.paced_at - now) / _PACE_MEMORY)
+        """Update the pace with the time between two events of a run."""
+        is_expired = self.known_pace(now) is None
+        weight = 1.0 - math.exp((self.paced_at - now) / _PACE_DECAY_SECONDS)
         self.paced_at = now
-        if self.pace is None or is_old:
+        if self.pace is None or is_expired:
             self.pace = seconds
         else:
-            self.pace += part * (seconds - self.pace)
+            self.pace += weight * (seconds - self.pace)
 
     def known_pace(self, now: Instant) -> float | None:
-        """Return the pace if it was measured lately."""
+        """Return the pace, None if the measurement has expired."""
         return self.pace if now < self.paced_at + PACE_SECONDS else None
 
     def succeed(self) -> None:
         self.failures = 0
 
     def fail(self, now: Instant) -> None:
-        """Leave the engine out for a while."""
-        # Runs that fail together are one failure of their engine.
+        """Eject the engine for a time that grows with each failure."""
+        # Runs that fail at the same time count as one engine failure.
         if now < self.ejected_until:
             return
-        seconds = min(FIRST_EJECTION * 2.0**self.failures, LAST_EJECTION)
+        seconds = min(
+            FIRST_EJECTION_SECONDS * 2.0**self.failures, MAX_EJECTION_SECONDS
+        )
         self.failures += 1
         self.ejected_until = Instant(now + seconds)
 
@@ -116,32 +116,32 @@
 class EngineFleet:
     """Hold the engines of one service.
 
-    With a book of speeds, engines are compared by their lasting paces; else
-    by those of the last seconds.
+    With `speeds`, engines are compared by their long-term paces, otherwise by
+    those of the last seconds.
     """
 
     def __init__(self, speeds: LogPaceBook | None = None) -> None:
         self.engines_by_id: dict[TargetId, EngineState] = {}
         self.speeds = speeds
-        self._usual: float | None = None
-        self._usual_at = Instant(-1.0)
+        self._usual_pace: float | None = None
+        self._usual_pace_at = Instant(-1.0)
 
     @property
     def running(self) -> int:
-        """Count the runs at all engines."""
+        """Return the number of runs on all engines."""
         return sum(each.running for each in self.engines_by_id.values())
 
     def is_current(self, engine: EngineState) -> bool:
-        """Tell whether an engine still is the process that is listed."""
+        """Return whether an engine is still the registered process."""
         return self.engines_by_id.get(engine.target.id) is engine
 
     def update(self, targets: Iterable[ListedTarget]) -> None:
-        """Take the listed engines; those that left are forgotten."""
+        """Replace the engines by those that are registered now."""
         listed_by_id = {target.id: target for target in targets}
-        for gone in self.engines_by_id.keys() - listed_by_id.keys():
-            del self.engines_by_id[gone]
+        for removed in self.engines_by_id.keys() - listed_by_id.keys():
+            del self.engines_by_id[removed]
             if self.speeds is not None:
-                self.speeds.forget(gone)
+                self.speeds.forget(removed)
         for target in listed_by_id.values():
             known = self.engines_by_id.get(target.id)
             is_same = known is not None and known.target.is_same_start(target)
@@ -152,46 +152,45 @@
             if known is not None and is_same:
                 known.target = target
                 continue
-            # A process that started again under its id knows nothing of
-            # before: with the versions that the old one was seen with, an
-            # engine that came back with older weights would be given items
-            # that it can't run, and no order to change. What runs there
-            # keeps the old state, and ends with its connection.
+            # A restarted process begins with a new state. With the versions of
+            # the old process, an engine that has restarted with older weights
+            # would get items that it can't run, and no order to change. Runs
+            # of the old process keep its state until their connection ends.
             self.engines_by_id[target.id] = EngineState(target=target)
 
     def choose(
         self, job: Job, now: Instant, without: EngineState | None = None
     ) -> EngineState | None:
-        """Return the engine with a free place that will be fastest."""
-        fitting = [
+        """Return the engine with a free slot and the lowest cost."""
+        eligible = [
             engine
             for engine in self.engines_by_id.values()
             if engine is not without and self.can_run(engine, job, now)
         ]
-        return min(fitting, key=lambda e: self.cost(e, now), default=None)
+        return min(eligible, key=lambda e: self.cost(e, now), default=None)
 
     def cost(self, engine: EngineState, now: Instant) -> float:
-        """Return how slow an engine would be with one more run."""
+        """Return the cost of one more run on an engine, the lowest is best."""
         if self.speeds is not None:
             return self.estimate(engine, engine.running, now).pace
-        return _cost(engine, self.usual_pace(now) or 0.0, now)
+        return _load_cost(engine, self.usual_pace(now) or 0.0, now)
 
     def estimate(
         self, engine: EngineState, beside: int, now: Instant
     ) -> PaceEstimate:
-        """Return the seconds an event of a run with so many beside."""
+        """Return the pace of a run beside a number of other runs."""
         if self.speeds is not None:
             return self.speeds.pace(engine.target.id, beside, now)
-        known = engine.known_pace(now) or self.usual_pace(now)
-        return PaceEstimate(pace=known or DEFAULT_PACE, deviation=0.0)
+        pace = engine.known_pace(now) or self.usual_pace(now)
+        return PaceEstimate(pace=pace or DEFAULT_PACE, deviation=0.0)
 
     def full_pace(self, engine: EngineState, now: Instant) -> float:
-        """Return the seconds an event where each place is taken."""
+        """Return the seconds per event with all slots in use."""
         beside = max(0, engine.target.slots - 1)
         return self.estimate(engine, beside, now).pace
 
     def can_run(self, engine: EngineState, job: Job, now: Instant) -> bool:
-        """Tell whether an engine may get an item of a job."""
+        """Return whether an engine can run an item of a job now."""
         if engine.target.is_leaving or now < engine.ejected_until:
             return False
         if engine.running >= engine.target.slots:
@@ -204,14 +203,14 @@
         return version is not None and version >= job.min_version
 
     def usual_pace(self, now: Instant) -> float | None:
-        """Return the median pace, none if no engine was seen at work."""
-        # Asked for each of some hundred runs at the same instant.
-        kept = 0.0 if self.speeds is None else _USUAL_SECONDS
-        if self._usual_at <= now <= self._usual_at + kept:
-            return self._usual
-        self._usual_at = now
-        self._usual = self._median_pace(now)
-        return self._usual
+        """Return the median pace, None if no engine is measured."""
+        # Cached, since many runs ask at the same instant.
+        lifetime = 0.0 if self.speeds is None else _USUAL_PACE_CACHE_SECONDS
+        if self._usual_pace_at <= now <= self._usual_pace_at + lifetime:
+            return self._usual_pace
+        self._usual_pace_at = now
+        self._usual_pace = self._median_pace(now)
+        return self._usual_pace
 
     def _median_pace(self, now: Instant) -> float | None:
         if self.speeds is not None:
@@ -233,15 +232,15 @@
         return median.median_low(paces) if paces else None
 
     def is_silent(self, last_at: Instant, now: Instant) -> bool:
-        """Tell whether a run has made no event for too long."""
+        """Return whether a run has produced no event for too long."""
         usual = self.usual_pace(now) or 0.0
-        return now - last_at > max(MIN_SILENCE, SILENT_FACTOR * usual)
+        return now - last_at > max(MIN_SILENCE_SECONDS, SILENT_FACTOR * usual)
 
     def is_slow(self, engine: EngineState, now: Instant) -> bool:
-        """Tell whether an engine is much slower than it should be."""
+        """Return whether an engine is much slower than expected."""
         if self.speeds is not None:
-            found = self.speeds.state(engine.target.id, now)
-            return found is SpeedState.FAULTY
+            state = self.speeds.state(engine.target.id, now)
+            return state is SpeedState.FAULTY
         usual = self.usual_pace(now) or 0.0
         return _slowness(engine, usual, now) >= SLOW_FACTOR
 
@@ -253,31 +252,31 @@
         last_at: Instant,
         now: Instant,
     ) -> bool:
-        """Tell whether a run is better off at another engine."""
+        """Return whether a run should move to another engine."""
         if self.has_stopped(engine, job, last_at, now):
             return True
-        # A pace from before the run came says little of the engine now.
+        # A pace measured before the run started may be out of date.
         has_stayed = now - started_at >= MIN_STAY
         return has_stayed and self.is_slow(engine, now)
 
     def has_stopped(
         self, engine: EngineState, job: Job, last_at: Instant, now: Instant
     ) -> bool:
-        """Tell whether a run gets on no more where it is."""
+        """Return whether a run makes no more progress on its engine."""
         if self.is_silent(last_at, now) or job.model in engine.emptying:
             return True
-        # Its text goes on no more: the run would only wait for the silence
-        # that shows it.
-        return self._has_started_again(engine)
+        # A restarted engine has lost the run, so there is no need to wait for
+        # the silence timeout.
+        return self._has_restarted(engine)
 
-    def _has_started_again(self, engine: EngineState) -> bool:
+    def _has_restarted(self, engine: EngineState) -> bool:
         listed = self.engines_by_id.get(engine.target.id)
         if listed is None or listed is engine:
             return False
         return not engine.target.is_same_start(listed.target)
 
     def has_places(self, now: Instant) -> bool:
-        """Tell whether any engine at work has a free place."""
+        """Return whether any usable engine has a free slot."""
         return any(
             engine.running < engine.target.slots
             for engine in self.engines_by_id.values()
@@ -292,9 +291,9 @@
     return max(1.0, pace / usual)
 
 
-def _cost(engine: EngineState, usual: float, now: Instant) -> float:
+def _load_cost(engine: EngineState, usual: float, now: Instant) -> float:
     slowness = _slowness(engine, usual, now)
     load = (engine.running + 1) / max(1, engine.target.slots)
-    # Slow engines come last whatever their load is, since the last item of
-    # a group decides when the group counts.
+    # Slow engines come last whatever their load, since the last item of a
+    # group decides when the group is complete.
     return load + math.floor(slowness / SLOW_FACTOR) * 10.0 + slowness * 0.1
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/job.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/job.py
@@ -1,4 +1,4 @@
-"""Hold what a trainer asks for in one batch job, and what it gets."""
+"""Define the records of a batch job: items and results."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ScoreRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the call that scores one finished text."""
+    """Describe the HTTP request that scores one finished text."""
 
     id: RequestId
     host: str
@@ -29,66 +29,66 @@
 
 
 class Item(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold one generation that a trainer asks for."""
+    """Describe one text that a trainer requests."""
 
     id: ItemId
     path: str
     headers: tuple[tuple[str, str], ...]
     body: bytes
-    # Prompt tokens and the most that may be generated.
+    # Prompt tokens plus the maximum of generated tokens.
     tokens: int
     group: GroupId
-    # Tokens that the client expects to be generated, if it says so.
+    # Generated tokens that the client expects.
     hinted_tokens: int | None = None
     score_request: ScoreRequest | None = None
 
 
 class JobShare(msgspec.Struct, frozen=True, kw_only=True):
-    """Say which part of which job a share is."""
+    """Identify one partition's share of a job."""
 
     job: JobId
     number: int
 
 
 class Job(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold one accepted batch job."""
+    """Describe one accepted batch job."""
 
     id: JobId
     service: ServiceName
     host: str
     route: str
-    # Whose it is; none where the configuration names no accounts.
+    # Client account, None if the configuration has no accounts.
     account: AccountName | None = None
     step: int = 0
     model: ModelName | None = None
-    # The oldest weights that may make any part of a text.
+    # Oldest weight version that may generate any part of a text.
     min_version: WeightVersion = WeightVersion(0)
-    # Complete groups that the trainer waits for.
+    # Number of complete groups that the trainer needs.
     wanted_groups: int = 0
     is_single_version: bool = False
     max_attempts: int = 1
     submitted_at: WallTime
     due_at: WallTime
-    # An unfinished item may be given up from then on.
+    # Unfinished items fail after this time.
     retained_until: WallTime
     items: tuple[Item, ...] = ()
-    # Set where this is one holder's share of a job.
+    # Set if this job is the share of one partition.
     share: JobShare | None = None
 
 
 class ResultState(enum.Enum):
-    """Say how an item ended."""
+    """Enumerate the outcomes of an item."""
 
     COMPLETED = 'completed'
     FAILED = 'failed'
 
 
 class ItemResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold how one item ended, as it is listed to its trainer."""
+    """Describe the outcome of one item for its trainer."""
 
     id: ItemId
     state: ResultState
     text: str = ''
-    # Every weight version that made a part of the text, ascending.
+    # Weight versions that generated the text, ascending.
     versions: tuple[WeightVersion, ...] = ()
     score: str = ''
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/job_plan.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/job_plan.py
@@ -1,4 +1,4 @@
-"""Keep the items of one job in the order of a plan."""
+"""Order the items of one job by a plan of its groups."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
     from yuccarill.core.jobs.job import GroupId
     from yuccarill.core.jobs.lengths import TextLengths
 
-# Times by which expected lengths change before groups are weighed anew.
-RESCALE_TIMES = 1.05
+# Ratio of expected lengths from which the needs of groups are rescaled.
+RESCALE_RATIO = 1.05
 
-# An item's place in an order, the lowest first.
+# Sort key of an item, the lowest first, and the item's run.
 Key = tuple[float, int, 'ItemRun']
 
 
 class JobPlan:
-    """Keep the items of one job in their order."""
+    """Order the waiting items of one job."""
 
     def __init__(self, state: JobState, lengths: TextLengths) -> None:
         self.state = state
@@ -34,77 +34,78 @@
         for run in state.runs_by_id.values():
             self._runs_by_group.setdefault(run.item.group, []).append(run)
             if run.text.events:
-                # What an earlier job left of it.
+                # Resumed from the partial text of an earlier job.
                 state.begin(run)
-        # The longest first. Those that have begun are skipped.
-        self._fresh = sorted(
+        # The longest first; runs that have events are skipped on use.
+        self._ordered_runs = sorted(
             state.runs_by_id.values(),
             key=lambda run: (-self._events(run), run.position),
         )
-        self._source = iter(self._fresh)
+        self._unscanned_runs = iter(self._ordered_runs)
         self._candidates: list[ItemRun] = []
-        self._scale = self._current_scale()
-        # Groups of which nothing had begun when it was last looked, those
-        # that need the least first.
-        self._fresh_needs = sorted(
+        self._length_scale = self._current_scale()
+        # Groups that had not started at the last update, the smallest first.
+        self._unstarted_needs = sorted(
             (self._need(group) for group in self._runs_by_group),
-            key=_work,
+            key=_need_work,
         )
-        self._begun_needs: list[triage.GroupNeed] = []
-        self._rest: list[triage.GroupNeed] = []
+        self._started_needs: list[triage.GroupNeed] = []
+        self._deferred_needs: list[triage.GroupNeed] = []
         self.fitting_groups: set[GroupId] = set()
-        self.is_modest = True
+        self.is_below_share = True
 
     def _current_scale(self) -> float:
-        """Return the events that stand for the first item's hint now."""
+        """Return the expected events of the first item."""
         if not self.state.job.items:
             return 1.0
         item = self.state.job.items[0]
         return self._lengths.expected(self.state.job.model, item, 0)
 
     def _events(self, run: ItemRun) -> float:
-        """Return how many events a text will still get."""
+        """Return the expected number of events still to come."""
         events = run.text.events
         return self._lengths.expected(run.job.model, run.item, events)
 
     def _need(self, group: GroupId) -> triage.GroupNeed:
-        left = [
+        lengths = [
             self._events(run)
             for run in self._runs_by_group[group]
             if run.state is not board_module.RunState.ENDED
         ]
         return triage.GroupNeed(
-            group=group, work=sum(left), longest=max(left, default=0.0)
+            group=group, work=sum(lengths), longest=max(lengths, default=0.0)
         )
 
     def update(self) -> None:
-        """Look at what has begun, and at what that still needs."""
-        begun = self.state.open_begun_groups()
-        if any(need.group in begun for need in self._fresh_needs):
-            self._fresh_needs = [
-                need for need in self._fresh_needs if need.group not in begun
+        """Update which groups have started and what they need."""
+        started = self.state.unfinished_started_groups()
+        if any(need.group in started for need in self._unstarted_needs):
+            self._unstarted_needs = [
+                need
+                for need in self._unstarted_needs
+                if need.group not in started
             ]
         self._rescale()
-        self._begun_needs = sorted(
-            (self._need(group) for group in begun), key=_work
+        self._started_needs = sorted(
+            (self._need(group) for group in started), key=_need_work
         )
 
     def _rescale(self) -> None:
-        """Follow what is learnt of lengths."""
+        """Rescale the needs of unstarted groups to the learned lengths."""
         scale = self._current_scale()
-        ratio = scale / max(1e-9, self._scale)
-        if 1.0 / RESCALE_TIMES < ratio < RESCALE_TIMES:
+        ratio = scale / max(1e-9, self._length_scale)
+        if 1.0 / RESCALE_RATIO < ratio < RESCALE_RATIO:
             return
-        self._scale = scale
-        for need in self._fresh_needs:
+        self._length_scale = scale
+        for need in self._unstarted_needs:
             need.work *= ratio
             need.longest *= ratio
 
     def step(self) -> triage.StepNeed:
-        """Return what the step still needs."""
+        """Return the remaining need of the step."""
         state = self.state
-        # Begun groups go on; of the others those that need the least.
-        groups = [*self._begun_needs, *self._fresh_needs]
+        # Started groups first, then the smallest of the others.
+        groups = [*self._started_needs, *self._unstarted_needs]
         if state.has_held_groups:
             groups.sort(key=lambda need: state.is_held_group(need.group))
         return triage.StepNeed(
@@ -116,24 +117,26 @@
         )
 
     def divide(self, fitting: set[GroupId]) -> None:
-        """Part the groups that fit from the others."""
+        """Record the fitting groups and defer the others."""
         self.fitting_groups = fitting
-        needs = [*self._begun_needs, *self._fresh_needs]
-        self._rest = [need for need in needs if need.group not in fitting]
-        self._source = (
-            run for run in self._fresh if run.item.group in fitting
+        needs = [*self._started_needs, *self._unstarted_needs]
+        self._deferred_needs = [
+            need for need in needs if need.group not in fitting
+        ]
+        self._unscanned_runs = (
+            run for run in self._ordered_runs if run.item.group in fitting
         )
         self._candidates = []
 
-    def _fitting(self) -> Iterator[ItemRun]:
-        """Go through the texts of groups that fit, the longest first.
+    def _fitting_runs(self) -> Iterator[ItemRun]:
+        """Iterate over the runs of fitting groups, the longest first.
 
-        Each is looked for once a plan, when it is first needed.
+        Runs are scanned lazily, once per plan.
         """
         index = 0
         while True:
             if index == len(self._candidates):
-                run = next(self._source, None)
+                run = next(self._unscanned_runs, None)
                 if run is None:
                     return
                 self._candidates.append(run)
@@ -142,44 +145,46 @@
 
     @property
     def put_off(self) -> int:
-        """Count the groups that do not fit."""
-        return len(self._rest)
+        """Return the number of deferred groups."""
+        return len(self._deferred_needs)
 
     def first(self, pace: float) -> Iterator[Key]:
-        """Order the texts of groups that fit by their time to spare."""
-        begun = [
+        """Return the runs of fitting groups, the least slack first."""
+        started = [
             run
-            for run in _waiting(self.state.begun_runs)
+            for run in _waiting(self.state.started_runs)
             if run.text.events and run.item.group in self.fitting_groups
         ]
         return heapq.merge(
-            sorted(self._urgent(begun, pace), key=place),
-            self._urgent(_unbegun(self._fitting()), pace),
-            key=place,
+            sorted(self._with_deadlines(started, pace), key=sort_key),
+            self._with_deadlines(_without_events(self._fitting_runs()), pace),
+            key=sort_key,
         )
 
-    def _urgent(self, runs: Iterable[ItemRun], pace: float) -> Iterator[Key]:
+    def _with_deadlines(
+        self, runs: Iterable[ItemRun], pace: float
+    ) -> Iterator[Key]:
         for run in runs:
-            left = pace * self._events(run)
-            yield self.state.due_at - left, run.position, run
+            seconds = pace * self._events(run)
+            yield self.state.due_at - seconds, run.position, run
 
     def last(self) -> Iterator[Key]:
-        """Order the other texts by what their groups still need."""
-        for need in sorted(self._rest, key=_work):
+        """Return the runs of deferred groups, the smallest group first."""
+        for need in sorted(self._deferred_needs, key=_need_work):
             for run in _waiting(self._runs_by_group[need.group]):
                 yield need.work, run.position, run
 
 
-def place(key: Key) -> tuple[float, int]:
-    """Return what an item is ordered by."""
+def sort_key(key: Key) -> tuple[float, int]:
+    """Return the key without the run, which has no order."""
     return key[:2]
 
 
-def _work(need: triage.GroupNeed) -> float:
+def _need_work(need: triage.GroupNeed) -> float:
     return need.work
 
 
-def _unbegun(runs: Iterable[ItemRun]) -> Iterator[ItemRun]:
+def _without_events(runs: Iterable[ItemRun]) -> Iterator[ItemRun]:
     return (run for run in _waiting(runs) if not run.text.events)
 
 
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/left_text.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/left_text.py
@@ -1,4 +1,4 @@
-"""Describe texts that were begun, for the run that goes on with them."""
+"""Describe partial texts, from which a later run resumes."""
 
 from __future__ import annotations
 
@@ -10,19 +10,18 @@
 from yuccarill.core.jobs.job import Item
 from yuccarill.core.jobs.job import ItemId
 
-# Bytes that tell two bodies apart; nobody gains by making two alike, since
-# both come from the same trainer.
+# Bytes of a digest; forged collisions are no threat within one trainer.
 DIGEST_BYTES = 16
 
 
 class LeftText(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what was made of an item before its run ended unfinished."""
+    """Hold the partial text of an item and its score."""
 
     item: ItemId
-    # What was asked for. An item of the same name may ask for other things.
+    # Digests of the request: a later item may reuse the id for another one.
     body_digest: bytes
     scoring_digest: bytes
-    # The events in their order, and the weights that made them.
+    # The events in order, and the weight versions that generated them.
     parts: tuple[str, ...]
     versions: tuple[WeightVersion, ...]
     is_whole: bool = False
@@ -30,12 +29,12 @@
 
 
 def body_digest(item: Item) -> bytes:
-    """Return what tells an item's prompt from another one."""
+    """Return the digest of an item's request body."""
     return _digest(item.body)
 
 
 def scoring_digest(item: Item) -> bytes:
-    """Return what tells an item's scoring call from another one."""
+    """Return the digest of an item's scoring request."""
     return _digest(msgspec.msgpack.encode(item.score_request))
 
 
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/placement.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/placement.py
@@ -1,4 +1,4 @@
-"""Name the ways in which items find their engines."""
+"""Define the placement policies of batch jobs."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class Placement(enum.Enum):
-    """Say by what items are put in order and engines chosen."""
+    """Enumerate how items are ordered and engines chosen."""
 
-    # By time to spare, at the engine with the least load.
+    # Items by slack, on the engine with the least load.
     LOAD = 'load'
-    # By what can be whole in time, at the engine where it ends first.
+    # Groups that can meet the deadline first, on the fastest engine.
     FINISH = 'finish'
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/placing.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/placing.py
@@ -1,4 +1,4 @@
-"""Place many waiting items at one moment, among many engines."""
+"""Choose engines for many waiting items at once."""
 
 from __future__ import annotations
 
@@ -19,13 +19,12 @@
     from yuccarill.core.jobs.engines import EngineState
     from yuccarill.core.jobs.job import Job
 
-# Cost of an engine when it was looked at, a number that tells equal ones
-# apart, and the engine.
+# Cost of an engine when it was computed, a tie breaker, and the engine.
 _Entry = tuple[float, int, 'EngineState']
 
 
-class _FreePlaces:
-    """Hold the free places for items of one kind."""
+class _FreeSlots:
+    """Count the free slots for one model and oldest weight version."""
 
     def __init__(self, by_engine: dict[TargetId, int]) -> None:
         self.by_engine = by_engine
@@ -33,11 +32,9 @@
 
 
 class Placing:
-    """Choose engines one after the other, as `EngineFleet.choose` does each.
+    """Choose engines as `EngineFleet.choose` does, from heaps of their costs.
 
-    Looking at every engine for every item, the holder of 264 engines took
-    1.5 s for the 2,112 items of their places, and 10 s for 6,000 items and
-    880 engines; from heaps it takes 23 and 73 ms.
+    Heaps avoid a scan of all engines for every item.
     """
 
     def __init__(self, fleet: EngineFleet, now: Instant) -> None:
@@ -47,8 +44,8 @@
         self._heaps_by_needs: dict[
             tuple[ModelName | None, WeightVersion], list[_Entry]
         ] = {}
-        self._free_by_needs: dict[
-            tuple[ModelName | None, WeightVersion], _FreePlaces
+        self._free_slots_by_needs: dict[
+            tuple[ModelName | None, WeightVersion], _FreeSlots
         ] = {}
 
     def choose(
@@ -57,24 +54,25 @@
         others: Mapping[TargetId, int] = types.MappingProxyType({}),
         barred: Collection[TargetId] = (),
     ) -> EngineState | None:
-        """Return the engine with a free place that will be fastest.
+        """Return the engine with a free slot and the lowest cost.
 
-        Engines that run others which an item had better not share are taken
-        last, those with the fewest first; barred ones are not taken.
+        `others` counts, for each engine, the items that this one should not
+        run beside. Such engines are the last resort, the lowest count first.
+        Engines in `barred` are excluded.
         """
         heap = self._heap_for(job)
-        shared: list[_Entry] = []
-        engine = self._first(heap, job)
+        skipped: list[_Entry] = []
+        engine = self._cheapest(heap, job)
         avoided = others.keys() | set(barred)
         while engine is not None and engine.target.id in avoided:
-            shared.append(heapq.heappop(heap))
-            engine = self._first(heap, job)
-        for entry in shared:
+            skipped.append(heapq.heappop(heap))
+            engine = self._cheapest(heap, job)
+        for entry in skipped:
             heapq.heappush(heap, entry)
         if engine is not None:
             return engine
-        allowed = [e for e in shared if e[2].target.id not in barred]
-        # Entries are in the order of their cost.
+        allowed = [e for e in skipped if e[2].target.id not in barred]
+        # Entries are ordered by cost, so `min` breaks ties by cost.
         least = min(
             allowed, key=lambda e: others[e[2].target.id], default=None
         )
@@ -84,15 +82,15 @@
         needs = (job.model, job.min_version)
         heap = self._heaps_by_needs.get(needs)
         if heap is None:
-            heap = self._heap(job)
+            heap = self._new_heap(job)
             self._heaps_by_needs[needs] = heap
         return heap
 
-    def _first(self, heap: list[_Entry], job: Job) -> EngineState | None:
+    def _cheapest(self, heap: list[_Entry], job: Job) -> EngineState | None:
         while heap:
             cost, _, engine = heap[0]
             if not self._fleet.can_run(engine, job, self._now):
-                # What it got under another model's items, or failed at.
+                # Full since its entry was pushed, or ejected.
                 heapq.heappop(heap)
                 continue
             current = self._fleet.cost(engine, self._now)
@@ -104,42 +102,41 @@
         return None
 
     def free_places(self, job: Job, without: EngineState) -> int:
-        """Count the places for a job at other engines that are not slow.
+        """Return the free slots for a job on other engines that are not slow.
 
-        Counted anew for each run that is held up, they took the holder of 880
-        engines 1.8 ms for each.
+        The count is cached, since a scan of all engines for each run is slow.
         """
         needs = (job.model, job.min_version)
-        found = self._free_by_needs.get(needs)
+        found = self._free_slots_by_needs.get(needs)
         if found is None:
-            found = _FreePlaces(
+            found = _FreeSlots(
                 {
-                    engine.target.id: self._free(engine, job)
+                    engine.target.id: self._free_slots(engine, job)
                     for engine in self._fleet.engines_by_id.values()
                 }
             )
-            self._free_by_needs[needs] = found
+            self._free_slots_by_needs[needs] = found
         return found.total - found.by_engine.get(without.target.id, 0)
 
     def moved(self, job: Job) -> None:
-        """Count a place less for a job's items: one was moved to it."""
-        found = self._free_by_needs.get((job.model, job.min_version))
+        """Subtract a free slot, since an item of a job has moved to it."""
+        found = self._free_slots_by_needs.get((job.model, job.min_version))
         if found is not None:
             found.total -= 1
 
     def leave_out(self, engine: EngineState) -> None:
-        """Count an engine's places no more: it has just failed."""
-        for found in self._free_by_needs.values():
+        """Subtract the free slots of an engine that has just failed."""
+        for found in self._free_slots_by_needs.values():
             found.total -= found.by_engine.pop(engine.target.id, 0)
 
-    def _free(self, engine: EngineState, job: Job) -> int:
+    def _free_slots(self, engine: EngineState, job: Job) -> int:
         if not self._fleet.can_run(engine, job, self._now):
             return 0
         if self._fleet.is_slow(engine, self._now):
             return 0
         return engine.target.slots - engine.running
 
-    def _heap(self, job: Job) -> list[_Entry]:
+    def _new_heap(self, job: Job) -> list[_Entry]:
         found = [
             (self._fleet.cost(engine, self._now), next(self._numbers), engine)
             for engine in self._fleet.engines_by_id.values()
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/planning.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/planning.py
@@ -1,4 +1,4 @@
-"""Put waiting items in order by which groups can be whole in time."""
+"""Order waiting items by which groups can meet their deadline."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
     from yuccarill.core.jobs.job import JobId
     from yuccarill.core.jobs.placing import Placing
 
-# Seconds for which a plan stands while no job comes or ends.
+# Seconds for which a plan is valid while no job is added or removed.
 PLAN_SECONDS = 0.25
-# Seconds that a move takes: a new connection, the text read again, and the
+# Seconds that a move takes: a new connection, the prefill of the text, and the
 # wait for the engine's next step.
 MOVE_SECONDS = 0.15
-# Seconds to spare below which a text may be moved for its end alone.
-SPARE_SECONDS = 3.0
-# Standard errors by which a move's gain must be above nothing.
-SURE_ERRORS = 1.0
+# Seconds of slack below which a text may move off an engine that is not slow.
+MAX_MOVE_SLACK_SECONDS = 3.0
+# Standard errors that are subtracted from the expected gain of a move.
+GAIN_STANDARD_ERRORS = 1.0
 
 
 class FinishPlan:
@@ -43,47 +43,47 @@
         self._fleet = fleet
         self._plans_by_job: dict[JobId, job_plan.JobPlan] = {}
         self._planned_at = Instant(-math.inf)
-        # Whether engines can't do all that is due.
+        # Whether the engines can't complete all groups in time.
         self.is_short = False
 
     @property
     def put_off(self) -> int:
-        """Count the groups that wait behind those that fit."""
+        """Return the number of deferred groups."""
         return sum(plan.put_off for plan in self._plans_by_job.values())
 
     def fits(self, run: ItemRun) -> bool:
-        """Tell whether a run is of a group that can be whole in time."""
+        """Return whether the run's group can be complete in time."""
         plan = self._plans_by_job.get(run.job.id)
         return plan is not None and run.item.group in plan.fitting_groups
 
     def spare(self, run: ItemRun, pace: float, now: Instant) -> float:
-        """Return the seconds from a run's expected end to its due time."""
-        left = self._board.lengths.expected(
+        """Return the slack: seconds from the expected end to the deadline."""
+        events = self._board.lengths.expected(
             run.job.model, run.item, run.text.events
         )
         state = self._board.jobs_by_id[run.job.id]
-        return state.due_at - now - pace * left
+        return state.due_at - now - pace * events
 
     def waiting(self, pace: float, now: Instant) -> Iterator[ItemRun]:
-        """Return the items to run: those that fit, and then the others.
+        """Return the items to run, those of fitting groups first.
 
-        Costs what is taken of it, besides a plan each `PLAN_SECONDS`.
+        The iterator is lazy: only the items that are taken are ordered.
         """
-        self._follow(now)
+        self._update_plans(now)
         return self._ordered(pace)
 
     def _ordered(self, pace: float) -> Iterator[ItemRun]:
         plans = list(self._plans_by_job.values())
-        # Who asks for less than its part waits for nobody who asks for more.
-        for is_modest in (True, False):
-            chosen = [p for p in plans if p.is_modest is is_modest]
+        # Trainers below their fair share go before those above it.
+        for is_below_share in (True, False):
+            chosen = [p for p in plans if p.is_below_share is is_below_share]
             yield from _merged([p.first(pace) for p in chosen])
         yield from _merged([p.last() for p in plans])
 
-    def _follow(self, now: Instant) -> None:
+    def _update_plans(self, now: Instant) -> None:
         jobs = self._board.jobs_by_id
-        for gone in self._plans_by_job.keys() - jobs.keys():
-            del self._plans_by_job[gone]
+        for removed in self._plans_by_job.keys() - jobs.keys():
+            del self._plans_by_job[removed]
             self._planned_at = Instant(-math.inf)
         for name, state in jobs.items():
             known = self._plans_by_job.get(name)
@@ -105,24 +105,24 @@
             steps, supply, now
         )
         if self.is_short:
-            choice = triage.fitting(steps, supply, now)
+            choice = triage.choose_fitting(steps, supply, now)
         else:
-            choice = triage.everything(steps)
+            choice = triage.choose_all(steps)
         for plan in plans:
             name = plan.state.job.id
             plan.divide(choice.groups_by_job[name])
-            plan.is_modest = name in choice.modest_jobs
+            plan.is_below_share = name in choice.modest_jobs
 
     def _are_lengths_known(self) -> bool:
-        # Hints in other units than events say nothing of what fits.
+        # Without samples the hints have an unknown unit.
         return all(
-            self._board.lengths.is_scaled(plan.state.job.items[0])
+            self._board.lengths.has_samples(plan.state.job.items[0])
             for plan in self._plans_by_job.values()
             if plan.state.job.items
         )
 
     def _supply(self, now: Instant) -> triage.Supply:
-        """Return what the engines that can run an open job can do."""
+        """Return the throughput of the engines that can run an open job."""
         needs = {
             (plan.state.job.model, plan.state.job.min_version)
             for plan in self._plans_by_job.values()
@@ -142,14 +142,16 @@
         places: Placing,
         now: Instant,
     ) -> bool:
-        """Tell whether a run surely ends sooner at the best free engine.
+        """Return whether a run ends sooner on the best free engine.
 
-        A text that has time to spare stays where it is, unless its engine
-        is slower than it should be.
+        A run with enough slack stays, unless its engine is slow.
         """
         pace = self._fleet.estimate(engine, engine.running - 1, now).pace
         is_slow = self._fleet.is_slow(engine, now)
-        if not is_slow and self.spare(run, pace, now) >= SPARE_SECONDS:
+        if (
+            not is_slow
+            and self.spare(run, pace, now) >= MAX_MOVE_SLACK_SECONDS
+        ):
             return False
         other = places.choose(run.job)
         if other is None or other is engine:
@@ -163,8 +165,8 @@
         other: EngineState,
         now: Instant,
     ) -> float:
-        """Return the seconds that a move surely gains, below 0 if none."""
-        left = self._board.lengths.expected(
+        """Return the seconds that a move gains, less the standard error."""
+        events = self._board.lengths.expected(
             run.job.model, run.item, run.text.events
         )
         here = self._fleet.estimate(engine, engine.running - 1, now)
@@ -172,12 +174,12 @@
         error = math.hypot(
             here.pace * here.deviation, there.pace * there.deviation
         )
-        surely = here.pace - there.pace - SURE_ERRORS * error
-        return left * surely - MOVE_SECONDS
+        pace_gain = here.pace - there.pace - GAIN_STANDARD_ERRORS * error
+        return events * pace_gain - MOVE_SECONDS
 
 
 def _merged(orders: Iterable[Iterator[job_plan.Key]]) -> Iterator[ItemRun]:
-    return (key[2] for key in heapq.merge(*orders, key=job_plan.place))
+    return (key[2] for key in heapq.merge(*orders, key=job_plan.sort_key))
 
 
 def _serves(
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/shares.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/shares.py
@@ -1,4 +1,4 @@
-"""Divide a job among the holders of a large service."""
+"""Divide a job among the partitions of a large service."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
     from yuccarill.core.jobs.job import Item
     from yuccarill.core.jobs.job import Job
 
-# Between a job's id and the number of a share.
-_SIGN = ':'
+# Separates the job id from the partition number.
+_SEPARATOR = ':'
 
 
 def share_id(job: JobId, number: int) -> JobId:
-    """Return the id under which a part's share of a job is kept."""
-    return JobId(f'{job}{_SIGN}{number}')
+    """Return the job id of a partition's share."""
+    return JobId(f'{job}{_SEPARATOR}{number}')
 
 
 def divide(job: Job, count: int) -> tuple[Job, ...]:
-    """Return each part's share of a job, none for parts without an item.
+    """Return the shares of a job, one for each partition with items.
 
-    A group goes to the part that its id names, so a group that comes again
-    in a later job finds its texts there.
+    The id of a group determines its partition, so a later job with the same
+    group finds its partial texts there.
     """
     items_by_number: dict[int, list[Item]] = {}
     for item in job.items:
@@ -44,12 +44,12 @@
 def _share(
     job: Job, number: int, count: int, items: list[Item], groups: int
 ) -> Job:
-    part = len({item.group for item in items}) / groups
+    fraction = len({item.group for item in items}) / groups
     return msgspec.structs.replace(
         job,
         id=share_id(job.id, number),
         service=partitions.name(job.service, number, count),
-        wanted_groups=math.ceil(job.wanted_groups * part),
+        wanted_groups=math.ceil(job.wanted_groups * fraction),
         items=tuple(items),
         share=JobShare(job=job.id, number=number),
     )
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/step_hold.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/step_hold.py
@@ -1,4 +1,4 @@
-"""Decide when engines may leave the weights that the coming step runs on."""
+"""Delay weight changes until the items of the coming step have engines."""
 
 from __future__ import annotations
 
@@ -12,23 +12,22 @@
     from yuccarill.core.ids import WeightVersion
     from yuccarill.core.jobs.board import JobBoard
 
-# Seconds after a version was named in which its step is waited for. A
-# trainer asks for it 0.7 s later; one that is behind its time does not.
+# Seconds after a version is announced for which its step is awaited. A trainer
+# that is late does not submit the step in time.
 HOLD_SECONDS = 3.0
 
 
 class StepHold:
-    """Hold switches back until the step to come has its places.
+    """Track announced versions whose step has items without an engine.
 
-    A trainer names version k and asks for step k right after, which may run
-    on version k - 1. Engines that load version k in that moment are missing
-    when all items of the step look for a place: the first of them began
-    1.2 s late, and so did the longest text, which ends the step. Once each
-    item has its place, a load stops only those at that engine.
+    A trainer announces version k and then submits step k, which may run on
+    version k - 1. Engines that load version k at that moment would be missing
+    when all items of the step are placed, and the longest text, which ends the
+    step, would start late. Later loads interrupt only the runs of one engine.
     """
 
     def __init__(self) -> None:
-        self._named_by_model: dict[
+        self._announced_by_model: dict[
             ModelName, tuple[WeightVersion, Instant]
         ] = {}
 
@@ -38,20 +37,20 @@
         board: JobBoard,
         now: Instant,
     ) -> set[ModelName]:
-        """Return the models whose next step has not got its places yet."""
+        """Return the models whose next step is not placed yet."""
         return {
             model
             for model, version in versions_by_model.items()
-            if now < self._named_at(model, version, now) + HOLD_SECONDS
+            if now < self._announced_at(model, version, now) + HOLD_SECONDS
             and not _is_placed(board, model, version)
         }
 
-    def _named_at(
+    def _announced_at(
         self, model: ModelName, version: WeightVersion, now: Instant
     ) -> Instant:
-        known = self._named_by_model.get(model)
+        known = self._announced_by_model.get(model)
         if known is None or known[0] != version:
-            known = self._named_by_model[model] = (version, now)
+            known = self._announced_by_model[model] = (version, now)
         return known[1]
 
 
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/text.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/text.py
@@ -1,4 +1,4 @@
-"""Put the text of one item together over several runs."""
+"""Assemble the text of one item from the events of several runs."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 class StreamEvent(msgspec.Struct, frozen=True, kw_only=True):
     """Hold one event of an engine's stream."""
 
-    # Counts from 1 within an item; none if the engine sent no number.
+    # Counts from 1 within an item, None if the engine sent no number.
     number: int | None
     data: str
-    # Set where the engine's weights changed before this event.
+    # Set if the engine changed its weights before this event.
     version: WeightVersion | None = None
-    # The event as it came, for those who pass it on.
+    # The encoded event, to be forwarded unchanged.
     raw: bytes = b''
 
 
 class TextBroken(Exception):
-    """Report events that do not continue the text."""
+    """Report an event that does not continue the text."""
 
 
 class ItemText:
     """Collect an item's events in order.
 
-    A run that breaks off is continued by another one that starts after the
-    last whole event, so no event may be missing or stand twice.
+    An interrupted run is resumed by another one after the last complete event,
+    so no event may be missing or repeated.
     """
 
     def __init__(self) -> None:
         self._parts: list[str] = []
         self._versions: set[WeightVersion] = set()
-        self._current: WeightVersion | None = None
+        self._current_version: WeightVersion | None = None
         # Set once an engine has sent the last event.
         self.is_whole = False
 
@@ -49,7 +49,7 @@
         versions: Iterable[WeightVersion],
         is_whole: bool,
     ) -> ItemText:
-        """Return the text that an earlier run left."""
+        """Return the text of an earlier run."""
         text = cls()
         text._parts = list(parts)
         text._versions = set(versions)
@@ -62,7 +62,7 @@
 
     @property
     def events(self) -> int:
-        """Count the events that were taken; a resumed run starts after."""
+        """Return the number of events, after which a resumed run starts."""
         return len(self._parts)
 
     @property
@@ -74,37 +74,36 @@
         return '\n'.join(self._parts)
 
     def begin_run(self, version: WeightVersion | None) -> None:
-        """Take the version that a run's answer names at its start."""
-        self._current = version
+        """Set the weight version that the engine reports at a run's start."""
+        self._current_version = version
 
     def take(self, event: StreamEvent) -> None:
-        """Add one event.
+        """Append one event.
 
-        Raises TextBroken if it is not the next one or its weights are not
-        known.
+        Raises TextBroken if the event is out of order or has no known version.
         """
         if event.version is not None:
-            self._current = event.version
+            self._current_version = event.version
         if event.number != self.events + 1:
             raise TextBroken(
-                f'Event {event.number} came after event {self.events}.'
+                f'Event {event.number} does not follow event {self.events}.'
             )
-        # A sample whose weights are not known can't be attributed; guessing
-        # from what was ordered would name weights that did not make it.
-        if self._current is None:
-            raise TextBroken('The engine names no weight version.')
+        # The version is not guessed from the last ordered weight change: the
+        # sample would be attributed to weights that did not generate it.
+        if self._current_version is None:
+            raise TextBroken('The engine reports no weight version.')
         self._parts.append(event.data)
-        self._versions.add(self._current)
+        self._versions.add(self._current_version)
 
     def fits(self, min_version: WeightVersion, is_single: bool) -> bool:
-        """Tell whether the text so far may be listed for a job."""
+        """Return whether the text has only versions that a job accepts."""
         if is_single and len(self._versions) > 1:
             return False
         return all(version >= min_version for version in self._versions)
 
     def clear(self) -> None:
-        """Forget the text, so that the next run starts over."""
+        """Discard the text, so that the next run starts over."""
         self._parts.clear()
         self._versions.clear()
-        self._current = None
+        self._current_version = None
         self.is_whole = False
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/text_copies.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/text_copies.py
@@ -1,4 +1,4 @@
-"""Follow what a copy of unfinished texts lacks, and put copies together."""
+"""Replicate partial texts by deltas, and merge replicas."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 
 
 class TextChange(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold a text, or what has come to one that was copied before."""
+    """Hold a text, or the events added since it was last copied."""
 
     text: LeftText
-    # Events before the first part here, which the copy has already.
+    # Number of events that the copy has already, not included here.
     first: int = 0
 
     @property
     def size(self) -> int:
-        """Count the characters of its events."""
+        """Return the number of characters in the events."""
         return sum(len(part) for part in self.text.parts)
 
 
 class CopiedTexts:
-    """Know what one copy holds of each text."""
+    """Track what one replica holds of each text."""
 
     def __init__(self) -> None:
         self._texts_by_item: dict[ItemId, LeftText] = {}
 
     def changes(self, texts: Iterable[LeftText]) -> list[TextChange]:
-        """Return what the copy lacks; other texts are taken as gone."""
+        """Return the changes that the replica lacks; forget other texts."""
         found = {text.item: text for text in texts}
         for item in self._texts_by_item.keys() - found.keys():
             del self._texts_by_item[item]
@@ -46,32 +46,32 @@
         ]
 
     def copied(self, change: TextChange) -> None:
-        """Note that the copy holds a change."""
+        """Record that the replica holds a change."""
         item = change.text.item
         text = continued(self._texts_by_item.get(item), change)
         if text is not None:
             self._texts_by_item[item] = text
 
     def forget(self, item: ItemId) -> None:
-        """Take one text as missing from the copy."""
+        """Mark one text as missing from the replica."""
         self._texts_by_item.pop(item, None)
 
     def clear(self) -> None:
-        """Take all texts as missing from the copy."""
+        """Mark all texts as missing from the replica."""
         self._texts_by_item.clear()
 
     def _change(self, text: LeftText) -> TextChange:
         known = self._texts_by_item.get(text.item)
         first = 0 if known is None else len(known.parts)
         if known is None or text.parts[:first] != known.parts:
-            # A text that was begun anew shares no part with the copy.
+            # The text was restarted, so its copied events are obsolete.
             return TextChange(text=text)
         rest = msgspec.structs.replace(text, parts=text.parts[first:])
         return TextChange(text=rest, first=first)
 
 
 def continued(known: LeftText | None, change: TextChange) -> LeftText | None:
-    """Return a copied text with a change, none if parts are missing."""
+    """Apply a change to a copied text; return None if events are missing."""
     if not change.first:
         return change.text
     if known is None or len(known.parts) < change.first:
@@ -83,7 +83,7 @@
 def bounded(
     changes: Iterable[TextChange], most: int
 ) -> tuple[TextChange, ...]:
-    """Return the first changes that have so many characters together."""
+    """Return the leading changes with at most `most` characters."""
     chosen = []
     left = most
     for change in changes:
@@ -95,7 +95,7 @@
 
 
 def longest(*copies: Iterable[LeftText]) -> list[LeftText]:
-    """Return each text as the copy has it that has the most of it."""
+    """Merge replicas; keep the longest copy of each text."""
     texts_by_item: dict[ItemId, LeftText] = {}
     for text in itertools.chain(*copies):
         known = texts_by_item.get(text.item)
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/triage.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/triage.py
@@ -1,4 +1,4 @@
-"""Decide which groups of all open steps can be whole in time."""
+"""Choose the groups of all open steps that can be complete in time."""
 
 from __future__ import annotations
 
@@ -16,33 +16,33 @@
     from collections.abc import Mapping
     from collections.abc import Sequence
 
-# Seconds after it is due until which a whole group may be read in time.
+# Seconds after the deadline in which a complete group still counts.
 READ_SECONDS = 0.7
-# Seconds of these that listing a result and reading it take.
+# Seconds of READ_SECONDS needed to publish a result and to read it.
 LISTING_SECONDS = 0.4
-# Part of the engines' time that is given away: a text may be longer than
-# expected, and the last ones leave places empty.
-USED_PART = 0.8
-# Part of an expected length that a text surely has: hints are far off.
-SURE_PART = 0.5
-# Steps behind the foremost trainer that still raise a trainer's claim.
-MOST_BEHIND = 2
-# Part by which each of them raises it.
-CREDIT_PART = 0.25
+# Fraction of the engines' throughput that is planned: texts run longer than
+# expected, and the last ones leave slots empty.
+USABLE_FRACTION = 0.8
+# Minimum fraction of the expected length; the hints are inaccurate.
+MIN_LENGTH_FRACTION = 0.5
+# Maximum of steps behind the foremost trainer that raise a weight.
+MAX_STEPS_BEHIND = 2
+# Weight that a trainer gains for each step that it is behind.
+WEIGHT_PER_STEP_BEHIND = 0.25
 
 
 class GroupNeed(msgspec.Struct, kw_only=True):
-    """Hold what one group still needs, in events."""
+    """Hold the remaining work of one group, in events."""
 
     group: GroupId
     work: float
-    # Those of its longest text.
+    # Remaining events of the longest text.
     longest: float
     is_begun: bool = False
 
 
 class StepNeed(msgspec.Struct, kw_only=True):
-    """Hold what one step still needs; its groups in the wanted order."""
+    """Hold the remaining groups of one step, in order of preference."""
 
     job: JobId
     trainer: str
@@ -51,42 +51,42 @@
     groups: list[GroupNeed]
 
     def seconds(self, now: Instant) -> float:
-        """Return how long its groups may still take."""
+        """Return the seconds left to complete groups."""
         return self.due_at + READ_SECONDS - LISTING_SECONDS - now
 
 
 class Supply(msgspec.Struct, frozen=True, kw_only=True):
-    """Say what the engines can do."""
+    """Hold the throughput of the engines."""
 
-    # Events a second of all places together.
+    # Events per second of all slots together.
     rate: float
-    # Seconds an event of one text at the engines that are not slow.
+    # Median seconds per event of one text.
     pace: float
 
 
 class Choice(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what is worked on before all else."""
+    """Hold the groups that run before all others."""
 
     groups_by_job: dict[JobId, set[GroupId]]
-    # Steps of trainers that ask for less than their part.
+    # Jobs of trainers that need less than their fair share.
     modest_jobs: set[JobId]
 
 
 def is_short(
     steps: Collection[StepNeed], supply: Supply, now: Instant
 ) -> bool:
-    """Tell whether the engines can't make all groups whole in time."""
+    """Return whether the engines can't complete all groups in time."""
     work = 0.0
     for step in sorted(steps, key=lambda step: step.due_at):
         work += sum(need.work for need in step.groups)
         seconds = max(0.0, step.seconds(now))
-        if work > USED_PART * supply.rate * seconds:
+        if work > USABLE_FRACTION * supply.rate * seconds:
             return True
     return False
 
 
-def everything(steps: Collection[StepNeed]) -> Choice:
-    """Return all groups, for engines that can do them all in time."""
+def choose_all(steps: Collection[StepNeed]) -> Choice:
+    """Choose all groups, for engines that can complete them in time."""
     return Choice(
         groups_by_job={
             step.job: {need.group for need in step.groups} for step in steps
@@ -95,14 +95,14 @@
     )
 
 
-def fitting(
+def choose_fitting(
     steps: Collection[StepNeed], supply: Supply, now: Instant
 ) -> Choice:
-    """Return the groups that are worked on before all others.
+    """Choose the groups that run before all others.
 
-    What the engines do in a second is divided among trainers by max-min
-    fairness, and one that is behind has a larger claim. Each trainer's part
-    goes to its steps by their due times.
+    The engines' throughput is divided among trainers by max-min fairness, with
+    a larger weight for a trainer that is behind. Each trainer's share goes to
+    its steps in the order of their deadlines.
     """
     steps_by_trainer: dict[str, list[StepNeed]] = {}
     for step in sorted(steps, key=lambda step: step.due_at):
@@ -117,7 +117,7 @@
     }
     rates = fairness.max_min(
         wanted,
-        USED_PART * supply.rate,
+        USABLE_FRACTION * supply.rate,
         _weights(steps),
     )
     found: dict[JobId, set[GroupId]] = {}
@@ -125,15 +125,15 @@
         used = 0.0
         for step in own:
             room = rates[trainer] * max(0.0, step.seconds(now)) - used
-            taken = _taken(feasible[step.job], room)
-            used += sum(need.work for need in taken)
-            found[step.job] = {need.group for need in taken}
-    modest = {
+            selected = _select(feasible[step.job], room)
+            used += sum(need.work for need in selected)
+            found[step.job] = {need.group for need in selected}
+    below_share = {
         step.job
         for step in steps
         if rates[step.trainer] >= wanted[step.trainer]
     }
-    return Choice(groups_by_job=found, modest_jobs=modest)
+    return Choice(groups_by_job=found, modest_jobs=below_share)
 
 
 def _wanted_rate(
@@ -141,38 +141,43 @@
     feasible: Mapping[JobId, Sequence[GroupNeed]],
     now: Instant,
 ) -> float:
-    """Return the events a second by which all its steps are in time."""
+    """Return the events per second that meet all deadlines."""
     rate = work = 0.0
     for step in steps:
         work += sum(need.work for need in feasible[step.job])
         seconds = step.seconds(now)
         if seconds > 0.0:
-            # A hair more than it takes, for what rounding takes away.
+            # A margin for rounding errors.
             rate = max(rate, 1.000001 * work / seconds)
     return rate
 
 
 def _feasible(step: StepNeed, seconds: float, pace: float) -> list[GroupNeed]:
-    """Return the groups that may be whole in time on free engines."""
-    return [n for n in step.groups if SURE_PART * n.longest * pace <= seconds]
+    """Return the groups that idle engines could complete in time."""
+    return [
+        n
+        for n in step.groups
+        if MIN_LENGTH_FRACTION * n.longest * pace <= seconds
+    ]
 
 
-def _taken(groups: Sequence[GroupNeed], room: float) -> list[GroupNeed]:
-    taken = []
+def _select(groups: Sequence[GroupNeed], room: float) -> list[GroupNeed]:
+    selected = []
     for need in groups:
         if need.work <= room:
             room -= need.work
-            taken.append(need)
-    return taken
+            selected.append(need)
+    return selected
 
 
 def _weights(steps: Collection[StepNeed]) -> Mapping[str, float]:
-    """Return each trainer's claim, by how many steps it is behind."""
+    """Return each trainer's weight, by how many steps it is behind."""
     newest: dict[str, int] = {}
     for step in steps:
         newest[step.trainer] = max(newest.get(step.trainer, 0), step.step)
     first = max(newest.values(), default=0)
     return {
-        trainer: 1.0 + CREDIT_PART * min(MOST_BEHIND, first - number)
+        trainer: 1.0
+        + WEIGHT_PER_STEP_BEHIND * min(MAX_STEPS_BEHIND, first - number)
         for trainer, number in newest.items()
     }
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/weights.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/weights.py
@@ -1,4 +1,4 @@
-"""Decide which engine changes to which weight version next."""
+"""Choose the engines that change weights next, and their versions."""
 
 from __future__ import annotations
 
@@ -20,29 +20,29 @@
     from yuccarill.core.jobs.engines import EngineFleet
     from yuccarill.core.jobs.engines import EngineState
 
-# Part of the engines that change weights at a time, and at least how many.
-# Loads take longer while more than 2 of 5 or 9 of 23 engines load.
-LOADING_PART = 0.4
-MIN_LOADING = 2
-# Places that a model's engines have for each item of its steps. Most texts
-# end soon and make room for the rest, so fewer than one are enough.
-PLACES_PART = 0.75
-# Part of a model's engines that may be left alone for texts in a hurry: most
-# of the next step's items find its version at the remaining ones.
-SPARED_PART = 0.4
-# Engines that serve a model at least, where there are that many.
+# Fraction of the engines that may change weights at a time, and the minimum.
+# Loads slow down if more engines load at once.
+MAX_LOADING_FRACTION = 0.4
+MIN_LOADING_ENGINES = 2
+# Slots of a model's engines per item of its steps; below 1, since short texts
+# free their slots early.
+SLOTS_PER_ITEM = 0.75
+# Maximum fraction of a model's engines that keep their weights for urgent
+# texts; the others are enough for most items of the next step.
+MAX_SPARED_FRACTION = 0.4
+# Minimum of engines that serve a model, if the fleet has as many.
 MIN_ENGINES = 2
 
 
 class Switch(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell an engine to change a model's weights."""
+    """Describe an order to an engine to change a model's weights."""
 
     engine: TargetId
     model: ModelName
     version: WeightVersion
 
 
-def assignment(
+def assign_engines(
     fleet: EngineFleet,
     engines: Sequence[EngineState],
     models: Sequence[ModelName],
@@ -51,53 +51,56 @@
 ) -> dict[ModelName, tuple[EngineState, ...]]:
     """Return the engines that follow each model's versions.
 
-    Each change of weights is paid for, and each engine holds every model:
-    an engine that follows all models changes as often as all trainers
-    together name versions.
+    Weight changes cost time, and an engine that follows all models changes for
+    each version of every trainer. So an engine follows only some models.
     """
     shares = {
-        model: _share(engines, len(models), items_by_model.get(model, 0))
+        model: _engine_count(
+            engines, len(models), items_by_model.get(model, 0)
+        )
         for model in models
     }
-    fair = math.ceil(sum(shares.values()) / max(1, len(engines)))
+    fair_count = math.ceil(sum(shares.values()) / max(1, len(engines)))
     models_by_engine: dict[TargetId, int] = {}
     last = {
         engine.target.id
         for engine in engines
         if now < engine.ejected_until or fleet.is_slow(engine, now)
     }
-    found = {}
+    assigned = {}
     for model in sorted(models):
         ordered = sorted(
             engines,
             key=lambda engine: (
                 engine.target.id in last,
-                models_by_engine.get(engine.target.id, 0) >= fair,
-                # Those that follow the model stay, so that an engine that
-                # comes or goes changes little.
+                models_by_engine.get(engine.target.id, 0) >= fair_count,
+                # Engines that follow the model stay, so that a change of
+                # the fleet moves few engines.
                 -(engine.version(model) or 0),
                 models_by_engine.get(engine.target.id, 0),
                 engine.target.id,
             ),
         )
-        found[model] = tuple(ordered[: shares[model]])
-        for engine in found[model]:
-            known = models_by_engine.get(engine.target.id, 0)
-            models_by_engine[engine.target.id] = known + 1
-    return found
+        assigned[model] = tuple(ordered[: shares[model]])
+        for engine in assigned[model]:
+            count = models_by_engine.get(engine.target.id, 0)
+            models_by_engine[engine.target.id] = count + 1
+    return assigned
 
 
-def _share(engines: Sequence[EngineState], models: int, items: int) -> int:
-    """Return how many engines follow a model whose steps have so many items.
+def _engine_count(
+    engines: Sequence[EngineState], models: int, items: int
+) -> int:
+    """Return the number of engines for a model with so many items per step.
 
-    An even part of the engines is free of charge. A step that finds fewer
-    places than items runs in rounds, each as long as its longest text.
+    A model gets at least an even share. A step with fewer slots than items
+    runs in rounds, each as long as its longest text.
     """
     if not engines:
         return 0
     slots = sum(engine.target.slots for engine in engines) / len(engines)
     even = math.ceil(len(engines) / max(1, models))
-    wanted = math.ceil(PLACES_PART * items / max(1.0, slots))
+    wanted = math.ceil(SLOTS_PER_ITEM * items / max(1.0, slots))
     return min(len(engines), max(MIN_ENGINES, even, wanted))
 
 
@@ -108,29 +111,31 @@
     now: Instant,
     held: Collection[ModelName] = (),
 ) -> list[Switch]:
-    """Return the changes that may begin now.
+    """Return the weight changes to start now.
 
-    Engines that serve the step to come are left as they are for models
-    that are held.
+    Engines that can serve the coming step of a model in `held` don't change.
     """
     ready = [
         engine
         for engine in fleet.engines_by_id.values()
         if not engine.target.is_leaving
     ]
-    assigned = assignment(
+    assigned = assign_engines(
         fleet, ready, sorted(versions_by_model), items_by_model, now
     )
     busy = sum(1 for engine in ready if engine.switching)
-    room = max(MIN_LOADING, math.floor(LOADING_PART * len(ready))) - busy
+    room = (
+        max(MIN_LOADING_ENGINES, math.floor(MAX_LOADING_FRACTION * len(ready)))
+        - busy
+    )
     wanted: list[tuple[float, Switch]] = []
     for model, engines in assigned.items():
         version = versions_by_model[model]
         serving = [e for e in engines if _serves(e, model, version)]
-        # By ids: to compare engines costs more than the rest of the plan.
+        # Ids, since comparing EngineState records is expensive.
         spared = {e.target.id for e in _spared(serving, model, len(engines))}
         serving_ids = {engine.target.id for engine in serving}
-        # The last engine that serves a model goes on until another does.
+        # At least one engine keeps serving a model until another one does.
         left = max(1, len(engines) - 1)
         left -= sum(1 for e in engines if model in e.switching)
         for engine in sorted(engines, key=lambda e: e.running):
@@ -148,10 +153,10 @@
             )
             wanted.append((_urgency(engine, known, version), switch))
     wanted.sort(key=lambda pair: pair[0])
-    return _fitting([switch for _, switch in wanted], room)
+    return _select([switch for _, switch in wanted], room)
 
 
-def _fitting(wanted: list[Switch], room: int) -> list[Switch]:
+def _select(wanted: list[Switch], room: int) -> list[Switch]:
     found: list[Switch] = []
     taken: set[TargetId] = set()
     for switch in wanted:
@@ -166,7 +171,7 @@
 def _serves(
     engine: EngineState, model: ModelName, version: WeightVersion
 ) -> bool:
-    """Tell whether the step that asks for a version can run there."""
+    """Return whether an engine can run the step that needs a version."""
     if model in engine.switching:
         return False
     return (engine.version(model) or 0) >= version - 1
@@ -175,20 +180,16 @@
 def _spared(
     serving: Sequence[EngineState], model: ModelName, count: int
 ) -> list[EngineState]:
-    """Return the engines that are left alone for a text in a hurry.
-
-    A change of weights stops the text for a second, or moves it: a new
-    connection, and all that it has read again. The longest texts have a
-    second to spare of eight, and decide when their step ends. The others of a
-    model's engines change meanwhile, if they are enough for the next step. In
-    30 pairs of runs a step was worth 0.770 instead of 0.752, the interval of
-    95% being 0.017, where 9 instances serve three trainers.
+    """Return the engines that keep their weights for an urgent text.
+
+    A weight change interrupts or moves the text, and the longest texts decide
+    when a step ends. None is spared if the rest can't serve the next step.
     """
     found = [engine for engine in serving if model in engine.hurried]
-    return found if len(found) <= SPARED_PART * count else []
+    return found if len(found) <= MAX_SPARED_FRACTION * count else []
 
 
 def _urgency(engine: EngineState, known: int, version: WeightVersion) -> float:
-    # The engine furthest behind serves nothing until it changes; among the
-    # others the one with the least work loses the least.
+    # The engine with the oldest weights is of the least use, so it goes first;
+    # among equals, the one with the fewest runs to interrupt.
     return -1000.0 * (version - known) + engine.running
--- a/packages/yuccarill-core/tests/jobs/test_engines.py
+++ b/packages/yuccarill-core/tests/jobs/test_engines.py
@@ -56,7 +56,7 @@
         by_id[TargetId('switching')].switching.add(items.MODEL)
         by_id[TargetId('failed')].fail(NOW)
         self.assertIsNone(fleet.choose(items.make_job(), NOW))
-        later = Instant(NOW + engines.FIRST_EJECTION)
+        later = Instant(NOW + engines.FIRST_EJECTION_SECONDS)
         found = fleet.choose(items.make_job(), later)
         assert found is not None
         self.assertEqual('failed', found.target.id)
--- a/packages/yuccarill-core/tests/jobs/test_lengths.py
+++ b/packages/yuccarill-core/tests/jobs/test_lengths.py
@@ -53,7 +53,7 @@
         self.assertEqual(20, found.remaining(items.MODEL, item(None), 10))
 
     def test_a_trainer_whose_texts_grow_is_followed(self):
-        found = learnt(*[1.0] * 300, *[3.0] * lengths.REMEMBERED)
+        found = learnt(*[1.0] * 300, *[3.0] * lengths.MAX_RATIOS)
         left = found.remaining(items.MODEL, item(10), 0)
         self.assertAlmostEqual(30.0, left)
 
@@ -63,7 +63,7 @@
         # place is what they get, within a tenth.
         source = random.Random(7)
         found = lengths.TextLengths()
-        for _ in range(lengths.REMEMBERED):
+        for _ in range(lengths.MAX_RATIOS):
             found.learn(items.MODEL, item(40), _length(source, 40))
         later = [_length(source, 40) for _ in range(4000)]
         for made in (0, 30, 60):
--- a/packages/yuccarill-core/tests/jobs/test_triage.py
+++ b/packages/yuccarill-core/tests/jobs/test_triage.py
@@ -36,14 +36,14 @@
 
 
 def counts(*steps: triage.StepNeed) -> list[int]:
-    found = triage.fitting(steps, SUPPLY, NOW)
+    found = triage.choose_fitting(steps, SUPPLY, NOW)
     return [len(found.groups_by_job[step.job]) for step in steps]
 
 
 class TriageTest(unittest.TestCase):
     # 100 events a second, of which a part is counted on, and 7.8 s.
     # A hair less, for what rounding takes away.
-    amount = 99.9 * triage.USED_PART * 7.8
+    amount = 99.9 * triage.USABLE_FRACTION * 7.8
 
     def test_what_fits_is_not_short(self) -> None:
         steps = [
@@ -62,7 +62,7 @@
     def test_a_flood_leaves_the_others_what_they_ask_for(self) -> None:
         part = self.amount / 10.0
         steps = [step('flood', [part] * 90), step('small', [part] * 2)]
-        found = triage.fitting(steps, SUPPLY, NOW)
+        found = triage.choose_fitting(steps, SUPPLY, NOW)
         self.assertEqual([8, 2], counts(*steps))
         self.assertEqual({'small'}, found.modest_jobs)
 
--- a/packages/yuccarill-core/tests/jobs/test_weights.py
+++ b/packages/yuccarill-core/tests/jobs/test_weights.py
@@ -36,7 +36,7 @@
         fleet = fleet_of(engine_count, m=1)
         models = [ModelName(f'm{n}') for n in range(model_count)]
         ready = list(fleet.engines_by_id.values())
-        found = weights.assignment(fleet, ready, models, {}, NOW)
+        found = weights.assign_engines(fleet, ready, models, {}, NOW)
         for model in models:
             self.assertEqual(expected, len(found[model]))
 
@@ -56,14 +56,16 @@
         models = [ModelName(name) for name in 'abc']
         ready = list(fleet.engines_by_id.values())
         items_by_model = {ModelName('a'): item_count}
-        found = weights.assignment(fleet, ready, models, items_by_model, NOW)
+        found = weights.assign_engines(
+            fleet, ready, models, items_by_model, NOW
+        )
         self.assertEqual(expected, len(found[ModelName('a')]))
 
     def test_models_are_spread_over_the_engines(self) -> None:
         fleet = fleet_of(6, a=1, b=1, c=1)
         models = [ModelName(name) for name in 'abc']
         ready = list(fleet.engines_by_id.values())
-        found = weights.assignment(fleet, ready, models, {}, NOW)
+        found = weights.assign_engines(fleet, ready, models, {}, NOW)
         used = [e.target.id for engines_ in found.values() for e in engines_]
         self.assertEqual(6, len(set(used)))
 
@@ -71,12 +73,12 @@
         fleet = fleet_of(6, a=1, b=1, c=1)
         models = [ModelName(name) for name in 'abc']
         ready = list(fleet.engines_by_id.values())
-        before = weights.assignment(fleet, ready, models, {}, NOW)
+        before = weights.assign_engines(fleet, ready, models, {}, NOW)
         for model, followers in before.items():
             for engine in followers:
                 engine.saw_version(model, WeightVersion(4))
         left = [e for e in ready if e is not before[ModelName('a')][0]]
-        after = weights.assignment(fleet, left, models, {}, NOW)
+        after = weights.assign_engines(fleet, left, models, {}, NOW)
         for name in 'bc':
             model = ModelName(name)
             ids = {e.target.id for e in before[model]}
@@ -125,7 +127,7 @@
                 engine.saw_version(ModelName('a'), WeightVersion(2))
         failed = fleet.engines_by_id[TargetId('e1')]
         failed.fail(NOW)
-        found = weights.assignment(
+        found = weights.assign_engines(
             fleet,
             list(fleet.engines_by_id.values()),
             [ModelName('a')],
