--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/__init__.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on trainers' steps and their samples."""
+"""Schedule the samples of trainers' steps and track their delivery."""
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/delivery.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/delivery.py
@@ -1,4 +1,4 @@
-"""The bytes that a trainer receives for a step."""
+"""Encode the response that a trainer receives for a step."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class Delivery(msgspec.Struct, frozen=True):
-    """Hold a manifest and its samples, each already encoded."""
+    """Hold an encoded manifest and its encoded samples."""
 
     manifest: msgspec.Raw
     samples: tuple[msgspec.Raw, ...]
 
 
 def digest(samples: Iterable[bytes]) -> str:
-    """Return the digest of encoded samples in their order."""
+    """Return the digest of encoded samples, which depends on their order."""
     total = xxhash.xxh3_128()
     for encoded in samples:
         total.update(encoded)
@@ -35,17 +35,17 @@
 def encode(
     manifest: records.Manifest, encoded_by_id: Mapping[SampleId, bytes]
 ) -> bytes:
-    """Encode a delivery, the same bytes wherever it is done.
+    """Encode a delivery; the bytes are the same on every instance.
 
-    Raises SamplesLost if the samples are not those that were decided on.
+    Raises SamplesLost if samples are missing or differ from the manifest.
     """
     samples = [encoded_by_id.get(name, b'') for name in manifest.sample_ids]
     missing = samples.count(b'')
     if missing or digest(samples) != manifest.digest:
         raise errors.SamplesLost(
-            f'Step {manifest.step} of {manifest.trainer} was decided, but '
-            f'{missing or "some"} of its samples are not at hand; if its '
-            'disk instances will not come back, delete the step and submit '
+            f'Step {manifest.step} of {manifest.trainer} has a manifest, but '
+            f'{missing or "some"} of its samples are unavailable; if its '
+            'disk instances are lost for good, delete the step and submit '
             'it under a new number.',
             retry_after=1.0,
         )
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/engine_history.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/engine_history.py
@@ -1,4 +1,4 @@
-"""What engines were seen to do: weights they had, prompts they cached."""
+"""Record which weights engines have and which prompts they cache."""
 
 from __future__ import annotations
 
@@ -13,60 +13,64 @@
     from yuccarill.core.rollouts.plan import StepPlan
     from yuccarill.core.rollouts.sample import Place
 
-# An engine that was seen with old weights is tried again after this time.
-KNOWN_OLD_SECONDS = 2.0
+# Seconds after which an engine that reported old weights is tried again.
+OLD_VERSION_SECONDS = 2.0
 
 
 class EngineHistory:
-    """Remember each engine's last weight version and last group."""
+    """Record each engine's last reported version and last started group."""
 
     def __init__(self) -> None:
-        # An engine may hold another version for each trainer that it serves.
+        # An engine may have a different version for each trainer.
         self._versions_by_engine: dict[
             tuple[TrainerId, TargetId], tuple[WeightVersion, Instant]
         ] = {}
-        self._warm_by_engine: dict[TargetId, tuple[StepPlan, GroupNumber]] = {}
+        self._cached_groups_by_engine: dict[
+            TargetId, tuple[StepPlan, GroupNumber]
+        ] = {}
 
-    def note_version(
+    def record_version(
         self,
         trainer: TrainerId,
         engine: TargetId,
         version: WeightVersion,
         now: Instant,
     ) -> None:
-        """Take the version that an engine's stream named."""
+        """Record the version that an engine reported in a stream."""
         self._versions_by_engine[trainer, engine] = (version, now)
 
-    def may_have(
+    def may_have_version(
         self, trainer: TrainerId, engine: TargetId, oldest: int, now: Instant
     ) -> bool:
-        """Tell whether an engine may have a version or a newer one."""
+        """Return whether an engine may have `oldest` or a newer version."""
         seen = self._versions_by_engine.get((trainer, engine))
-        # Only a stream tells that the engine has newer weights by now.
+        # Only a new stream can show that the engine has newer weights.
         return (
             seen is None
             or seen[0] >= oldest
-            or seen[1] < now - KNOWN_OLD_SECONDS
+            or seen[1] < now - OLD_VERSION_SECONDS
         )
 
-    def note_start(
+    def record_start(
         self, engine: TargetId, plan: StepPlan, place: Place
     ) -> None:
-        """Take the place that an engine was given last."""
-        self._warm_by_engine[engine] = (plan, place.group)
+        """Record the group that an engine has started last."""
+        self._cached_groups_by_engine[engine] = (plan, place.group)
 
-    def warm_group(
+    def cached_group(
         self, engine: TargetId, plan: StepPlan
     ) -> GroupNumber | None:
-        """Return the group of a step whose prompt an engine has cached."""
-        warm_plan, group = self._warm_by_engine.get(engine, (None, None))
-        return group if warm_plan is plan else None
+        """Return the group of a step whose prompt the engine has cached."""
+        cached_plan, group = self._cached_groups_by_engine.get(
+            engine, (None, None)
+        )
+        return group if cached_plan is plan else None
 
     def forget(self, plan: StepPlan) -> None:
-        """Drop what engines have cached of a step."""
-        # It would keep the closed step's bytes.
-        self._warm_by_engine = {
-            engine: warm
-            for engine, warm in self._warm_by_engine.items()
-            if warm[0] is not plan
+        """Drop the cached groups of a step."""
+        # A reference would keep the samples of the closed step in memory.
+        self._cached_groups_by_engine = {
+            engine: cached
+            for engine, cached in self._cached_groups_by_engine.items()
+            if cached[0] is not plan
         }
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/engines.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/engines.py
@@ -1,4 +1,4 @@
-"""Choose engines by cached prefix within a bounded load."""
+"""Choose engines by consistent hashing of prompts with bounded loads."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
     from yuccarill.core.ids import TargetId
 
 POINTS_PER_ENGINE = 8
-# An engine takes at most this many times the mean load; so a popular prefix
-# spills over to the next engine instead of queueing.
+# Maximum load of an engine as a multiple of the mean; above it, a popular
+# prefix spills over to the next engine.
 LOAD_FACTOR = 1.25
-# With so few engines free, looking for a prefix costs more than it saves.
-FEW = 16
-MAX_WALK = 64
-FIRST_REST_SECONDS = 1.0
-MAX_REST_SECONDS = 30.0
+# Free engines up to which the prefix is ignored and the least loaded chosen.
+FEW_FREE_ENGINES = 16
+MAX_RING_STEPS = 64
+FIRST_PAUSE_SECONDS = 1.0
+MAX_PAUSE_SECONDS = 30.0
 
 
 def prefix_key(prompt: str) -> int:
-    """Return where on the ring a prompt stands."""
+    """Return the position of a prompt on the hash ring."""
     return xxhash.xxh3_64_intdigest(prompt.encode())
 
 
 class EnginePool:
-    """Hold the engines of one model and what was sent to them."""
+    """Track the engines of one model and their load."""
 
     def __init__(self, slots: int) -> None:
         self._slots = slots
@@ -43,26 +43,28 @@
         self._owners: list[TargetId] = []
         self._engines: set[TargetId] = set()
         self._in_flight: collections.Counter[TargetId] = collections.Counter()
-        self._total = 0
-        # A dictionary, since it keeps the order in which engines got free.
+        self._total_in_flight = 0
+        # A dictionary, since it keeps the order in which engines became free.
         self._free: dict[TargetId, None] = {}
-        self._resting: list[tuple[Instant, TargetId]] = []
-        self._rests: collections.Counter[TargetId] = collections.Counter()
+        self._paused: list[tuple[Instant, TargetId]] = []
+        self._consecutive_failures: collections.Counter[TargetId] = (
+            collections.Counter()
+        )
 
     @property
     def has_free(self) -> bool:
         return bool(self._free)
 
     def set_engines(self, engines: Iterable[TargetId]) -> None:
-        """Take the engines that there are now."""
+        """Replace the engines of the pool."""
         found = set(engines)
         if found == self._engines:
             return
         for new in found - self._engines:
             if self._in_flight[new] < self._slots:
                 self._free[new] = None
-        for gone in self._engines - found:
-            self._free.pop(gone, None)
+        for removed in self._engines - found:
+            self._free.pop(removed, None)
         self._engines = found
         points = sorted(
             (xxhash.xxh3_64_intdigest(f'{engine}|{n}'.encode()), engine)
@@ -72,22 +74,22 @@
         self._points = [point for point, _ in points]
         self._owners = [engine for _, engine in points]
 
-    def wake(self, now: Instant) -> None:
-        """Take engines back that have rested long enough."""
-        while self._resting and self._resting[0][0] <= now:
-            _, engine = heapq.heappop(self._resting)
-            self._offer(engine)
+    def end_pauses(self, now: Instant) -> None:
+        """Resume the engines whose pause has ended."""
+        while self._paused and self._paused[0][0] <= now:
+            _, engine = heapq.heappop(self._paused)
+            self._add_if_free(engine)
 
     def choose(
         self, prefix: int, allows: Callable[[TargetId], bool]
     ) -> TargetId | None:
-        """Return an engine with a free slot, near the prefix if it can."""
-        if len(self._free) > FEW:
-            found = self._near(prefix, allows)
+        """Return an engine with a free slot, preferably near the prefix."""
+        if len(self._free) > FEW_FREE_ENGINES:
+            found = self._choose_near(prefix, allows)
             if found is not None:
                 return found
-        # The least loaded: the first free one would be filled to its last
-        # slot while others stand idle.
+        # The least loaded one, or a single engine would be filled while
+        # others are idle.
         return min(
             (engine for engine in self._free if allows(engine)),
             key=self._in_flight.__getitem__,
@@ -95,47 +97,47 @@
         )
 
     def start(self, engine: TargetId) -> None:
-        """Count an attempt that is sent to an engine."""
+        """Count an attempt as in flight."""
         self._in_flight[engine] += 1
-        self._total += 1
+        self._total_in_flight += 1
         if self._in_flight[engine] >= self._slots:
             self._free.pop(engine, None)
 
     def finish(self, engine: TargetId) -> None:
-        """Count an attempt that ended well or was cancelled."""
+        """Release the slot of a successful or cancelled attempt."""
         self._release(engine)
-        self._offer(engine)
+        self._add_if_free(engine)
 
     def fail(self, engine: TargetId, now: Instant) -> None:
-        """Count an attempt that the engine failed, and let it rest."""
-        # A crashed engine fails at once and is free again at once. Without
-        # a rest it would draw all waiting samples, and fail them all.
+        """Release the slot of a failed attempt and pause the engine."""
+        # A crashed engine fails and becomes free at once. Without a pause it
+        # would get, and fail, all waiting samples.
         self._release(engine)
-        if self._is_resting(engine):
+        if self._is_paused(engine):
             return
         self._free.pop(engine, None)
-        rest = FIRST_REST_SECONDS * 2 ** self._rests[engine]
-        self._rests[engine] += 1
-        until = Instant(now + min(rest, MAX_REST_SECONDS))
-        heapq.heappush(self._resting, (until, engine))
+        seconds = FIRST_PAUSE_SECONDS * 2 ** self._consecutive_failures[engine]
+        self._consecutive_failures[engine] += 1
+        until = Instant(now + min(seconds, MAX_PAUSE_SECONDS))
+        heapq.heappush(self._paused, (until, engine))
 
     def pause(self, engine: TargetId, until: Instant) -> None:
-        """Send an engine nothing more for a time."""
-        if not self._is_resting(engine):
+        """Send nothing to an engine for a time."""
+        if not self._is_paused(engine):
             self._free.pop(engine, None)
-            heapq.heappush(self._resting, (until, engine))
+            heapq.heappush(self._paused, (until, engine))
 
-    def praise(self, engine: TargetId) -> None:
-        """Forget an engine's failures, since it works."""
-        self._rests.pop(engine, None)
+    def reset_failures(self, engine: TargetId) -> None:
+        """Reset an engine's failure count after progress."""
+        self._consecutive_failures.pop(engine, None)
 
-    def _near(
+    def _choose_near(
         self, prefix: int, allows: Callable[[TargetId], bool]
     ) -> TargetId | None:
-        mean = (self._total + 1) / len(self._engines)
+        mean = (self._total_in_flight + 1) / len(self._engines)
         bound = math.ceil(LOAD_FACTOR * mean)
         at = bisect.bisect(self._points, prefix)
-        for step in range(min(MAX_WALK, len(self._owners))):
+        for step in range(min(MAX_RING_STEPS, len(self._owners))):
             engine = self._owners[(at + step) % len(self._owners)]
             if engine not in self._free or not allows(engine):
                 continue
@@ -145,13 +147,13 @@
 
     def _release(self, engine: TargetId) -> None:
         self._in_flight[engine] -= 1
-        self._total -= 1
+        self._total_in_flight -= 1
 
-    def _offer(self, engine: TargetId) -> None:
-        if engine not in self._engines or self._is_resting(engine):
+    def _add_if_free(self, engine: TargetId) -> None:
+        if engine not in self._engines or self._is_paused(engine):
             return
         if self._in_flight[engine] < self._slots:
             self._free[engine] = None
 
-    def _is_resting(self, engine: TargetId) -> bool:
-        return any(engine == resting for _, resting in self._resting)
+    def _is_paused(self, engine: TargetId) -> bool:
+        return any(engine == paused for _, paused in self._paused)
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/lanes.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/lanes.py
@@ -1,4 +1,4 @@
-"""One trainer's steps, in the order in which they are served."""
+"""Queue the steps of one trainer by weighted fair queueing."""
 
 from __future__ import annotations
 
@@ -17,36 +17,36 @@
 
 
 class Lane:
-    """Hold one trainer's steps and the last one's virtual finish."""
+    """Hold one trainer's open steps and the last virtual finish time."""
 
     def __init__(self, trainer: Trainer) -> None:
         self.trainer = trainer
         self.newest = WeightVersion(0)
         self.plans: list[StepPlan] = []
-        self._last_tag = 0.0
-        # When its last samples are next looked at.
+        self._last_finish_tag = 0.0
+        # Time of the next check for hedged attempts.
         self.hedge_due = 0.0
 
     def open_step(
         self, trainer: Trainer, work: StepWork, virtual_time: float
     ) -> None:
-        """Queue a step behind those of the trainer that came before."""
+        """Queue a step behind the trainer's earlier ones."""
         self.trainer = trainer
         self.newest = max(self.newest, work.request.newest_version)
-        # Weighted fair queueing with a step as the packet: sharing engines
-        # sample by sample would let all trainers' steps end at one time,
-        # and leave engines idle while all of them train.
-        begun = max(self._last_tag, virtual_time)
-        self._last_tag = begun + work.request.size / trainer.share
-        self.plans.append(plan_module.StepPlan(work, self._last_tag))
+        # Weighted fair queueing with a step as the packet. With samples as
+        # packets, all trainers' steps would end at once, and engines would be
+        # idle while the trainers train.
+        start_tag = max(self._last_finish_tag, virtual_time)
+        self._last_finish_tag = start_tag + work.request.size / trainer.share
+        self.plans.append(plan_module.StepPlan(work, self._last_finish_tag))
         self.plans.sort(key=lambda plan: plan.work.step)
 
     def plan_of(self, work: StepWork) -> StepPlan | None:
-        """Return which places of a step wait or run."""
+        """Return the plan of a step, None if the step is not queued."""
         return next((plan for plan in self.plans if plan.work is work), None)
 
-    def startable(self) -> list[tuple[int, StepPlan]]:
-        """Return the steps with waiting places and how far ahead each is."""
+    def startable_plans(self) -> list[tuple[int, StepPlan]]:
+        """Return the plans that may start places, with their steps ahead."""
         limit = min(_steps_ahead(self.trainer), self.trainer.staleness_bound)
         return [
             (ahead, plan)
@@ -55,7 +55,7 @@
         ]
 
     def is_stale(self, attempt: Attempt) -> bool:
-        """Tell whether an attempt could only become a stale sample."""
+        """Return whether an attempt's sample would be stale."""
         oldest = attempt.oldest_version
         return oldest is not None and not sample_module.is_fresh(
             oldest, self.newest, self.trainer.staleness_bound
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/placement.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/placement.py
@@ -1,4 +1,4 @@
-"""Choose which places are started on which free engines."""
+"""Assign waiting places to free engines."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
     from yuccarill.core.rollouts.sample import Place
     from yuccarill.core.rollouts.sample import Span
 
-# Looked at with every event, the last samples of a large step would cost
-# more than all its other decisions.
-HEDGE_SECONDS = 0.5
-# Below this part of the mean rate an attempt has fallen behind.
-SLOW_PART = 0.5
+# Interval of the check for hedged attempts, which is too expensive to run with
+# every event of a large step.
+HEDGE_INTERVAL_SECONDS = 0.5
+# Fraction of the mean rate below which an attempt is slow.
+SLOW_FRACTION = 0.5
 
 
 class _Candidate(msgspec.Struct, frozen=True):
-    """Hold a step that may be given engines."""
+    """Hold a step that may start places."""
 
     lane: Lane
     plan: StepPlan
-    # How many open steps of its trainer come before it.
+    # Number of the trainer's open steps before this one.
     ahead: int
 
 
 class Placement:
-    """Start attempts: first ones, resumed ones and hedges."""
+    """Start first, resumed and hedged attempts."""
 
     def __init__(self, history: EngineHistory) -> None:
         self._history = history
@@ -49,12 +49,12 @@
     def serve(
         self, lanes: list[Lane], pool: EnginePool, now: Instant
     ) -> list[Attempt]:
-        """Start places that wait, steps in the order of virtual finish."""
+        """Start waiting places, steps in the order of virtual finish time."""
         candidates = [
             _Candidate(lane, plan, ahead)
             for lane in lanes
             if pool.has_free
-            for ahead, plan in lane.startable()
+            for ahead, plan in lane.startable_plans()
         ]
         candidates.sort(key=lambda candidate: candidate.plan.finish_tag)
         started: list[Attempt] = []
@@ -73,15 +73,15 @@
     def hedge(
         self, lane: Lane, pool: EnginePool, mean_rate: float, now: Instant
     ) -> list[Attempt]:
-        """Start seconds of a step's last attempts that have fallen behind."""
+        """Start second attempts for the slow last places of a step."""
         if now < lane.hedge_due:
             return []
-        lane.hedge_due = now + HEDGE_SECONDS
+        lane.hedge_due = now + HEDGE_INTERVAL_SECONDS
         if not lane.plans:
             return []
         candidate = _Candidate(lane, lane.plans[0], ahead=0)
         started: list[Attempt] = []
-        for first in _lone_stragglers(candidate, mean_rate, now):
+        for first in _unhedged_stragglers(candidate, mean_rate, now):
             engine = self._engine(candidate, first.place, pool, now)
             if engine is not None:
                 second = self._start(
@@ -94,14 +94,14 @@
         self, candidate: _Candidate, pool: EnginePool, now: Instant
     ) -> Attempt | None:
         plan = candidate.plan
-        place = plan.head()
+        place = plan.next_place()
         engine = self._engine(candidate, place, pool, now)
         if engine is None:
             return None
-        # An engine that has just made samples of a group keeps its prompt.
-        warm_group = self._history.warm_group(engine, plan)
-        if warm_group is not None:
-            place = plan.head(warm_group)
+        # Prefer the group whose prompt the engine has cached.
+        cached_group = self._history.cached_group(engine, plan)
+        if cached_group is not None:
+            place = plan.next_place(cached_group)
         spans = plan.remove(place)
         return self._start(plan, place, engine, spans, pool, now)
 
@@ -116,12 +116,12 @@
         running = plan.attempts_by_place.get(place, ())
         taken = {attempt.engine for attempt in running}
         trainer = lane.trainer
-        # A step ahead is delivered so many versions later. What an engine
-        # with older weights made for it would be too old by then.
+        # A step n ahead is delivered n versions later, so its samples need
+        # weights that are n versions newer.
         oldest = lane.newest + candidate.ahead - trainer.staleness_bound
 
         def allows(engine: TargetId) -> bool:
-            return engine not in taken and self._history.may_have(
+            return engine not in taken and self._history.may_have_version(
                 trainer.id, engine, oldest, now
             )
 
@@ -137,7 +137,7 @@
         now: Instant,
     ) -> Attempt:
         pool.start(engine)
-        self._history.note_start(engine, plan, place)
+        self._history.record_start(engine, plan, place)
         attempt = plan_module.Attempt(
             next(self._numbers), plan, place, engine, spans, now
         )
@@ -145,7 +145,7 @@
         return attempt
 
 
-def _lone_stragglers(
+def _unhedged_stragglers(
     candidate: _Candidate, mean_rate: float, now: Instant
 ) -> Iterator[Attempt]:
     plan = candidate.plan
@@ -157,6 +157,6 @@
         first = attempts[0]
         if len(attempts) > 1 or now - first.started_at < policy.hedge_after:
             continue
-        # A long sample on a good engine gains nothing from a second one.
-        if first.rate(now) < SLOW_PART * mean_rate:
+        # A long sample on a fast engine gains nothing from a hedge.
+        if first.rate(now) < SLOW_FRACTION * mean_rate:
             yield first
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/progress.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/progress.py
@@ -1,4 +1,4 @@
-"""How far a trainer has come: its open steps and its newest version."""
+"""Track a trainer's open and closed steps and its newest version."""
 
 from __future__ import annotations
 
@@ -12,37 +12,36 @@
 
 
 class Progress(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold a trainer's open steps, those closed and its newest version."""
+    """Hold a trainer's open and closed steps and its newest version."""
 
     newest_version: WeightVersion = WeightVersion(0)
-    # No step up to this one can be made any more.
+    # All steps up to this one are closed.
     low_water: StepNumber = StepNumber(0)
     # Closed steps above the low-water mark.
     closed: tuple[StepNumber, ...] = ()
     open: tuple[StepNumber, ...] = ()
 
     def is_closed(self, step: StepNumber) -> bool:
-        """Tell whether a step must not be made again."""
+        """Return whether a step is closed and can't be opened again."""
         return step <= self.low_water or step in self.closed
 
 
 def raise_newest(progress: Progress, version: WeightVersion) -> Progress:
-    """Take a version unless a newer one is known."""
+    """Raise the newest version; ignore an older one."""
     newest = max(progress.newest_version, version)
     return msgspec.structs.replace(progress, newest_version=newest)
 
 
 def open_step(progress: Progress, step: StepNumber) -> Progress:
-    """Enter a step among the open ones.
+    """Open a step; idempotent for an open one.
 
     Raises StepClosed or StepConflict.
     """
     if progress.is_closed(step):
-        # A trainer that lost its own record could ask for the step again
-        # and would learn twice from it; the low-water mark outlives the
-        # step's own record.
+        # Keeps a trainer that has lost its state from training twice on one
+        # step. The low-water mark outlives the step's own record.
         raise errors.StepClosed(
-            f'Step {step} was closed before; go on after step '
+            f'Step {step} is already closed; continue after step '
             f'{max((progress.low_water, *progress.closed))}.'
         )
     if step in progress.open:
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/records.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/records.py
@@ -1,4 +1,4 @@
-"""What the store keeps of a step: a claim, then its manifest, then a mark."""
+"""Define the stored records of a step: claim, manifest, closed mark."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from yuccarill.core.ids import WallTime
 from yuccarill.core.ids import WeightVersion
 
-# The store takes values up to a megabyte; a manifest stays below it.
+# Stays below the store's limit of one megabyte per value.
 MAX_MANIFEST_BYTES = 900_000
 
 
 class Record(msgspec.Struct, frozen=True, tag_field='kind', tag=str.lower):
-    """Be what stands under a step's key."""
+    """Define the base of the records under a step's key."""
 
 
 class Claim(Record, frozen=True, kw_only=True):
-    """Name the holder that may decide a step, and the newest version."""
+    """Name the holder that may decide on a step, and the newest version."""
 
     holder: InstanceId
     incarnation: Incarnation
@@ -33,26 +33,26 @@
 
 
 class Manifest(Record, frozen=True, kw_only=True):
-    """Name the samples that a step delivers; it never changes."""
+    """Name the samples that a step delivers; immutable once stored."""
 
     trainer: TrainerId
     step: StepNumber
-    # The trainer's newest version that the samples were judged against.
+    # The trainer's newest version, against which staleness was checked.
     newest_version: WeightVersion
     sample_ids: tuple[SampleId, ...]
-    # Of the samples' encoded bytes, in the order of their ids.
+    # Digest of the encoded samples, in the order of their ids.
     digest: str
     holder: InstanceId
     incarnation: Incarnation
     epoch: Epoch
-    # Disk instances that keep the samples; none: the holder's memory only.
+    # Disk instances with the samples; empty if only the holder has them.
     stored_on: tuple[InstanceId, ...] = ()
     revision: Revision
     decided_at: WallTime
 
 
 class Closed(Record, frozen=True, kw_only=True):
-    """Mark a step that its trainer has acknowledged or given up."""
+    """Mark a step that its trainer has acknowledged or deleted."""
 
 
 StepRecord = Claim | Manifest | Closed
@@ -61,26 +61,24 @@
 
 
 def step_key(trainer: TrainerId, step: StepNumber) -> str:
-    """Return the key under which a step's record stands."""
+    """Return the store key of a step's record."""
     return f'trainers/{trainer}/steps/{step}'
 
 
 def progress_key(trainer: TrainerId) -> str:
-    """Return the key under which a trainer's progress stands."""
+    """Return the store key of a trainer's progress."""
     return f'trainers/{trainer}/progress'
 
 
 def encode(record: StepRecord) -> bytes:
-    """Encode a record."""
     return msgspec.json.encode(record)
 
 
 def decode(value: bytes) -> StepRecord:
-    """Decode a record."""
     return _decoder.decode(value)
 
 
 def manifest_fits(trainer: TrainerId, size: int) -> bool:
-    """Tell whether the manifest of so many samples fits the store."""
+    """Return whether a manifest with `size` samples fits the store."""
     longest = len(trainer) + len('"/4294967295/65535/65535/0123456789ab.999",')
     return size * longest < MAX_MANIFEST_BYTES
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/replicas.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/replicas.py
@@ -1,4 +1,4 @@
-"""Choose the disk instances that keep a step's samples."""
+"""Choose the disk instances that replicate a step's samples."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
     from collections.abc import Iterable
     from collections.abc import Set
 
-# One copy survives the loss of a data centre.
+# One replica survives the loss of a data centre.
 COPIES = 2
 
 DISKS_KEY = 'disks'
 
 
 class Disk(msgspec.Struct, frozen=True, kw_only=True):
-    """Describe an instance that keeps samples on a disk."""
+    """Describe an instance that stores samples on a disk."""
 
     instance: InstanceId
     data_centre: DataCentreId
-    # Written into the data folder once; an emptied or replaced disk is
-    # another one, which no earlier copy counts on.
+    # Written to the data folder once. An emptied or replaced disk gets a new
+    # id, so that it doesn't count as a replica of earlier samples.
     store_id: str
 
 
@@ -36,10 +36,10 @@
     usable: Set[InstanceId],
     held: Iterable[Disk] = (),
 ) -> list[Disk]:
-    """Return the disks to add to those held, the preferred first.
+    """Return the disks to add to `held`, the preferred first.
 
-    Other data centres than the held ones come first, then the rest. Fewer
-    than wanted are returned where fewer are usable.
+    Disks in other data centres than the held ones come first. Fewer disks are
+    returned if not enough are usable.
     """
     disks_by_id = {d.instance: d for d in disks if d.instance in usable}
     chosen = [d for d in held if disks_by_id.get(d.instance) == d]
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/scheduler.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/scheduler.py
@@ -1,4 +1,4 @@
-"""Decide which sample is generated where, for several trainers."""
+"""Schedule the samples of several trainers on engines."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
     from yuccarill.core.rollouts.work import StepWork
 
 DEFAULT_SLOTS = 16
-# A place that fails so often without a token is given up.
+# Consecutive attempts without a token after which a place has failed.
 MAX_FAILURES = 8
 RATE_WEIGHT = 0.02
-CROWDED_SECONDS = 1.0
+QUEUEING_PAUSE_SECONDS = 1.0
 
 
 class Orders(msgspec.Struct, frozen=True):
-    """Say which attempts to start, and which to cut off."""
+    """Hold the attempts to start and to cancel."""
 
     start: tuple[Attempt, ...]
     cancel: tuple[Attempt, ...]
 
 
 class Scheduler:
-    """Start, resume, hedge and cut off attempts."""
+    """Start, resume, hedge and cancel attempts."""
 
     def __init__(self, slots: int = DEFAULT_SLOTS) -> None:
         self._slots = slots
@@ -49,22 +49,22 @@
         self._history = engine_history.EngineHistory()
         self._placement = placement.Placement(self._history)
         self._cancelled: list[Attempt] = []
-        # Of attempts that ended well, for those that fall behind.
+        # Moving average of successful attempts, to detect slow ones.
         self._mean_rate = 0.0
 
     def plan_of(self, work: StepWork) -> StepPlan | None:
-        """Return which places of a step wait or run."""
+        """Return the plan of a step, None if the step is not open."""
         lane = self._lanes_by_trainer.get(work.trainer)
         return lane.plan_of(work) if lane is not None else None
 
     def set_engines(
         self, model: ModelName, engines: Iterable[TargetId]
     ) -> None:
-        """Take the engines that run a model now."""
+        """Replace the engines that run a model."""
         self._pool(model).set_engines(engines)
 
     def open_step(self, trainer: Trainer, work: StepWork) -> None:
-        """Let the missing samples of a step be made."""
+        """Queue the missing samples of a step."""
         lane = self._lanes_by_trainer.get(trainer.id)
         if lane is None:
             lane = lanes_module.Lane(trainer)
@@ -72,7 +72,7 @@
         lane.open_step(trainer, work, self._placement.virtual_time)
 
     def settle(self, work: StepWork) -> None:
-        """Cut off what is made for a step that is whole without it."""
+        """Cancel the remaining attempts of a complete step."""
         plan = self.plan_of(work)
         if plan is None:
             return
@@ -82,7 +82,7 @@
                 self._cancel(attempt)
 
     def close_step(self, work: StepWork) -> None:
-        """Forget a step that its trainer has closed; others may be ahead."""
+        """Remove a step that its trainer has closed, in any order."""
         self.settle(work)
         plan = self.plan_of(work)
         if plan is not None:
@@ -90,7 +90,7 @@
             self._history.forget(plan)
 
     def raise_newest(self, trainer: TrainerId, version: WeightVersion) -> None:
-        """Take a trainer's newest version; cut off what is too old for it."""
+        """Raise a trainer's newest version; cancel stale attempts."""
         lane = self._lanes_by_trainer.get(trainer)
         if lane is None or version <= lane.newest:
             return
@@ -103,18 +103,18 @@
                     self._drop_if_stale(attempt, lane)
 
     def again(self, work: StepWork, places: Iterable[Place]) -> None:
-        """Let places be filled once more, from the start."""
+        """Queue places again, without earlier tokens."""
         plan = self.plan_of(work)
         for place in places:
             if plan is not None and place not in plan.attempts_by_place:
                 plan.add(place)
 
     def crowded(self, attempt: Attempt, now: Instant) -> None:
-        """Learn that an engine lets samples queue, whoever sent them."""
-        # Instances don't know of each other's samples. One that goes on
-        # sending would only move its queue to the engine, where a sample
-        # can't be given to an engine that gets free.
-        until = Instant(now + CROWDED_SECONDS)
+        """Pause an engine that queues samples, whoever sent them."""
+        # Instances don't know each other's samples. Sending more would only
+        # move samples from the queue here to the queue of the engine, where
+        # they can't go to another engine that becomes free.
+        until = Instant(now + QUEUEING_PAUSE_SECONDS)
         self._pool_of(attempt).pause(attempt.engine, until)
 
     def progress(
@@ -124,16 +124,16 @@
         tokens: int,
         now: Instant,
     ) -> bool:
-        """Take what a stream reports; tell whether it may go on."""
+        """Record a stream's progress; return whether it may continue."""
         attempt.made += tokens
         trainer = attempt.plan.work.trainer
-        self._history.note_version(trainer, attempt.engine, version, now)
-        self._pool_of(attempt).praise(attempt.engine)
+        self._history.record_version(trainer, attempt.engine, version, now)
+        self._pool_of(attempt).reset_failures(attempt.engine)
         lane = self._lanes_by_trainer[trainer]
         return not self._drop_if_stale(attempt, lane)
 
     def generated(self, attempt: Attempt, now: Instant) -> bool:
-        """Free an engine; tell whether the sample is the place's first."""
+        """Release the slot; return whether the sample is its place's first."""
         if not self._end(attempt):
             return False
         self._pool_of(attempt).finish(attempt.engine)
@@ -148,7 +148,7 @@
         return is_first
 
     def failed(self, attempt: Attempt, now: Instant) -> bool:
-        """Let a place wait again; tell whether it may still be filled."""
+        """Queue a place again; return False if it is out of attempts."""
         if not self._end(attempt):
             return True
         plan = attempt.plan
@@ -162,16 +162,16 @@
         return plan.failures_by_place[attempt.place] < MAX_FAILURES
 
     def orders(self, now: Instant) -> Orders:
-        """Return what to do now."""
+        """Return the attempts to start and to cancel now."""
         started: list[Attempt] = []
         for model, pool in self._pools_by_model.items():
-            pool.wake(now)
+            pool.end_pauses(now)
             lanes = [
                 lane
                 for lane in self._lanes_by_trainer.values()
                 if lane.trainer.model == model
             ]
-            # What a trainer waits for goes before what is made ahead of it.
+            # Hedges go first, since a trainer waits for their step.
             for lane in lanes if pool.has_free else ():
                 hedges = self._placement.hedge(
                     lane, pool, self._mean_rate, now
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/stages.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/stages.py
@@ -1,4 +1,4 @@
-"""The steps of a sample's life, from its request to its end."""
+"""Count a step's samples by stage, for status reports."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class SampleStage(enum.Enum):
-    """Say how far a sample has come."""
+    """Enumerate the stages of a sample, the earliest first."""
 
     SUBMITTED = 'submitted'
     ASSIGNED = 'assigned'
@@ -32,14 +32,14 @@
     plan: StepPlan | None,
     finishing: dict[Place, SampleStage],
 ) -> collections.Counter[SampleStage]:
-    """Return how many of a step's samples are at each stage."""
+    """Count the samples of a step at each stage."""
     return collections.Counter(
         _stage(place, work, plan, finishing) for place in work.places()
     )
 
 
 def describe(counted: collections.Counter[SampleStage]) -> str:
-    """Return the stages in words, the earliest first."""
+    """Return the counts as text, the earliest stage first."""
     return ', '.join(
         f'{counted[stage]} {stage.value}'
         for stage in SampleStage
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/work.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/work.py
@@ -1,4 +1,4 @@
-"""One step while its holder works on it."""
+"""Track one step on its holder until it is delivered."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class StepWork:
-    """Collect a step's finished samples until they are decided on."""
+    """Collect a step's finished samples until it has a manifest."""
 
     def __init__(
         self, trainer: TrainerId, request: StepRequest, spare_groups: int = 0
@@ -36,16 +36,16 @@
         self.disks_by_place: dict[Place, tuple[Disk, ...]] = {}
         self._places = frozenset(self.places())
         spare = min(spare_groups, request.spare_groups)
-        self._needed = max(0, len(request.groups) - spare)
+        self._needed_groups = max(0, len(request.groups) - spare)
         self._filled_by_group: collections.Counter[GroupNumber] = (
             collections.Counter()
         )
-        self._complete: set[GroupNumber] = set()
-        self._failed: set[GroupNumber] = set()
+        self._complete_groups: set[GroupNumber] = set()
+        self._failed_groups: set[GroupNumber] = set()
         self.error: errors.YuccarillError | None = None
         self.manifest: Manifest | None = None
         self.body: bytes | None = None
-        # What a trainer is told that the step waits for.
+        # Reason for waiting that is reported to the trainer.
         self.waits_for = 'its samples'
 
     @property
@@ -54,11 +54,11 @@
 
     @property
     def is_whole(self) -> bool:
-        return len(self._complete) >= self._needed
+        return len(self._complete_groups) >= self._needed_groups
 
     @property
     def is_open(self) -> bool:
-        """Tell whether the step still takes samples."""
+        """Return whether the step still accepts samples."""
         return self.error is None and self.manifest is None
 
     @property
@@ -74,24 +74,27 @@
         ]
 
     def missing(self) -> list[Place]:
-        """Return the places that no sample fills yet."""
+        """Return the unfilled places of groups that have not failed."""
         return [
             place
             for place in self.places()
             if place not in self.finished_by_place
-            and place.group not in self._failed
+            and place.group not in self._failed_groups
         ]
 
     def give_up(self, group: GroupNumber) -> bool:
-        """Leave a group out; tell whether the step can still be whole."""
-        self._failed.add(group)
-        return len(self.request.groups) - len(self._failed) >= self._needed
+        """Drop a group; return whether the step can still be complete."""
+        self._failed_groups.add(group)
+        return (
+            len(self.request.groups) - len(self._failed_groups)
+            >= self._needed_groups
+        )
 
     def take(self, finished: Finished, disks: tuple[Disk, ...] = ()) -> bool:
-        """Take a sample unless its place is filled or the step decided."""
+        """Add a sample; return False if it is late or a duplicate."""
         place = sample_module.place_of(finished.id)
-        # A hedged attempt or a scorer's second answer may come after the
-        # first; a place counts once, or the step would seem whole early.
+        # A hedged attempt or a repeated scorer response may deliver a place
+        # twice. Counting both would make the step complete too early.
         if not self.is_open or place in self.finished_by_place:
             return False
         if place not in self._places:
@@ -99,17 +102,17 @@
         self.finished_by_place[place] = finished
         self.disks_by_place[place] = disks
         self._filled_by_group[place.group] += 1
-        if self._filled_by_group[place.group] == self._size(place.group):
-            self._complete.add(place.group)
+        if self._filled_by_group[place.group] == self._group_size(place.group):
+            self._complete_groups.add(place.group)
         return True
 
     def stored_on(self) -> tuple[InstanceId, ...]:
-        """Return the instances that keep any of the samples."""
+        """Return the disk instances that store any of the samples."""
         kept = self.disks_by_place.values()
         return tuple(sorted({d.instance for disks in kept for d in disks}))
 
     def drop_stale(self, newest: WeightVersion, bound: int) -> list[Place]:
-        """Drop the samples that are too old and return their places."""
+        """Drop the stale samples and return their places."""
         stale = [
             place
             for place, finished in self.finished_by_place.items()
@@ -121,12 +124,12 @@
             del self.finished_by_place[place]
             del self.disks_by_place[place]
             self._filled_by_group[place.group] -= 1
-            self._complete.discard(place.group)
+            self._complete_groups.discard(place.group)
         return stale
 
     def in_order(self) -> list[Finished]:
-        """Return the samples in the order of delivery."""
-        chosen = set(sorted(self._complete)[: self._needed])
+        """Return the samples to deliver, in order."""
+        chosen = set(sorted(self._complete_groups)[: self._needed_groups])
         return [
             self.finished_by_place[place]
             for place in self.places()
@@ -134,22 +137,22 @@
         ]
 
     def encoded_by_id(self) -> dict[SampleId, bytes]:
-        """Return the samples' bytes by their names."""
+        """Return the encoded samples by id."""
         return {f.id: f.encoded for f in self.finished_by_place.values()}
 
     def sample_digest(self) -> str:
-        """Return the digest of the samples that a manifest would name."""
+        """Return the digest of the samples to deliver."""
         return delivery.digest(f.encoded for f in self.in_order())
 
-    def _size(self, group: GroupNumber) -> int:
+    def _group_size(self, group: GroupNumber) -> int:
         return self.request.groups[group].samples
 
     def decide(self, manifest: Manifest) -> None:
-        """Take the manifest that stands; nothing is made for it any more."""
+        """Set the stored manifest, after which no sample is accepted."""
         self.manifest = manifest
 
     def deliver(self, body: bytes) -> None:
-        """Keep the bytes for further fetches, and only those."""
+        """Keep the encoded delivery for repeated fetches; drop the samples."""
         self.body = body
         self.finished_by_place = {}
         self.disks_by_place = {}
