--- a/packages/yuccarill-core/src/yuccarill/core/jobs/board.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/board.py
@@ -146,9 +146,7 @@
         self._unfinished_by_group: dict[GroupId, int] = {}
         self._started_groups: set[GroupId] = set()
         self._started_runs: dict[ItemId, ItemRun] = {}
-        self._held_by_group: collections.Counter[GroupId] = (
-            collections.Counter()
-        )
+        self._held_items: collections.Counter[GroupId] = collections.Counter()
         # Number of groups whose items all have a result.
         self.whole_groups = 0
         for position, item in enumerate(job.items):
@@ -174,22 +172,22 @@
     @property
     def has_held_groups(self) -> bool:
         """Return whether any group has a suspended item."""
-        return any(self._held_by_group.values())
+        return any(self._held_items.values())
 
     def hold(self, run: ItemRun) -> None:
         """Suspend an item."""
         run.state = RunState.HELD
-        self._held_by_group[run.item.group] += 1
+        self._held_items[run.item.group] += 1
 
     def resume(self, run: ItemRun) -> None:
         """Queue a suspended item again."""
         if run.state is RunState.HELD:
             run.state = RunState.WAITING
-            self._held_by_group[run.item.group] -= 1
+            self._held_items[run.item.group] -= 1
 
     def is_held_group(self, group: GroupId) -> bool:
         """Return whether a group has a suspended item."""
-        return self._held_by_group[group] > 0
+        return self._held_items[group] > 0
 
     def end(self, item_id: ItemId) -> bool:
         """Mark an item as ended; return whether this completes its group."""
@@ -244,7 +242,7 @@
         group = run.item.group
         # A group with a suspended item can't be completed and goes last.
         return (
-            self._held_by_group[group] > 0,
+            self._held_items[group] > 0,
             group not in self._started_groups,
             self._unfinished_by_group[group]
             if group in self._started_groups
@@ -326,13 +324,13 @@
         The longest text decides when a step ends, so items are ordered by
         deadline less expected duration. `pace` is in seconds per event.
         """
-        found = [
+        keyed = [
             (state.due_at - self.seconds_left(run, pace), state.rank(run), run)
             for state in self.jobs_by_id.values()
             for run in state.waiting()
         ]
-        found.sort(key=lambda each: each[:2])
-        return [run for _, _, run in found]
+        keyed.sort(key=lambda each: each[:2])
+        return [run for _, _, run in keyed]
 
     def count_waiting(self) -> int:
         """Count the items that wait for an engine."""
@@ -341,8 +339,8 @@
 
     def seconds_left(self, run: ItemRun, pace: float) -> float:
         """Return the expected seconds until a text is complete."""
-        left = self.lengths.remaining(run.job.model, run.item, run.text.events)
-        return pace * left
+        rest = self.lengths.remaining(run.job.model, run.item, run.text.events)
+        return pace * rest
 
     def is_hurried(self, run: ItemRun, pace: float, now: Instant) -> bool:
         """Return whether a text has too little slack for any delay."""
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/engines.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/engines.py
@@ -72,11 +72,11 @@
 
     def version(self, model: ModelName) -> WeightVersion | None:
         """Return the newest known version of a model on the engine."""
-        listed = self.target.versions_by_model.get(model)
-        seen = self.versions_by_model.get(model)
-        if listed is None or seen is None:
-            return seen if listed is None else listed
-        return max(listed, seen)
+        registered = self.target.versions_by_model.get(model)
+        reported = self.versions_by_model.get(model)
+        if registered is None or reported is None:
+            return reported if registered is None else registered
+        return max(registered, reported)
 
     def saw_version(self, model: ModelName, version: WeightVersion) -> None:
         """Record a version that the engine itself has reported."""
@@ -143,14 +143,14 @@
             if self.speeds is not None:
                 self.speeds.forget(removed)
         for target in listed_by_id.values():
-            known = self.engines_by_id.get(target.id)
-            is_same = known is not None and known.target.is_same_start(target)
+            old = self.engines_by_id.get(target.id)
+            is_same = old is not None and old.target.is_same_start(target)
             if self.speeds is not None:
-                if known is not None and not is_same:
+                if old is not None and not is_same:
                     self.speeds.forget(target.id)
                 self.speeds.follow(target.id, target.start)
-            if known is not None and is_same:
-                known.target = target
+            if old is not None and is_same:
+                old.target = target
                 continue
             # A restarted process begins with a new state. With the versions of
             # the old process, an engine that has restarted with older weights
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/placing.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/placing.py
@@ -107,27 +107,27 @@
         The count is cached, since a scan of all engines for each run is slow.
         """
         needs = (job.model, job.min_version)
-        found = self._free_slots_by_needs.get(needs)
-        if found is None:
-            found = _FreeSlots(
+        free = self._free_slots_by_needs.get(needs)
+        if free is None:
+            free = _FreeSlots(
                 {
                     engine.target.id: self._free_slots(engine, job)
                     for engine in self._fleet.engines_by_id.values()
                 }
             )
-            self._free_slots_by_needs[needs] = found
-        return found.total - found.by_engine.get(without.target.id, 0)
+            self._free_slots_by_needs[needs] = free
+        return free.total - free.by_engine.get(without.target.id, 0)
 
     def moved(self, job: Job) -> None:
         """Subtract a free slot, since an item of a job has moved to it."""
-        found = self._free_slots_by_needs.get((job.model, job.min_version))
-        if found is not None:
-            found.total -= 1
+        free = self._free_slots_by_needs.get((job.model, job.min_version))
+        if free is not None:
+            free.total -= 1
 
     def leave_out(self, engine: EngineState) -> None:
         """Subtract the free slots of an engine that has just failed."""
-        for found in self._free_slots_by_needs.values():
-            found.total -= found.by_engine.pop(engine.target.id, 0)
+        for free in self._free_slots_by_needs.values():
+            free.total -= free.by_engine.pop(engine.target.id, 0)
 
     def _free_slots(self, engine: EngineState, job: Job) -> int:
         if not self._fleet.can_run(engine, job, self._now):
@@ -137,10 +137,10 @@
         return engine.target.slots - engine.running
 
     def _new_heap(self, job: Job) -> list[_Entry]:
-        found = [
+        entries = [
             (self._fleet.cost(engine, self._now), next(self._numbers), engine)
             for engine in self._fleet.engines_by_id.values()
             if self._fleet.can_run(engine, job, self._now)
         ]
-        heapq.heapify(found)
-        return found
+        heapq.heapify(entries)
+        return entries
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/planning.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/planning.py
@@ -86,8 +86,8 @@
             del self._plans_by_job[removed]
             self._planned_at = Instant(-math.inf)
         for name, state in jobs.items():
-            known = self._plans_by_job.get(name)
-            if known is None or known.state is not state:
+            current = self._plans_by_job.get(name)
+            if current is None or current.state is not state:
                 plan = job_plan.JobPlan(state, self._board.lengths)
                 self._plans_by_job[name] = plan
                 self._planned_at = Instant(-math.inf)
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/step_hold.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/step_hold.py
@@ -48,10 +48,10 @@
     def _announced_at(
         self, model: ModelName, version: WeightVersion, now: Instant
     ) -> Instant:
-        known = self._announced_by_model.get(model)
-        if known is None or known[0] != version:
-            known = self._announced_by_model[model] = (version, now)
-        return known[1]
+        announced = self._announced_by_model.get(model)
+        if announced is None or announced[0] != version:
+            announced = self._announced_by_model[model] = (version, now)
+        return announced[1]
 
 
 def _is_placed(
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/text_copies.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/text_copies.py
@@ -36,12 +36,12 @@
 
     def changes(self, texts: Iterable[LeftText]) -> list[TextChange]:
         """Return the changes that the replica lacks; forget other texts."""
-        found = {text.item: text for text in texts}
-        for item in self._texts_by_item.keys() - found.keys():
+        current_by_item = {text.item: text for text in texts}
+        for item in self._texts_by_item.keys() - current_by_item.keys():
             del self._texts_by_item[item]
         return [
             self._change(text)
-            for text in found.values()
+            for text in current_by_item.values()
             if self._texts_by_item.get(text.item) != text
         ]
 
@@ -61,22 +61,22 @@
         self._texts_by_item.clear()
 
     def _change(self, text: LeftText) -> TextChange:
-        known = self._texts_by_item.get(text.item)
-        first = 0 if known is None else len(known.parts)
-        if known is None or text.parts[:first] != known.parts:
+        copied = self._texts_by_item.get(text.item)
+        first = 0 if copied is None else len(copied.parts)
+        if copied is None or text.parts[:first] != copied.parts:
             # The text was restarted, so its copied events are obsolete.
             return TextChange(text=text)
         rest = msgspec.structs.replace(text, parts=text.parts[first:])
         return TextChange(text=rest, first=first)
 
 
-def continued(known: LeftText | None, change: TextChange) -> LeftText | None:
+def continued(copied: LeftText | None, change: TextChange) -> LeftText | None:
     """Apply a change to a copied text; return None if events are missing."""
     if not change.first:
         return change.text
-    if known is None or len(known.parts) < change.first:
+    if copied is None or len(copied.parts) < change.first:
         return None
-    parts = known.parts[: change.first] + change.text.parts
+    parts = copied.parts[: change.first] + change.text.parts
     return msgspec.structs.replace(change.text, parts=parts)
 
 
@@ -85,10 +85,10 @@
 ) -> tuple[TextChange, ...]:
     """Return the leading changes with at most `most` characters."""
     chosen = []
-    left = most
+    remaining = most
     for change in changes:
-        left -= change.size
-        if left < 0:
+        remaining -= change.size
+        if remaining < 0:
             break
         chosen.append(change)
     return tuple(chosen)
@@ -98,7 +98,7 @@
     """Merge replicas; keep the longest copy of each text."""
     texts_by_item: dict[ItemId, LeftText] = {}
     for text in itertools.chain(*copies):
-        known = texts_by_item.get(text.item)
-        if known is None or len(known.parts) < len(text.parts):
+        kept = texts_by_item.get(text.item)
+        if kept is None or len(kept.parts) < len(text.parts):
             texts_by_item[text.item] = text
     return list(texts_by_item.values())
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/triage.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/triage.py
@@ -111,29 +111,29 @@
         step.job: _feasible(step, step.seconds(now), supply.pace)
         for step in steps
     }
-    wanted = {
+    wanted_rates = {
         trainer: _wanted_rate(own, feasible, now)
         for trainer, own in steps_by_trainer.items()
     }
     rates = fairness.max_min(
-        wanted,
+        wanted_rates,
         USABLE_FRACTION * supply.rate,
         _weights(steps),
     )
-    found: dict[JobId, set[GroupId]] = {}
+    groups_by_job: dict[JobId, set[GroupId]] = {}
     for trainer, own in steps_by_trainer.items():
         used = 0.0
         for step in own:
-            room = rates[trainer] * max(0.0, step.seconds(now)) - used
-            selected = _select(feasible[step.job], room)
+            capacity = rates[trainer] * max(0.0, step.seconds(now)) - used
+            selected = _select(feasible[step.job], capacity)
             used += sum(need.work for need in selected)
-            found[step.job] = {need.group for need in selected}
+            groups_by_job[step.job] = {need.group for need in selected}
     below_share = {
         step.job
         for step in steps
-        if rates[step.trainer] >= wanted[step.trainer]
+        if rates[step.trainer] >= wanted_rates[step.trainer]
     }
-    return Choice(groups_by_job=found, modest_jobs=below_share)
+    return Choice(groups_by_job=groups_by_job, modest_jobs=below_share)
 
 
 def _wanted_rate(
@@ -161,11 +161,11 @@
     ]
 
 
-def _select(groups: Sequence[GroupNeed], room: float) -> list[GroupNeed]:
+def _select(groups: Sequence[GroupNeed], capacity: float) -> list[GroupNeed]:
     selected = []
     for need in groups:
-        if need.work <= room:
-            room -= need.work
+        if need.work <= capacity:
+            capacity -= need.work
             selected.append(need)
     return selected
 
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/weights.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/weights.py
@@ -22,8 +22,8 @@
 
 # Fraction of the engines that may change weights at a time, and the minimum.
 # Loads slow down if more engines load at once.
-MAX_LOADING_FRACTION = 0.4
-MIN_LOADING_ENGINES = 2
+LOADING_FRACTION = 0.4
+MIN_LOADING = 2
 # Slots of a model's engines per item of its steps; below 1, since short texts
 # free their slots early.
 SLOTS_PER_ITEM = 0.75
@@ -55,14 +55,12 @@
     each version of every trainer. So an engine follows only some models.
     """
     shares = {
-        model: _engine_count(
-            engines, len(models), items_by_model.get(model, 0)
-        )
+        model: _share(engines, len(models), items_by_model.get(model, 0))
         for model in models
     }
     fair_count = math.ceil(sum(shares.values()) / max(1, len(engines)))
     models_by_engine: dict[TargetId, int] = {}
-    last = {
+    avoided = {
         engine.target.id
         for engine in engines
         if now < engine.ejected_until or fleet.is_slow(engine, now)
@@ -72,7 +70,7 @@
         ordered = sorted(
             engines,
             key=lambda engine: (
-                engine.target.id in last,
+                engine.target.id in avoided,
                 models_by_engine.get(engine.target.id, 0) >= fair_count,
                 # Engines that follow the model stay, so that a change of
                 # the fleet moves few engines.
@@ -88,9 +86,7 @@
     return assigned
 
 
-def _engine_count(
-    engines: Sequence[EngineState], models: int, items: int
-) -> int:
+def _share(engines: Sequence[EngineState], models: int, items: int) -> int:
     """Return the number of engines for a model with so many items per step.
 
     A model gets at least an even share. A step with fewer slots than items
@@ -124,11 +120,8 @@
         fleet, ready, sorted(versions_by_model), items_by_model, now
     )
     busy = sum(1 for engine in ready if engine.switching)
-    room = (
-        max(MIN_LOADING_ENGINES, math.floor(MAX_LOADING_FRACTION * len(ready)))
-        - busy
-    )
-    wanted: list[tuple[float, Switch]] = []
+    room = max(MIN_LOADING, math.floor(LOADING_FRACTION * len(ready))) - busy
+    candidates: list[tuple[float, Switch]] = []
     for model, engines in assigned.items():
         version = versions_by_model[model]
         serving = [e for e in engines if _serves(e, model, version)]
@@ -136,36 +129,36 @@
         spared = {e.target.id for e in _spared(serving, model, len(engines))}
         serving_ids = {engine.target.id for engine in serving}
         # At least one engine keeps serving a model until another one does.
-        left = max(1, len(engines) - 1)
-        left -= sum(1 for e in engines if model in e.switching)
+        allowed = max(1, len(engines) - 1)
+        allowed -= sum(1 for e in engines if model in e.switching)
         for engine in sorted(engines, key=lambda e: e.running):
-            known = engine.version(model) or 0
-            if engine.switching or known >= version:
+            current = engine.version(model) or 0
+            if engine.switching or current >= version:
                 continue
             is_serving = engine.target.id in serving_ids
-            if is_serving and (left <= 0 or model in held):
+            if is_serving and (allowed <= 0 or model in held):
                 continue
             if engine.target.id in spared:
                 continue
-            left -= 1
+            allowed -= 1
             switch = Switch(
                 engine=engine.target.id, model=model, version=version
             )
-            wanted.append((_urgency(engine, known, version), switch))
-    wanted.sort(key=lambda pair: pair[0])
-    return _select([switch for _, switch in wanted], room)
+            candidates.append((_urgency(engine, current, version), switch))
+    candidates.sort(key=lambda pair: pair[0])
+    return _select([switch for _, switch in candidates], room)
 
 
-def _select(wanted: list[Switch], room: int) -> list[Switch]:
-    found: list[Switch] = []
-    taken: set[TargetId] = set()
-    for switch in wanted:
-        if len(found) >= room:
+def _select(candidates: list[Switch], room: int) -> list[Switch]:
+    selected: list[Switch] = []
+    engines: set[TargetId] = set()
+    for switch in candidates:
+        if len(selected) >= room:
             break
-        if switch.engine not in taken:
-            taken.add(switch.engine)
-            found.append(switch)
-    return found
+        if switch.engine not in engines:
+            engines.add(switch.engine)
+            selected.append(switch)
+    return selected
 
 
 def _serves(
@@ -185,11 +178,11 @@
     A weight change interrupts or moves the text, and the longest texts decide
     when a step ends. None is spared if the rest can't serve the next step.
     """
-    found = [engine for engine in serving if model in engine.hurried]
-    return found if len(found) <= MAX_SPARED_FRACTION * count else []
+    urgent = [engine for engine in serving if model in engine.hurried]
+    return urgent if len(urgent) <= MAX_SPARED_FRACTION * count else []
 
 
-def _urgency(engine: EngineState, known: int, version: WeightVersion) -> float:
+def _urgency(engine: EngineState, old: int, version: WeightVersion) -> float:
     # The engine with the oldest weights is of the least use, so it goes first;
     # among equals, the one with the fewest runs to interrupt.
-    return -1000.0 * (version - known) + engine.running
+    return -1000.0 * (version - old) + engine.running
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/engines.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/engines.py
@@ -57,18 +57,18 @@
 
     def set_engines(self, engines: Iterable[TargetId]) -> None:
         """Replace the engines of the pool."""
-        found = set(engines)
-        if found == self._engines:
+        current = set(engines)
+        if current == self._engines:
             return
-        for new in found - self._engines:
+        for new in current - self._engines:
             if self._in_flight[new] < self._slots:
                 self._free[new] = None
-        for removed in self._engines - found:
+        for removed in self._engines - current:
             self._free.pop(removed, None)
-        self._engines = found
+        self._engines = current
         points = sorted(
             (xxhash.xxh3_64_intdigest(f'{engine}|{n}'.encode()), engine)
-            for engine in found
+            for engine in current
             for n in range(POINTS_PER_ENGINE)
         )
         self._points = [point for point, _ in points]
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/placement.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/placement.py
@@ -65,8 +65,8 @@
                 attempt = self._start_waiting(candidate, pool, now)
                 if attempt is None:
                     break
-                begun = plan.finish_tag - size
-                self.virtual_time = max(self.virtual_time, begun)
+                start_tag = plan.finish_tag - size
+                self.virtual_time = max(self.virtual_time, start_tag)
                 started.append(attempt)
         return started
 
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/replicas.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/replicas.py
@@ -43,13 +43,13 @@
     """
     disks_by_id = {d.instance: d for d in disks if d.instance in usable}
     chosen = [d for d in held if disks_by_id.get(d.instance) == d]
-    kept = len(chosen)
+    held_count = len(chosen)
     order = [disks_by_id[i] for i in placement.rank(duty, disks_by_id)]
     while len(chosen) < COPIES:
         centres = {disk.data_centre for disk in chosen}
-        rest = [disk for disk in order if disk not in chosen]
-        rest.sort(key=lambda disk: disk.data_centre in centres)
-        if not rest:
+        candidates = [disk for disk in order if disk not in chosen]
+        candidates.sort(key=lambda disk: disk.data_centre in centres)
+        if not candidates:
             break
-        chosen.append(rest[0])
-    return chosen[kept:]
+        chosen.append(candidates[0])
+    return chosen[held_count:]
--- a/packages/yuccarill-core/tests/jobs/items.py
+++ b/packages/yuccarill-core/tests/jobs/items.py
@@ -34,7 +34,7 @@
 ) -> Job:
     items = tuple(
         Item(
-            id=ItemId(f'{name}-{group}-{place}'),
+            id=ItemId(f'{name}-{group}-{member}'),
             path='/generate',
             headers=(),
             body=b'prompt',
@@ -42,7 +42,7 @@
             group=GroupId(f'{name}-{group}'),
         )
         for group in range(groups)
-        for place in range(size)
+        for member in range(size)
     )
     fields: dict = {
         'max_attempts': 3,
@@ -89,8 +89,8 @@
     )
 
 
-def started(name: str, started_at: int, **versions: int) -> ListedTarget:
-    """Return one start of an engine."""
+def make_started(name: str, started_at: int, **versions: int) -> ListedTarget:
+    """Return an engine that was started at a given time."""
     return msgspec.structs.replace(
         make_target(name, **versions),
         start=TargetStart(started_at=started_at),
--- a/packages/yuccarill-core/tests/jobs/load_model.py
+++ b/packages/yuccarill-core/tests/jobs/load_model.py
@@ -1,9 +1,7 @@
-"""Play a trainer's steps on engines, with a clock and no network.
+"""Simulate a trainer's steps on engines, with a clock and no network.
 
-Figures are those of the deployments: an event each 38 ms, 15 or 28 events a
-text on the average, one text in twelve five times as long, 8 to 16 places an
-engine, groups of 4 to 8 items, of which a trainer waits for nine tenths.
-Clients' hints are right at the median; one in twenty is off by 2.2 and more.
+Texts have exponential lengths, one in twelve is five times as long. A trainer
+waits for nine tenths of its groups. Hints have a lognormal error.
 """
 
 from __future__ import annotations
@@ -28,24 +26,23 @@
 
     from yuccarill.core.ids import TargetId
 
-STEP = 0.01
-GAP = 0.038
-LONG_PART = 0.08
-LONG_TIMES = 5
-WANTED_PART = 0.9
-TOKENS_AN_EVENT = 64
-# Spread of the logarithm of hints.
-HINT_SPREAD = 0.48
+TICK_SECONDS = 0.01
+EVENT_SECONDS = 0.038
+LONG_FRACTION = 0.08
+LONG_FACTOR = 5
+WANTED_FRACTION = 0.9
+TOKENS_PER_EVENT = 64
+# Standard deviation of the logarithm of hints.
+HINT_DEVIATION = 0.48
 
 
 def event(number: int) -> text.StreamEvent:
-    """Return an event of a text."""
     return text.StreamEvent(number=number, data='x')
 
 
 @dataclasses.dataclass
 class Running:
-    """Hold one text that an engine makes."""
+    """Track one text that an engine generates."""
 
     run: board_module.ItemRun
     engine: engines_module.EngineState
@@ -55,7 +52,7 @@
 
 
 class Model:
-    """Run steps under the product's decisions, or under naive ones."""
+    """Run steps with the product's decisions or with naive ones."""
 
     def __init__(
         self,
@@ -65,7 +62,7 @@
         is_naive: bool,
         seed: int = 1,
         mean_events: int = 11,
-        most_events: int = 10_000,
+        max_events: int = 10_000,
     ) -> None:
         self._fleet = items.make_fleet(
             *(
@@ -76,20 +73,20 @@
         self._slowness = slowness
         self._is_naive = is_naive
         self._random = random.Random(seed)
-        self._hints = random.Random(seed)
+        self._hint_random = random.Random(seed)
         self._mean_events = mean_events
-        self._most_events = most_events
+        self._max_events = max_events
         self._board = board_module.JobBoard()
         self._events_by_item: dict[str, int] = {}
-        self._made_by_item: dict[str, int] = {}
+        self._generated_by_item: dict[str, int] = {}
         self._running: list[Running] = []
         self._finished_by_group: dict[str, float] = {}
         self.runs = 0
 
     def play(self, jobs: Mapping[float, int], size: int) -> list[float]:
-        """Submit jobs of so many groups at some times.
+        """Submit jobs, given as the number of groups by time.
 
-        Returns for each the seconds until nine tenths of its groups stand.
+        Returns for each the seconds until the wanted groups are complete.
         """
         arrivals = sorted(jobs.items())
         now = 0.0
@@ -98,7 +95,7 @@
                 at, groups = arrivals.pop(0)
                 self._submit(f'j{at}', groups, size, at)
             self._tick(Instant(now))
-            now += STEP
+            now += TICK_SECONDS
             if now > 120.0:
                 break
         return [self._seconds(at, groups) for at, groups in jobs.items()]
@@ -109,11 +106,13 @@
         for item in job.items:
             events = self._length()
             self._events_by_item[item.id] = events
-            self._made_by_item[item.id] = 0
-            hint = events * self._hints.lognormvariate(0.0, HINT_SPREAD)
+            self._generated_by_item[item.id] = 0
+            hint = events * self._hint_random.lognormvariate(
+                0.0, HINT_DEVIATION
+            )
             hinted.append(
                 msgspec.structs.replace(
-                    item, hinted_tokens=round(hint * TOKENS_AN_EVENT)
+                    item, hinted_tokens=round(hint * TOKENS_PER_EVENT)
                 )
             )
         job = msgspec.structs.replace(job, items=tuple(hinted))
@@ -121,9 +120,9 @@
 
     def _length(self) -> int:
         events = 1 + int(self._random.expovariate(1.0 / self._mean_events))
-        if self._random.random() < LONG_PART:
-            events *= LONG_TIMES
-        return min(events, self._most_events)
+        if self._random.random() < LONG_FRACTION:
+            events *= LONG_FACTOR
+        return min(events, self._max_events)
 
     def _tick(self, now: Instant) -> None:
         for running in list(self._running):
@@ -137,7 +136,7 @@
 
     def _waiting(self) -> list[board_module.ItemRun]:
         if not self._is_naive:
-            return self._board.waiting(GAP)
+            return self._board.waiting(EVENT_SECONDS)
         return [
             run
             for state in self._board.jobs_by_id.values()
@@ -168,20 +167,20 @@
         engine.runs_by_model[run.job.model] += 1
         slowness = self._slowness(engine.target.id, now)
         self._running.append(
-            Running(run, engine, now, now, now + GAP * slowness)
+            Running(run, engine, now, now, now + EVENT_SECONDS * slowness)
         )
 
     def _advance(self, running: Running, now: Instant) -> None:
         if now < running.next_at:
             return
         item = running.run.item
-        self._made_by_item[item.id] += 1
+        self._generated_by_item[item.id] += 1
         if running.last_at > running.started_at:
             running.engine.saw_gap(now - running.last_at, now)
         running.last_at = now
         slowness = self._slowness(running.engine.target.id, now)
-        running.next_at = now + GAP * slowness
-        if self._made_by_item[item.id] >= self._events_by_item[item.id]:
+        running.next_at = now + EVENT_SECONDS * slowness
+        if self._generated_by_item[item.id] >= self._events_by_item[item.id]:
             self._end(running)
             self._board.lengths.learn(
                 running.run.job.model, item, self._events_by_item[item.id]
@@ -218,5 +217,5 @@
             self._finished_by_group.get(f'j{at}-{group}', 999.0)
             for group in range(groups)
         )
-        wanted = max(1, int(WANTED_PART * groups))
+        wanted = max(1, int(WANTED_FRACTION * groups))
         return finished[wanted - 1] - at
--- a/packages/yuccarill-core/tests/jobs/test_board.py
+++ b/packages/yuccarill-core/tests/jobs/test_board.py
@@ -1,4 +1,4 @@
-"""Test which item is run next, and what is kept of ended jobs."""
+"""Test the order of items, and the texts kept from ended jobs."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from . import items
 
 
-def write(run: board_module.ItemRun, version: int, count: int) -> None:
+def add_events(run: board_module.ItemRun, version: int, count: int) -> None:
     run.text.begin_run(WeightVersion(version))
     for number in range(run.text.events + 1, count + 1):
         run.text.take(StreamEvent(number=number, data=f'd{number}'))
 
 
-def listed(item: str) -> ItemResult:
+def make_result(item: str) -> ItemResult:
     return ItemResult(
         id=ItemId(item),
         state=ResultState.COMPLETED,
@@ -35,16 +35,16 @@
 
 
 class OrderTest(unittest.TestCase):
-    def test_jobs_due_first_go_first(self) -> None:
+    def test_jobs_with_the_earliest_deadline_go_first(self) -> None:
         board = board_module.JobBoard()
         board.add(items.make_state(items.make_job('late'), 4.0))
         board.add(items.make_state(items.make_job('early'), 0.0))
         ids = [run.job.id for run in board.waiting()]
         self.assertEqual(['early'] * 4 + ['late'] * 4, ids)
 
-    def test_begun_groups_go_before_new_ones(self) -> None:
-        # A trainer counts whole groups. Item 1 of group 1 runs; its other
-        # item comes before the two of group 0, which nobody has begun.
+    def test_started_groups_go_before_new_ones(self) -> None:
+        # Only complete groups count, so the other item of the started group 1
+        # goes before the items of group 0.
         board = board_module.JobBoard()
         state = items.make_state(items.make_job())
         board.add(state)
@@ -54,21 +54,21 @@
         order = [run.item.id for run in board.waiting()]
         self.assertEqual(['j-1-1', 'j-0-0', 'j-0-1'], order)
 
-    def test_last_item_makes_its_group_whole(self) -> None:
+    def test_last_item_completes_its_group(self) -> None:
         state = items.make_state(items.make_job())
         self.assertFalse(state.end(ItemId('j-0-0')))
         self.assertTrue(state.end(ItemId('j-0-1')))
         self.assertFalse(state.end(ItemId('j-0-1')))
         self.assertFalse(state.is_finished)
 
-    def test_listed_items_are_not_run_again(self) -> None:
+    def test_published_items_are_not_run_again(self) -> None:
         board = board_module.JobBoard()
         state = items.make_state(items.make_job())
-        board.add(state, [listed('j-0-0'), listed('j-0-1')])
+        board.add(state, [make_result('j-0-0'), make_result('j-0-1')])
         order = [run.item.id for run in board.waiting()]
         self.assertEqual(['j-1-0', 'j-1-1'], order)
 
-    def test_expired_items_are_given_up(self) -> None:
+    def test_items_past_retention_expire(self) -> None:
         board = board_module.JobBoard()
         board.add(items.make_state(items.make_job()))
         self.assertEqual([], board.expired(Instant(39.9)))
@@ -76,7 +76,7 @@
 
 
 class FailureTest(unittest.TestCase):
-    def test_an_item_ends_after_its_last_attempt(self) -> None:
+    def test_an_item_fails_after_its_last_attempt(self) -> None:
         state = items.make_state(items.make_job())
         run = state.runs_by_id[ItemId('j-0-0')]
         self.assertIsNone(run.fail())
@@ -85,14 +85,12 @@
         assert result is not None
         self.assertIs(ResultState.FAILED, result.state)
 
-    def test_the_scorers_route_says_how_many_failures_are_enough(
+    def test_the_scorers_route_limits_scoring_failures(
         self,
     ) -> None:
-        """An item was listed as failed while its score could still be had.
+        """Guards against an item that fails by the job's limit of attempts.
 
-        1. The job's route allows 3 attempts, the scorer's route 4.
-        2. The scorer answers three times that it failed.
-        3. The trainer is told that the item failed, and trains without it.
+        The job's route allows 3 attempts, the scorer's route 4.
         """
         state = items.make_state(items.make_job())
         run = state.runs_by_id[ItemId('j-0-0')]
@@ -102,7 +100,7 @@
 
 
 class ReuseTest(unittest.TestCase):
-    """Groups that were not whole come again in the next step."""
+    """The next step repeats the groups that were incomplete."""
 
     def carry(
         self, min_version: int, **more: object
@@ -111,7 +109,7 @@
         state = items.make_state(items.make_job())
         board.add(state)
         run = state.runs_by_id[ItemId('j-0-0')]
-        write(run, version=2, count=3)
+        add_events(run, version=2, count=3)
         run.text.is_whole = bool(more.pop('is_whole', False))
         run.score = 'signed'
         board.remove(state.job.id)
@@ -120,40 +118,38 @@
         whole = board.add(again)
         return again.runs_by_id[ItemId('j-0-0')], whole
 
-    def test_a_begun_text_goes_on(self) -> None:
+    def test_a_partial_text_is_resumed(self) -> None:
         run, whole = self.carry(2)
         self.assertEqual(3, run.text.events)
         self.assertEqual([], whole)
 
-    def test_a_whole_text_needs_no_engine(self) -> None:
+    def test_a_complete_text_needs_no_engine(self) -> None:
         run, whole = self.carry(2, is_whole=True)
         self.assertEqual([run], whole)
         self.assertEqual('signed', run.score)
 
-    def test_a_text_of_too_old_weights_is_made_anew(self) -> None:
+    def test_a_text_of_stale_weights_is_restarted(self) -> None:
         run, _ = self.carry(3)
         self.assertEqual(0, run.text.events)
 
-    def test_what_another_instance_listed_is_not_made_again(self) -> None:
-        """Items were generated twice after their holder was replaced.
+    def test_a_result_of_another_instance_is_reused(self) -> None:
+        """Guards against generating an item twice after a failover.
 
-        1. A holder lists one of a group's two items and is replaced.
-        2. The trainer ends the step: the group was not whole.
-        3. Its next step asks for both; the listed one is taken over.
+        The previous holder has published one of the group's two items.
         """
         board = board_module.JobBoard()
         state = items.make_state(items.make_job(min_version=2))
-        board.add(state, [listed('j-0-0')])
+        board.add(state, [make_result('j-0-0')])
         board.remove(state.job.id)
         again = items.make_state(items.make_job(min_version=2))
         whole = board.add(again)
         self.assertEqual([again.runs_by_id[ItemId('j-0-0')]], whole)
         result = whole[0].completed(str(whole[0].score))
-        self.assertEqual(listed('j-0-0'), result)
+        self.assertEqual(make_result('j-0-0'), result)
 
 
-class HandOnTest(unittest.TestCase):
-    """A board's texts go on at the board of another instance."""
+class HandoverTest(unittest.TestCase):
+    """Another instance resumes the texts of a board."""
 
     def setUp(self) -> None:
         self.before = board_module.JobBoard()
@@ -164,70 +160,67 @@
     def run_of(self, item: str) -> board_module.ItemRun:
         return self.state.runs_by_id[ItemId(item)]
 
-    def hand_on(self, **more: object) -> board_module.JobState:
+    def hand_over(self, **more: object) -> board_module.JobState:
         self.after.leave(self.before.left(listed=()))
         state = items.make_state(items.make_job(min_version=2, **more))
         self.whole = self.after.add(state)
         return state
 
-    def test_a_begun_text_goes_on_after_its_last_event(self) -> None:
-        write(self.run_of('j-0-0'), version=2, count=3)
-        run = self.hand_on().runs_by_id[ItemId('j-0-0')]
+    def test_a_partial_text_resumes_after_its_last_event(self) -> None:
+        add_events(self.run_of('j-0-0'), version=2, count=3)
+        run = self.hand_over().runs_by_id[ItemId('j-0-0')]
         self.assertEqual(('d1', 'd2', 'd3'), run.text.parts)
         self.assertEqual((2,), run.text.versions)
         self.assertIs(board_module.RunState.WAITING, run.state)
 
     def test_the_version_of_a_later_event_is_not_guessed(self) -> None:
-        # The engine that goes on may have other weights.
-        write(self.run_of('j-0-0'), version=2, count=3)
-        run = self.hand_on().runs_by_id[ItemId('j-0-0')]
+        # The engine that resumes the text may have other weights.
+        add_events(self.run_of('j-0-0'), version=2, count=3)
+        run = self.hand_over().runs_by_id[ItemId('j-0-0')]
         with self.assertRaises(text_module.TextBroken):
             run.text.take(StreamEvent(number=4, data='d4'))
 
-    def test_a_result_that_was_not_listed_yet_is_not_made_again(self) -> None:
+    def test_an_unpublished_result_is_reused(self) -> None:
         run = self.run_of('j-0-0')
-        write(run, version=2, count=3)
+        add_events(run, version=2, count=3)
         run.text.is_whole = True
         run.score = 'signed'
         self.state.end(run.item.id)
-        self.hand_on()
+        self.hand_over()
         self.assertEqual(['j-0-0'], [run.item.id for run in self.whole])
         self.assertEqual('signed', self.whole[0].score)
 
-    def test_what_was_listed_is_not_handed_on(self) -> None:
-        # It stands in the store, and each byte between data centres counts.
-        write(self.run_of('j-0-0'), version=2, count=3)
-        write(self.run_of('j-0-1'), version=2, count=3)
+    def test_published_texts_are_not_handed_over(self) -> None:
+        # It is in the store, and traffic between data centres is expensive.
+        add_events(self.run_of('j-0-0'), version=2, count=3)
+        add_events(self.run_of('j-0-1'), version=2, count=3)
         found = self.before.left(listed={ItemId('j-0-0')})
         self.assertEqual(['j-0-1'], [text.item for text in found])
 
     def test_texts_of_open_jobs_come_first(self) -> None:
-        # They are the ones that are cut off where the size is bounded.
-        write(self.run_of('j-0-0'), version=2, count=3)
+        # The end of the list is cut off at the size limit.
+        add_events(self.run_of('j-0-0'), version=2, count=3)
         self.before.remove(self.state.job.id)
         state = items.make_state(items.make_job('k'))
         self.before.add(state)
-        write(state.runs_by_id[ItemId('k-0-0')], version=1, count=1)
+        add_events(state.runs_by_id[ItemId('k-0-0')], version=1, count=1)
         found = self.before.left(listed=())
         self.assertEqual(['k-0-0', 'j-0-0'], [text.item for text in found])
 
 
 class AwaitedTest(unittest.TestCase):
-    """A trainer trains on some of its groups, once they are whole.
-
-    The step has 4 groups of 2 items and is due after 7.5 s.
-    """
+    """The step has 4 groups of 2 items and a deadline of 7.5 s."""
 
     @params(
-        ('none is whole', 3, 0, 1.0, False),
+        ('none is complete', 3, 0, 1.0, False),
         ('fewer than wanted', 3, 2, 1.0, False),
         ('as many as wanted', 3, 3, 1.0, True),
         ('more than wanted', 3, 4, 1.0, True),
-        ('it does not say how many', 0, 1, 1.0, True),
-        ('the step is about to be due', 3, 1, 6.0, True),
-        ('the step is late', 3, 1, 9.0, True),
+        ('no number is given', 0, 1, 1.0, True),
+        ('shortly before the deadline', 3, 1, 6.0, True),
+        ('after the deadline', 3, 1, 9.0, True),
     )
-    def test_when_a_whole_group_is_awaited(
+    def test_when_a_complete_group_is_awaited(
         self, _: str, wanted: int, whole: int, now: float, expected: bool
     ) -> None:
         job = items.make_job(groups=4, wanted_groups=wanted)
--- a/packages/yuccarill-core/tests/jobs/test_hurry.py
+++ b/packages/yuccarill-core/tests/jobs/test_hurry.py
@@ -1,9 +1,7 @@
-"""Test that a change of weights leaves texts alone that can't afford it.
+"""Test that weight changes don't interrupt urgent texts.
 
-The pattern is that of steps whose longest text takes 7.4 s on an engine of its
-own where 8.2 s are in time: three of a hundred texts. Each was moved once or
-twice by changes of weights for the step after, which took it 0.1 to 0.3 s each
-time; the other engines of the model can change meanwhile.
+Guards against steps that miss their deadline since their longest text is moved
+by weight changes for the next step.
 """
 
 from __future__ import annotations
@@ -26,18 +24,18 @@
 
 
 class SparedTest(unittest.TestCase):
-    # Engines, those with a text in a hurry, the version that is named, and
-    # how many of the first are changed in the end.
+    # Engines, engines with an urgent text, announced version, and the number
+    # of engines with an urgent text that change in the end.
     @params(
-        # Few of them: left alone, while the others change.
+        # Few urgent engines keep their weights; the others change.
         (10, 3, 2, 0),
-        # The step after needs more engines than are left.
+        # The next step needs more engines than would be left.
         (4, 3, 2, 3),
-        # Too far behind to serve the step to come: a text there is no reason.
+        # The weights are too old for the next step, so the engines change.
         (10, 3, 3, 3),
         (10, 0, 2, 0),
     )
-    def test_which_engines_are_left_alone(
+    def test_which_engines_keep_their_weights(
         self, count: int, hurried: int, version: int, expected: int
     ) -> None:
         fleet = items.make_fleet(
@@ -58,18 +56,18 @@
         self.assertEqual(count - hurried, len(changed - set(names)))
 
 
-class HurriedTest(unittest.TestCase):
-    # Events of 0.04 s that a text will still have, its due time, the moment.
+class UrgentTest(unittest.TestCase):
+    # Remaining events of 0.04 s each, deadline, current time, and the result.
     @params(
         (100, 7.5, 0.0, False),
         (100, 7.5, 2.0, False),
         (100, 7.5, 2.5, True),
         (10, 7.5, 5.0, False),
         (10, 7.5, 6.5, True),
-        # Late already: each moment counts for its trainer all the same.
+        # A text that is late already stays urgent.
         (10, 7.5, 8.0, True),
     )
-    def test_texts_without_a_second_to_spare(
+    def test_texts_with_little_slack_are_urgent(
         self, events: int, due: float, now: float, expected: bool
     ) -> None:
         found = board.JobBoard()
@@ -80,7 +78,7 @@
         found.seconds_left = lambda run, pace: pace * events
         self.assertIs(expected, found.is_hurried(run, 0.04, Instant(now)))
 
-    def test_a_text_of_an_ended_job_is_in_no_hurry(self) -> None:
+    def test_a_text_of_an_ended_job_is_not_urgent(self) -> None:
         found = board.JobBoard()
         state = items.make_state(items.make_job())
         run = next(state.waiting())
--- a/packages/yuccarill-core/tests/jobs/test_lengths.py
+++ b/packages/yuccarill-core/tests/jobs/test_lengths.py
@@ -1,4 +1,4 @@
-"""Test what is expected of a text that has some events."""
+"""Test the expected remaining length of texts."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 from . import items
 
-TOKENS_AN_EVENT = 64
+TOKENS_PER_EVENT = 64
 
 
 def item(hinted_events: int | None) -> Item:
-    hint = None if hinted_events is None else hinted_events * TOKENS_AN_EVENT
+    hint = None if hinted_events is None else hinted_events * TOKENS_PER_EVENT
     plain = items.make_job().items[0]
     return msgspec.structs.replace(plain, hinted_tokens=hint)
 
 
-def learnt(*ratios: float) -> lengths.TextLengths:
+def learn(*ratios: float) -> lengths.TextLengths:
     found = lengths.TextLengths()
     for ratio in ratios:
         found.learn(items.MODEL, item(100), round(100 * ratio))
@@ -31,36 +31,35 @@
 
 class RemainingTest(unittest.TestCase):
     @params(
-        # ratios seen, hinted events, events made, events left
-        ('hints that are right', (1.0,), 50, 0, 50.0),
-        ('half of them too low', (1.0, 2.0), 50, 0, 75.0),
-        ('past the short ones', (1.0, 2.0), 50, 60, 40.0),
-        ('at the longest', (1.0, 2.0), 50, 100, 25.0),
-        ('past all of them', (1.0, 2.0), 50, 120, 30.0),
+        # Learned ratios, hinted events, events so far, remaining events.
+        ('accurate hints', (1.0,), 50, 0, 50.0),
+        ('half of the hints too low', (1.0, 2.0), 50, 0, 75.0),
+        ('past the short samples', (1.0, 2.0), 50, 60, 40.0),
+        ('at the longest sample', (1.0, 2.0), 50, 100, 25.0),
+        ('past all samples', (1.0, 2.0), 50, 120, 30.0),
     )
     def test_remaining(self, _, ratios, hinted, made, expected):
-        found = learnt(*ratios).remaining(items.MODEL, item(hinted), made)
+        found = learn(*ratios).remaining(items.MODEL, item(hinted), made)
         self.assertAlmostEqual(expected, found)
 
-    def test_hints_order_texts_before_one_has_ended(self):
+    def test_hints_order_texts_without_samples(self):
         found = lengths.TextLengths()
         left = [found.remaining(items.MODEL, item(n), 0) for n in (5, 100)]
         self.assertLess(left[0], left[1])
 
-    def test_texts_without_a_hint_are_measured_among_themselves(self):
-        found = learnt(1.0)
+    def test_texts_without_a_hint_have_their_own_samples(self):
+        found = learn(1.0)
         found.learn(items.MODEL, item(None), 30)
         self.assertEqual(20, found.remaining(items.MODEL, item(None), 10))
 
-    def test_a_trainer_whose_texts_grow_is_followed(self):
-        found = learnt(*[1.0] * 300, *[3.0] * lengths.MAX_RATIOS)
+    def test_estimates_follow_growing_texts(self):
+        found = learn(*[1.0] * 300, *[3.0] * lengths.MAX_RATIOS)
         left = found.remaining(items.MODEL, item(10), 0)
         self.assertAlmostEqual(30.0, left)
 
-    def test_estimates_are_right_on_the_average(self):
-        # Hints as they were measured: right at the median, one in twenty
-        # off by 2.2 and more. What is expected of texts that have got to a
-        # place is what they get, within a tenth.
+    def test_estimates_are_accurate_on_average(self):
+        # The hints have a lognormal error. The estimate matches the mean of
+        # the texts that got as far.
         source = random.Random(7)
         found = lengths.TextLengths()
         for _ in range(lengths.MAX_RATIOS):
--- a/packages/yuccarill-core/tests/jobs/test_placing.py
+++ b/packages/yuccarill-core/tests/jobs/test_placing.py
@@ -1,10 +1,7 @@
-"""Test how thousands of items find their engines at one moment.
+"""Test the placement of thousands of items at once.
 
-The pattern is that of the users' sweep at 100 and 300 instances: 264 and 880
-engines of 8 places, three trainers whose steps have 1,000 and 2,000 items. The
-holder of the duty has half a core to two; looking at each engine for each item
-took it 0.7 and 1.7 ms an item, 1.5 and 10 s for the places that come free when
-a step begins, in which no text was generated.
+Guards against a scan of all engines for each item, which delays all texts at
+the start of a step by seconds on a large fleet.
 """
 
 from __future__ import annotations
@@ -23,23 +20,22 @@
 
 NOW = Instant(10.0)
 MODELS = ('m', 'n')
-# Looks at engines for one item; each place taken costs the sorted order of
-# one engine, and each engine is looked at once for each model and age.
-MAX_LOOKS = 6
+# Maximum checks of engines per placed item, beside one check of each engine.
+MAX_CHECKS = 6
 
 
 class CountedFleet(engines.EngineFleet):
-    """Count how often an engine is looked at."""
+    """Count the checks of engines."""
 
-    looks = 0
+    checks = 0
 
     def can_run(self, *args: object, **more: object) -> bool:
-        self.looks += 1
+        self.checks += 1
         return super().can_run(*args, **more)
 
 
 def random_fleet(draw: random.Random) -> engines.EngineFleet:
-    """Return engines that differ in all that choosing goes by."""
+    """Return engines with random slots, versions, paces and failures."""
     fleet = items.make_fleet(
         *(
             items.make_target(
@@ -64,8 +60,8 @@
 
 
 class PlacingTest(unittest.TestCase):
-    def test_each_item_gets_the_engine_that_is_fastest_then(self) -> None:
-        """The same as looking at every engine for every item."""
+    def test_each_item_gets_the_cheapest_engine(self) -> None:
+        """Compare with a scan of all engines for every item."""
         for seed in range(300):
             draw = random.Random(seed)
             fleet = random_fleet(draw)
@@ -86,8 +82,8 @@
                 if draw.random() < 0.05:
                     chosen.fail(NOW)
 
-    # Other contents at engines, those barred, and the choice among e0, of
-    # one run, e1 and e2.
+    # Other contents by engine, barred engines, and the expected choice; e0 has
+    # one run, e1 and e2 are idle.
     @params(
         ({}, (), 'e1'),
         ({'e1': 1}, (), 'e2'),
@@ -108,7 +104,7 @@
             engine = found.choose(items.make_job(model='m'), others, barred)
             self.assertEqual(expected, engine and engine.target.id)
 
-    def test_free_places_are_those_of_the_others(self) -> None:
+    def test_free_places_are_those_of_other_engines(self) -> None:
         for seed in range(100):
             draw = random.Random(seed)
             fleet = random_fleet(draw)
@@ -116,7 +112,6 @@
             found = placing.Placing(fleet, NOW)
             for engine in fleet.engines_by_id.values():
                 if draw.random() < 0.2:
-                    # It failed, and is left out from now on.
                     failed = draw.choice(list(fleet.engines_by_id.values()))
                     failed.fail(NOW)
                     found.leave_out(failed)
@@ -129,9 +124,9 @@
                 )
                 self.assertEqual(naive, found.free_places(job, engine))
 
-    # Engines, and items of three trainers.
+    # Number of engines and of items.
     @params((22, 300), (264, 3000), (880, 6000))
-    def test_an_item_costs_a_few_looks(self, count: int, many: int) -> None:
+    def test_an_item_costs_few_checks(self, count: int, many: int) -> None:
         fleet = CountedFleet()
         fleet.update(
             items.make_target(f'e{number}', slots=8, m=1)
@@ -147,4 +142,4 @@
             engine.runs_by_model[ModelName('m')] += 1
             placed += 1
         self.assertEqual(min(many, count * 8), placed)
-        self.assertLessEqual(fleet.looks, count + MAX_LOOKS * placed)
+        self.assertLessEqual(fleet.checks, count + MAX_CHECKS * placed)
--- a/packages/yuccarill-core/tests/jobs/test_planning.py
+++ b/packages/yuccarill-core/tests/jobs/test_planning.py
@@ -1,7 +1,7 @@
-"""Test the order in which a plan gives items away.
+"""Test the order of items in a plan, and its cost.
 
-57,344 items and 1,300 engines are the steps of the largest deployment; the
-holder has half a core to two, so a look may cost what has changed and no more.
+Guards against work for all items at each call: a large deployment has 57,344
+items and 1,300 engines.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 
 
 class CountedLengths(lengths.TextLengths):
-    """Count how often a length is worked out."""
+    """Count the estimates of lengths."""
 
-    looks = 0
+    estimates = 0
 
     def expected(self, *args: object, **more: object) -> float:
-        self.looks += 1
+        self.estimates += 1
         return super().expected(*args, **more)
 
 
@@ -65,7 +65,7 @@
 
 
 class FinishPlanTest(unittest.TestCase):
-    def test_what_fits_goes_in_the_order_of_time_to_spare(self) -> None:
+    def test_fitting_items_are_ordered_by_slack(self) -> None:
         for seed in range(20):
             board = make_board(3, 4, 3, seed)
             plan = make_plan(board, 20)
@@ -84,7 +84,7 @@
                 self.assertAlmostEqual(one, other)
 
     def test_each_waiting_item_comes_once(self) -> None:
-        """Guards against items that are put off for good."""
+        """Guards against items that are deferred forever."""
         board = make_board(3, 200, 8)
         plan = make_plan(board, 2)
         for _ in range(3):
@@ -93,7 +93,7 @@
             self.assertEqual(3 * 200 * 8, len(set(found)))
             self.assertEqual(len(set(found)), len(found))
 
-    def test_a_text_that_waits_again_keeps_its_place(self) -> None:
+    def test_a_text_that_waits_again_keeps_its_position(self) -> None:
         board = make_board(1, 10, 4)
         plan = make_plan(board, 20)
         first = next(plan.waiting(PACE, NOW))
@@ -103,34 +103,33 @@
         self.assertIs(first, next(plan.waiting(PACE, NOW)))
 
     @params((1, 22), (7, 1300))
-    def test_a_look_costs_what_is_taken(self, jobs: int, engines: int) -> None:
+    def test_a_call_costs_what_is_taken(self, jobs: int, engines: int) -> None:
         board = make_board(jobs, 1024, 8)
         plan = make_plan(board, engines)
         next(plan.waiting(PACE, NOW))
         counted = board.lengths
         for later in (0.01, 0.02):
-            counted.looks = 0
+            counted.estimates = 0
             waiting = plan.waiting(PACE, Instant(NOW + later))
             for _ in range(50):
                 next(waiting).state = board_module.RunState.RUNNING
-            # Those taken, one of each job that might have come, and those
-            # that have just left.
-            self.assertLessEqual(counted.looks, 50 + 2 * jobs)
+            # The items taken, and up to two others of each job.
+            self.assertLessEqual(counted.estimates, 50 + 2 * jobs)
 
     @params((1, 22), (7, 1300))
-    def test_a_new_plan_looks_at_what_has_begun(
+    def test_a_new_plan_estimates_only_started_groups(
         self, jobs: int, engines: int
     ) -> None:
         board = make_board(jobs, 1024, 8)
         plan = make_plan(board, engines)
         waiting = plan.waiting(PACE, NOW)
-        begun = [next(waiting) for _ in range(50)]
-        for run in begun:
+        started = [next(waiting) for _ in range(50)]
+        for run in started:
             run.state = board_module.RunState.RUNNING
         later = Instant(NOW + planning.PLAN_SECONDS)
         next(plan.waiting(PACE, later))
         counted = board.lengths
-        counted.looks = 0
+        counted.estimates = 0
         next(plan.waiting(PACE, Instant(later + planning.PLAN_SECONDS)))
-        # The items of the groups that have begun, and a few of each job.
-        self.assertLessEqual(counted.looks, 50 * 8 + 4 * jobs)
+        # The items of the started groups, and a few of each job.
+        self.assertLessEqual(counted.estimates, 50 * 8 + 4 * jobs)
--- a/packages/yuccarill-core/tests/jobs/test_shares.py
+++ b/packages/yuccarill-core/tests/jobs/test_shares.py
@@ -1,8 +1,7 @@
-"""Test how a job is divided among the holders of a large service.
+"""Test how a job is divided among the partitions of a large service.
 
-The pattern is that of trainers' steps: 3 to 7 trainers with 8 steps each, of
-groups of 16 items. Each holder has an even part of the engines, so each has
-to get an even part of each step, whatever trainer it is of.
+Each partition has an even part of the engines, so it has to get an even share
+of the steps of every trainer.
 """
 
 from __future__ import annotations
@@ -38,7 +37,7 @@
         retained_until=WallTime(40.0),
         items=tuple(
             Item(
-                id=ItemId(f'{name}-{group}-{place}'),
+                id=ItemId(f'{name}-{group}-{member}'),
                 path='/p',
                 headers=(),
                 body=b'',
@@ -46,17 +45,15 @@
                 group=GroupId(f'{name}-{group}'),
             )
             for group in range(groups)
-            for place in range(GROUP_SIZE)
+            for member in range(GROUP_SIZE)
         ),
     )
 
 
 class DivideTest(unittest.TestCase):
-    # Trainers, holders.
+    # Number of trainers and of partitions.
     @params((3, 3), (3, 9), (7, 9), (7, 15))
-    def test_holders_get_even_parts_of_all_steps(
-        self, models: int, count: int
-    ) -> None:
+    def test_partitions_get_even_shares(self, models: int, count: int) -> None:
         items = [0] * count
         for model in range(models):
             for step in range(8):
@@ -68,7 +65,7 @@
         for number in items:
             self.assertLess(abs(number - even), 0.2 * even)
 
-    def test_each_item_is_in_one_share_and_groups_stay_whole(self) -> None:
+    def test_each_item_is_in_one_share_and_groups_stay_together(self) -> None:
         whole = job('j', 0, 40)
         found = shares.divide(whole, 9)
         ids = [item.id for share in found for item in share.items]
@@ -78,8 +75,8 @@
         self.assertEqual(len(found), len({share.service for share in found}))
         self.assertEqual(len(found), len({share.id for share in found}))
 
-    def test_a_group_that_comes_again_finds_its_part(self) -> None:
-        """Its texts are known to one holder alone, and would be made anew."""
+    def test_a_repeated_group_goes_to_the_same_partition(self) -> None:
+        """Only one partition has the partial texts of a group."""
         whole = job('j', 0, 40)
         later = msgspec.structs.replace(
             whole, id=JobId('k'), items=whole.items[: 10 * GROUP_SIZE]
@@ -101,5 +98,5 @@
             groups = len({item.group for item in share.items})
             self.assertLessEqual(share.wanted_groups, groups)
 
-    def test_parts_without_an_item_get_no_share(self) -> None:
+    def test_partitions_without_items_get_no_share(self) -> None:
         self.assertEqual(1, len(shares.divide(job('j', 0, 1), 9)))
--- a/packages/yuccarill-core/tests/jobs/test_text.py
+++ b/packages/yuccarill-core/tests/jobs/test_text.py
@@ -1,4 +1,4 @@
-"""Test how the text of an item is put together over several runs."""
+"""Test how the text of an item is assembled over several runs."""
 
 from __future__ import annotations
 
@@ -31,21 +31,21 @@
         with self.assertRaises(text_module.TextBroken):
             self.text().take(event(number))
 
-    def test_an_event_twice_is_refused(self) -> None:
+    def test_a_repeated_event_is_refused(self) -> None:
         found = self.text()
         found.take(event(1))
         with self.assertRaises(text_module.TextBroken):
             found.take(event(1))
         self.assertEqual('d1', found.text)
 
-    def test_versions_are_those_that_made_events(self) -> None:
+    def test_versions_are_those_of_the_events(self) -> None:
         found = self.text()
         found.take(event(1))
         found.take(event(2, version=4))
         found.take(event(3))
         self.assertEqual((3, 4), found.versions)
 
-    def test_a_run_without_events_names_no_version(self) -> None:
+    def test_a_run_without_events_adds_no_version(self) -> None:
         found = self.text()
         found.begin_run(WeightVersion(9))
         found.take(event(1))
@@ -71,16 +71,16 @@
         fits = found.fits(WeightVersion(min_version), is_single)
         self.assertEqual(expected, fits)
 
-    def test_cut_and_resumed_runs_give_the_whole_text(self) -> None:
-        """Compare with a naive reader of one run that is never cut."""
-        generator = random.Random(5)
+    def test_interrupted_runs_give_the_complete_text(self) -> None:
+        """Compare with one run that is never interrupted."""
+        draw = random.Random(5)
         for _ in range(200):
-            count = generator.randint(1, 40)
+            count = draw.randint(1, 40)
             naive = '\n'.join(f'd{n}' for n in range(1, count + 1))
             found = text_module.ItemText()
             while found.events < count:
-                found.begin_run(WeightVersion(generator.randint(1, 3)))
-                upto = generator.randint(found.events, count)
-                for number in range(found.events + 1, upto + 1):
+                found.begin_run(WeightVersion(draw.randint(1, 3)))
+                last = draw.randint(found.events, count)
+                for number in range(found.events + 1, last + 1):
                     found.take(event(number))
             self.assertEqual(naive, found.text)
--- a/packages/yuccarill-core/tests/jobs/test_text_copies.py
+++ b/packages/yuccarill-core/tests/jobs/test_text_copies.py
@@ -1,4 +1,4 @@
-"""Test that a copy holds what its texts have, whatever was lost on the way."""
+"""Test that a replica holds prefixes of the texts despite lost writes."""
 
 from __future__ import annotations
 
@@ -33,24 +33,24 @@
             self.copied.copied(change)
         return [(c.first, len(c.text.parts)) for c in changes]
 
-    def test_only_what_is_new_is_copied(self):
+    def test_only_new_events_are_copied(self):
         self.assertEqual([(0, 3)], self.copy(text('a', 3)))
         self.assertEqual(
             [(3, 2), (0, 1)], self.copy(text('a', 5), text('b', 1))
         )
         self.assertEqual([], self.copy(text('a', 5), text('b', 1)))
 
-    def test_a_text_that_was_begun_anew_is_copied_whole(self):
+    def test_a_restarted_text_is_copied_completely(self):
         self.copy(text('a', 3))
         self.assertEqual([(0, 4)], self.copy(text('a', 4, run=1)))
 
-    def test_a_text_that_went_away_is_copied_whole_when_it_is_back(self):
+    def test_a_text_that_returns_is_copied_completely(self):
         self.copy(text('a', 3))
         self.copy()
         self.assertEqual([(0, 4)], self.copy(text('a', 4)))
 
     @params('forget', 'clear')
-    def test_what_is_taken_as_missing_is_copied_whole(self, how):
+    def test_a_missing_text_is_copied_completely(self, how):
         self.copy(text('a', 3))
         if how == 'forget':
             self.copied.forget(ItemId('a'))
@@ -61,11 +61,11 @@
 
 class ContinuedTest(unittest.TestCase):
     @params(
-        ('nothing is known', None, 2, None),
-        ('events between are missing', 1, 2, None),
-        ('it follows', 2, 2, 4),
-        ('it was copied twice', 4, 2, 4),
-        ('a whole text needs none before', None, 0, 4),
+        ('no copy', None, 2, None),
+        ('missing events in between', 1, 2, None),
+        ('next events', 2, 2, 4),
+        ('repeated change', 4, 2, 4),
+        ('complete text without a copy', None, 0, 4),
     )
     def test_continued(self, _, known, first, expected):
         whole = text('a', 4)
@@ -83,22 +83,21 @@
         if found is not None:
             self.assertEqual(whole.parts, found.parts)
 
-    def test_copies_with_writes_lost_hold_a_beginning(self):
-        # Whatever is lost between, a text is either missing or has its own
-        # first events, never those of two runs.
-        source = random.Random(3)
+    def test_replicas_with_lost_writes_hold_a_prefix(self):
+        # Guards against a replica with events of two runs, or with a gap.
+        draw = random.Random(3)
         for _ in range(200):
-            self.play(source)
+            self.play(draw)
 
-    def play(self, source):
+    def play(self, draw):
         copied = text_copies.CopiedTexts()
         held, events, run = None, 0, 0
         for _ in range(20):
-            events += source.randrange(4)
-            if source.random() < 0.1:
+            events += draw.randrange(4)
+            if draw.random() < 0.1:
                 run, events = run + 1, 1
             for change in copied.changes([text('a', events, run)]):
-                if source.random() < 0.3:
+                if draw.random() < 0.3:
                     continue
                 copied.copied(change)
                 held = text_copies.continued(held, change)
@@ -111,7 +110,7 @@
 
 
 class LongestTest(unittest.TestCase):
-    def test_the_copy_with_most_of_a_text_counts(self):
+    def test_the_longest_copy_wins(self):
         found = text_copies.longest(
             [text('a', 3), text('b', 1)], [text('a', 5)], [text('a', 4)]
         )
--- a/packages/yuccarill-core/tests/jobs/test_trainers.py
+++ b/packages/yuccarill-core/tests/jobs/test_trainers.py
@@ -1,9 +1,8 @@
-"""Test that trainers past what engines can do get what can be in time.
+"""Test that overloaded engines complete as many groups in time as they can.
 
-Patterns: trainers of unlike size on engines of unlike speed; moments in which
-an engine is busy with other work; a third of the engines slow for 16 s; three
-times the groups that engines can make. A trainer counts groups in time, and
-one that waits in vain until its patience ends has lost its step.
+Scenarios: trainers of unequal size on engines of unequal speed, pauses of
+engines, a third of the engines slow for 16 s, and three times the groups that
+the engines can complete.
 """
 
 from __future__ import annotations
@@ -16,15 +15,15 @@
 from . import trainer_model
 
 CALM = trainer_model.Slowness()
-MOMENTS = trainer_model.Slowness(moments_part=0.15)
+PAUSES = trainer_model.Slowness(pause_fraction=0.15)
 FAULT = trainer_model.Slowness(
-    moments_part=0.15, faulty_part=0.34, faulty_times=2.2
+    pause_fraction=0.15, faulty_fraction=0.34, faulty_factor=2.2
 )
 SEEDS = (1, 2)
 
 
 def trainers(times: int) -> list[trainer_model.Trainer]:
-    """Return trainers of unlike size; each has its own lists."""
+    """Return trainers of unequal size."""
     return [
         trainer_model.Trainer(
             name=name, groups=groups * times, size=size, mean_events=mean
@@ -60,7 +59,7 @@
 
 
 class TrainersTest(unittest.TestCase):
-    @params(('calm', CALM), ('moments', MOMENTS), ('fault', FAULT))
+    @params(('calm', CALM), ('pauses', PAUSES), ('fault', FAULT))
     def test_steps_that_fit_end_no_later(
         self, name: str, slowness: trainer_model.Slowness
     ) -> None:
@@ -70,16 +69,16 @@
             seconds[is_planned] = longest(models)
             for model in models:
                 for trainer in model.trainers:
-                    # Nine tenths of its groups are what a trainer wants.
+                    # At least nine tenths of the wanted groups.
                     if is_planned:
                         self.assertGreaterEqual(model.served(trainer), 0.9)
         self.assertLessEqual(seconds[True], seconds[False], name)
 
-    @params(('moments', MOMENTS), ('fault', FAULT))
-    def test_what_fits_is_in_time_past_the_engines(
+    @params(('pauses', PAUSES), ('fault', FAULT))
+    def test_fitting_groups_are_in_time_under_overload(
         self, name: str, slowness: trainer_model.Slowness
     ) -> None:
-        """Guards against steps that all end some seconds late together."""
+        """Guards against steps that all miss their deadline."""
         served = {}
         for is_planned in (False, True):
             served[is_planned] = sum(
@@ -88,21 +87,21 @@
                 for model in (play(11, 3, slowness, is_planned, seed, 24.0),)
                 for trainer in model.trainers
             )
-        # A fifth at least more than without a plan.
+        # At least a fifth more than without a plan.
         self.assertGreater(served[True], 1.2 * served[False], name)
 
     def test_a_flood_does_not_delay_another_trainer(self) -> None:
-        """Guards also against a trainer whose first texts seem endless."""
+        """Guards against starvation, also before any text has ended."""
         served = {}
         for is_alone in (False, True):
             served[is_alone] = 0.0
             for seed in SEEDS:
-                asking = [
+                both = [
                     trainer_model.Trainer(name='flood', groups=60, size=8),
                     trainer_model.Trainer(name='small', groups=10, size=8),
                 ]
                 model = trainer_model.TrainerModel(
-                    8, 8, asking[is_alone:], CALM, True, seed
+                    8, 8, both[is_alone:], CALM, True, seed
                 )
                 model.play()
                 served[is_alone] += model.served('small')
--- a/packages/yuccarill-core/tests/jobs/test_triage.py
+++ b/packages/yuccarill-core/tests/jobs/test_triage.py
@@ -1,4 +1,4 @@
-"""Test which groups are worked on first past what engines can do."""
+"""Test which groups run first on overloaded engines."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
         due_at=Instant(due_at),
         groups=[
             triage.GroupNeed(
-                group=GroupId(f'{name}-{place}'), work=work, longest=longest
+                group=GroupId(f'{name}-{index}'), work=work, longest=longest
             )
-            for place, work in enumerate(works)
+            for index, work in enumerate(works)
         ],
     )
 
@@ -41,11 +41,10 @@
 
 
 class TriageTest(unittest.TestCase):
-    # 100 events a second, of which a part is counted on, and 7.8 s.
-    # A hair less, for what rounding takes away.
+    # Planned events in 7.8 s at 100 events per second, less a rounding margin.
     amount = 99.9 * triage.USABLE_FRACTION * 7.8
 
-    def test_what_fits_is_not_short(self) -> None:
+    def test_fitting_steps_are_not_short(self) -> None:
         steps = [
             step('a', [self.amount / 2.1]),
             step('b', [self.amount / 2.1]),
@@ -53,33 +52,33 @@
         self.assertFalse(triage.is_short(steps, SUPPLY, NOW))
         self.assertEqual([1, 1], counts(*steps))
 
-    def test_past_that_a_part_of_each_is_chosen(self) -> None:
+    def test_an_equal_share_of_each_is_chosen_under_overload(self) -> None:
         works = [self.amount / 10.0] * 10
         steps = [step('a', works), step('b', works)]
         self.assertTrue(triage.is_short(steps, SUPPLY, NOW))
         self.assertEqual([5, 5], counts(*steps))
 
-    def test_a_flood_leaves_the_others_what_they_ask_for(self) -> None:
+    def test_a_flood_does_not_reduce_a_small_demand(self) -> None:
         part = self.amount / 10.0
         steps = [step('flood', [part] * 90), step('small', [part] * 2)]
         found = triage.choose_fitting(steps, SUPPLY, NOW)
         self.assertEqual([8, 2], counts(*steps))
         self.assertEqual({'small'}, found.modest_jobs)
 
-    def test_a_trainer_that_is_behind_has_a_credit(self) -> None:
+    def test_a_trainer_that_is_behind_has_a_larger_weight(self) -> None:
         part = self.amount / 12.0
         ahead = step('a', [part] * 12, number=5)
         behind = step('b', [part] * 12, number=4)
         self.assertEqual([5, 6], counts(ahead, behind))
 
-    def test_what_can_not_be_whole_takes_nothing(self) -> None:
-        """Guards against late groups that make others late."""
+    def test_groups_that_can_not_be_complete_get_nothing(self) -> None:
+        """Guards against late groups that delay others."""
         late = step('a', [50.0, 50.0], longest=600.0)
         gone = step('b', [50.0], due_at=-1.0)
         other = step('c', [50.0])
         self.assertEqual([0, 0, 1], counts(late, gone, other))
 
-    def test_the_first_due_step_of_a_trainer_goes_first(self) -> None:
+    def test_the_step_with_the_earliest_deadline_goes_first(self) -> None:
         part = self.amount / 10.0
         first = step('a', [part] * 10, trainer='t', due_at=7.5)
         second = step('b', [part] * 10, trainer='t', due_at=11.5)
--- a/packages/yuccarill-core/tests/jobs/test_weights.py
+++ b/packages/yuccarill-core/tests/jobs/test_weights.py
@@ -1,4 +1,4 @@
-"""Test which engine changes to which weights."""
+"""Test which engines change to which weight versions."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 NOW = Instant(0.0)
 
 
-def named(**versions: int) -> dict[ModelName, WeightVersion]:
+def announced(**versions: int) -> dict[ModelName, WeightVersion]:
     return {ModelName(m): WeightVersion(v) for m, v in versions.items()}
 
 
@@ -40,18 +40,12 @@
         for model in models:
             self.assertEqual(expected, len(found[model]))
 
-    # Engines, items a step, and the engines of 4 places that follow.
+    # Engines of 4 slots, items per step, and engines that follow the model.
     @params((23, 0, 8), (23, 40, 8), (23, 64, 12), (23, 500, 23), (5, 8, 2))
-    def test_large_steps_find_places(
+    def test_large_steps_get_enough_slots(
         self, engine_count: int, item_count: int, expected: int
     ) -> None:
-        """A step of 112 items found 64 places and ran in rounds.
-
-        1. Three models share 23 engines evenly: eight each.
-        2. A step has more items than their places, and the other engines
-           have weights that are too old for it.
-        3. Each round takes as long as its longest text, some seconds.
-        """
+        """Guards against a step that runs in rounds on its even share."""
         fleet = fleet_of(engine_count, a=1)
         models = [ModelName(name) for name in 'abc']
         ready = list(fleet.engines_by_id.values())
@@ -66,7 +60,7 @@
         models = [ModelName(name) for name in 'abc']
         ready = list(fleet.engines_by_id.values())
         found = weights.assign_engines(fleet, ready, models, {}, NOW)
-        used = [e.target.id for engines_ in found.values() for e in engines_]
+        used = [e.target.id for followers in found.values() for e in followers]
         self.assertEqual(6, len(set(used)))
 
     def test_an_engine_that_leaves_changes_only_its_own_models(self) -> None:
@@ -86,41 +80,40 @@
 
 
 class NextSwitchesTest(unittest.TestCase):
-    def test_nothing_to_do(self) -> None:
+    def test_engines_with_the_version_do_not_change(self) -> None:
         fleet = fleet_of(3, m=2)
-        self.assertEqual([], weights.next_switches(fleet, named(m=2), {}, NOW))
+        self.assertEqual(
+            [], weights.next_switches(fleet, announced(m=2), {}, NOW)
+        )
 
     @params((2, 1), (5, 2), (10, 4))
-    def test_only_some_change_at_a_time(
+    def test_few_engines_change_at_a_time(
         self, count: int, expected: int
     ) -> None:
         fleet = fleet_of(count, m=1)
-        found = weights.next_switches(fleet, named(m=2), {}, NOW)
+        found = weights.next_switches(fleet, announced(m=2), {}, NOW)
         self.assertEqual(expected, len(found))
 
-    def test_one_engine_goes_on_serving(self) -> None:
-        """A step stood still while both engines of its model changed.
-
-        1. Version 2 is named, and a step that takes version 1 on begins.
-        2. Two engines follow the model, and two may change at a time.
-        3. If both do, the step has no engine for a second.
-        """
+    def test_one_engine_keeps_serving(self) -> None:
+        """Guards against a step without an engine while both change."""
         fleet = fleet_of(2, m=1)
-        (switch,) = weights.next_switches(fleet, named(m=2), {}, NOW)
+        (switch,) = weights.next_switches(fleet, announced(m=2), {}, NOW)
         fleet.engines_by_id[switch.engine].switching.add(switch.model)
-        self.assertEqual([], weights.next_switches(fleet, named(m=2), {}, NOW))
+        self.assertEqual(
+            [], weights.next_switches(fleet, announced(m=2), {}, NOW)
+        )
 
-    def test_engines_that_serve_nothing_change_at_once(self) -> None:
+    def test_engines_that_serve_nothing_change_immediately(self) -> None:
         fleet = fleet_of(3, m=1)
-        found = weights.next_switches(fleet, named(m=5), {}, NOW)
+        found = weights.next_switches(fleet, announced(m=5), {}, NOW)
         self.assertEqual(2, len(found))
 
     def test_the_model_furthest_behind_goes_first(self) -> None:
         fleet = fleet_of(4, a=1, b=5)
-        found = weights.next_switches(fleet, named(a=4, b=6), {}, NOW)
+        found = weights.next_switches(fleet, announced(a=4, b=6), {}, NOW)
         self.assertEqual('a', found[0].model)
 
-    def test_failed_engines_are_replaced(self) -> None:
+    def test_failed_engines_come_last(self) -> None:
         fleet = fleet_of(3, a=1, b=1)
         for engine in fleet.engines_by_id.values():
             if engine.target.id != TargetId('e0'):
--- a/packages/yuccarill-core/tests/rollouts/test_progress.py
+++ b/packages/yuccarill-core/tests/rollouts/test_progress.py
@@ -1,4 +1,4 @@
-"""Test a trainer's progress against a set that remembers every step."""
+"""Test a trainer's progress against a naive set of steps."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     def test_against_naive_set(
         self, actions: list[tuple[bool, StepNumber]]
     ) -> None:
-        # A step that the naive set knows as closed is never opened again,
-        # and an open step is never taken for closed.
+        # Guards against a closed step that is opened again, and against an
+        # open step that counts as closed.
         progress = progress_module.Progress()
         closed: set[int] = set()
         opened: set[int] = set()
@@ -43,7 +43,7 @@
         self.assertTrue(all(map(progress.is_closed, closed)))
         self.assertFalse(any(map(progress.is_closed, opened)))
 
-    def test_marks_stay_few(self) -> None:
+    def test_closed_steps_collapse_into_the_low_water_mark(self) -> None:
         progress = progress_module.Progress()
         for number in range(1, 1000):
             step = StepNumber(number)
--- a/packages/yuccarill-core/tests/rollouts/test_replicas.py
+++ b/packages/yuccarill-core/tests/rollouts/test_replicas.py
@@ -1,4 +1,4 @@
-"""Test which disks keep a step's samples."""
+"""Test which disks replicate a step's samples."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         ('one disk left', [], {'d1'}, 1),
         ('no disk', [], set(), 0),
     )
-    def test_added(
+    def test_number_of_added_disks(
         self,
         case: str,
         held: list[replicas.Disk],
--- a/packages/yuccarill-core/tests/rollouts/test_sample.py
+++ b/packages/yuccarill-core/tests/rollouts/test_sample.py
@@ -1,4 +1,4 @@
-"""Test the attribution of samples."""
+"""Test the attribution of samples to weight versions."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 class SampleTest(unittest.TestCase):
     @params((2, 0, True), (3, 0, False), (3, 1, True))
-    def test_freshness(self, newest: int, bound: int, fresh: bool) -> None:
-        # Weights are swapped from 2 to 3 in the middle of the stream: the
-        # older span decides, or a stale batch reaches the trainer.
+    def test_freshness(self, newest: int, bound: int, expected: bool) -> None:
+        # Guards against stale samples after a weight change in mid-stream: the
+        # oldest span decides.
         spans = sample.append((), WeightVersion(2), (1, 2))
         spans = sample.append(spans, WeightVersion(2), (3,))
         if newest == 3:
@@ -28,4 +28,4 @@
         found = sample.is_fresh(
             made.oldest_version, WeightVersion(newest), bound
         )
-        self.assertIs(fresh, found)
+        self.assertIs(expected, found)
--- a/packages/yuccarill-core/tests/rollouts/test_scheduler.py
+++ b/packages/yuccarill-core/tests/rollouts/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Test which sample is generated where, under faults of engines."""
+"""Test the scheduling of samples, also with engine failures."""
 
 from __future__ import annotations
 
@@ -50,9 +50,9 @@
 def _work(
     name: str = 't', number: int = 1, groups: int = 2, spare: int = 0
 ) -> work_module.StepWork:
-    asked = tuple(step.Group(f'{name}{n}', 2) for n in range(groups))
+    requested = tuple(step.Group(f'{name}{n}', 2) for n in range(groups))
     request = step.StepRequest(
-        StepNumber(number), WeightVersion(1), asked, spare
+        StepNumber(number), WeightVersion(1), requested, spare
     )
     return work_module.StepWork(TrainerId(name), request, spare)
 
@@ -68,23 +68,22 @@
     def _progress(
         self, attempt: plan.Attempt, version: int = 1, tokens: int = 100
     ) -> bool:
-        told = WeightVersion(version)
-        attempt.spans = sample.append(attempt.spans, told, (7,) * tokens)
-        return self.scheduler.progress(attempt, told, tokens, START)
+        reported = WeightVersion(version)
+        attempt.spans = sample.append(attempt.spans, reported, (7,) * tokens)
+        return self.scheduler.progress(attempt, reported, tokens, START)
 
     @hypothesis.seed(6)
     @hypothesis.settings(deadline=None, database=None, max_examples=60)
     @hypothesis.given(strategies.integers(0, 1 << 30))
     def test_against_a_list_of_places(self, seed: int) -> None:
-        # Engines end attempts well or badly in any order, and engines come
-        # and go. Whatever happens, each place of the plain list comes out
-        # exactly once, no engine runs more than its slots, and no place
-        # runs twice on one engine.
-        source = random.Random(seed)
-        made = scheduler.Scheduler(slots=2)
+        # Engines join, leave and fail attempts at random. Each place is filled
+        # exactly once, no engine exceeds its slots, and no place runs twice on
+        # one engine.
+        draw = random.Random(seed)
+        tested = scheduler.Scheduler(slots=2)
         works = [_work(name, 1, groups=3) for name in ('a', 'b')]
         for work in works:
-            made.open_step(_trainer(work.trainer), work)
+            tested.open_step(_trainer(work.trainer), work)
         wanted = {(w.trainer, place) for w in works for place in w.places()}
         done: collections.Counter[tuple[str, sample.Place]] = (
             collections.Counter()
@@ -93,9 +92,9 @@
         now = 0.0
         for _ in range(2000):
             now += 0.5
-            engines = [e for e in ENGINES if source.random() < 0.8]
-            made.set_engines(MODEL, engines or ENGINES[:1])
-            orders = made.orders(Instant(now))
+            engines = [e for e in ENGINES if draw.random() < 0.8]
+            tested.set_engines(MODEL, engines or ENGINES[:1])
+            orders = tested.orders(Instant(now))
             running = [a for a in running if a not in orders.cancel]
             running.extend(orders.start)
             loads = collections.Counter(a.engine for a in running)
@@ -107,10 +106,10 @@
             self.assertEqual(len(running), len(by_trainer), twice)
             if not running:
                 continue
-            attempt = running.pop(source.randrange(len(running)))
-            if source.random() < 0.3:
-                made.failed(attempt, Instant(now))
-            elif made.generated(attempt, Instant(now)):
+            attempt = running.pop(draw.randrange(len(running)))
+            if draw.random() < 0.3:
+                tested.failed(attempt, Instant(now))
+            elif tested.generated(attempt, Instant(now)):
                 done[attempt.plan.work.trainer, attempt.place] += 1
             if set(done) == wanted:
                 break
@@ -118,15 +117,15 @@
         self.assertEqual({1}, set(done.values()))
 
     def test_resumes_from_the_tokens_so_far(self) -> None:
-        # An engine is killed in the middle of a sample. Its tokens were
-        # received and stay attributed; another engine goes on from them.
+        # Guards against lost tokens if an engine fails in mid-sample: another
+        # engine resumes with them and their attribution.
         self.scheduler.open_step(_trainer(), _work())
         first = self._orders().start[0]
         self._progress(first)
         self.scheduler.failed(first, START)
-        again = self._resumed(first)
-        self.assertEqual(first.spans, again.spans)
-        self.assertNotEqual(first.engine, again.engine)
+        resumed = self._resumed(first)
+        self.assertEqual(first.spans, resumed.spans)
+        self.assertNotEqual(first.engine, resumed.engine)
 
     def _resumed(self, first: plan.Attempt) -> plan.Attempt:
         others = [a for a in self._running(first) if a is not first]
@@ -139,7 +138,7 @@
         return [each for attempts in by_place for each in attempts]
 
     def test_load_is_spread(self) -> None:
-        # Few engines with many slots: each gets as many samples.
+        # Guards against filling one engine while others are idle.
         made = scheduler.Scheduler(slots=16)
         made.set_engines(MODEL, ENGINES)
         made.open_step(_trainer(), _work(groups=6))
@@ -147,9 +146,9 @@
         loads = collections.Counter(attempt.engine for attempt in started)
         self.assertEqual({3}, set(loads.values()))
 
-    def test_failing_engine_rests(self) -> None:
-        # A crashed engine refuses each attempt at once. It must not get the
-        # next one at once, or it would fail every waiting sample in turn.
+    def test_failing_engine_is_paused(self) -> None:
+        # Guards against a crashed engine that fails all waiting samples, since
+        # it becomes free at once.
         self.scheduler.open_step(_trainer(), _work(groups=20))
         crashed = self._orders().start[0]
         self.scheduler.failed(crashed, START)
@@ -160,7 +159,7 @@
         self.assertEqual((), self._orders(3.0).start)
         self.assertEqual(1, len(self._orders(3.6).start))
 
-    def test_a_place_that_never_gets_a_token_is_given_up(self) -> None:
+    def test_a_place_without_any_token_fails(self) -> None:
         self.scheduler.set_engines(MODEL, ENGINES[:1])
         self.scheduler.open_step(_trainer(), _work(groups=1))
         outcomes = []
@@ -174,11 +173,10 @@
         self.assertEqual([True] * (len(outcomes) - 1) + [False], outcomes)
 
     @params((1, 100, 1), (1, 1, 2), (8, 1, 1))
-    def test_only_the_last_few_slow_ones_are_hedged(
+    def test_only_the_last_slow_places_are_hedged(
         self, groups: int, tokens: int, attempts: int
     ) -> None:
-        # One engine is slow to a crawl while the others are idle: its
-        # sample is begun a second time where it is among the step's last.
+        # A very slow sample is hedged if it is one of the last of its step.
         work = _work(groups=groups)
         self.scheduler.open_step(_trainer(), work)
         slow, *others = self._orders().start
@@ -192,8 +190,8 @@
         )
 
     def test_hedges_are_few(self) -> None:
-        # Four of four samples are slow at once, as after a swap of weights.
-        # Beginning all again would only take engines from other trainers.
+        # Guards against hedging all samples after a weight change, which would
+        # take engines from other trainers.
         self.scheduler.set_engines(MODEL, [f'e{n}' for n in range(8)])
         policy = inventory.IdleFirst(hedge_part=0.5)
         self.scheduler.open_step(_trainer(policy=policy), _work())
@@ -213,19 +211,19 @@
         hedge = made.orders(Instant(START + 11.0)).start[0]
         self.assertNotEqual(slow.engine, hedge.engine)
 
-    def test_waiting_beginning_goes_stale(self) -> None:
-        # A sample waits for a free engine, with tokens of version 1, when
-        # version 3 is announced. It is begun anew.
+    def test_waiting_partial_sample_becomes_stale(self) -> None:
+        # A partial sample of version 1 waits when version 3 is announced, and
+        # is restarted.
         self.scheduler.set_engines(MODEL, ENGINES[:1])
         self.scheduler.open_step(_trainer(), _work(groups=1))
         first = self._orders().start[0]
         self._progress(first, version=1)
         self.scheduler.failed(first, START)
         self.scheduler.raise_newest(TrainerId('t'), WeightVersion(3))
-        again = self._orders(60.0).start[0]
-        self.assertEqual((first.place, ()), (again.place, again.spans))
+        restarted = self._orders(60.0).start[0]
+        self.assertEqual((first.place, ()), (restarted.place, restarted.spans))
 
-    def test_the_first_of_two_wins(self) -> None:
+    def test_the_first_finished_attempt_wins(self) -> None:
         self.scheduler.open_step(_trainer(), _work(groups=1))
         slow, other = self._orders().start
         self._progress(other, tokens=3000)
@@ -236,8 +234,8 @@
         self.assertEqual((slow,), self._orders(10.0).cancel)
         self.assertFalse(self.scheduler.generated(slow, START))
 
-    def test_stale_attempt_is_cut_off_and_made_anew(self) -> None:
-        # Version 3 is announced while a sample of version 1 is under way.
+    def test_stale_attempt_is_cancelled_and_restarted(self) -> None:
+        # Version 3 is announced while a sample of version 1 runs.
         self.scheduler.open_step(_trainer(), _work())
         old, young, other, _ = self._orders().start
         self._progress(old, version=1)
@@ -246,12 +244,12 @@
         self.scheduler.generated(other, START)
         orders = self._orders()
         self.assertEqual((old,), orders.cancel)
-        anew = next(a for a in orders.start if a.place == old.place)
-        self.assertEqual((), anew.spans)
+        restarted = next(a for a in orders.start if a.place == old.place)
+        self.assertEqual((), restarted.spans)
 
     def test_engine_with_old_weights_is_tried_later(self) -> None:
-        # An engine whose swap failed still serves version 1. Its first
-        # chunk shows that, and it is left alone for a while.
+        # An engine whose weight change failed still reports version 1. It gets
+        # nothing for a while.
         self.scheduler.set_engines(MODEL, ENGINES[:1])
         self.scheduler.open_step(_trainer(), _work())
         self.scheduler.raise_newest(TrainerId('t'), WeightVersion(3))
@@ -261,8 +259,8 @@
 
     @params((0, 1, 1), (1, 1, 2), (5, 1, 2), (5, 2, 3))
     def test_steps_ahead(self, ahead: int, bound: int, steps: int) -> None:
-        # What is made further ahead than the staleness bound would be too
-        # old when its turn comes.
+        # Samples further ahead than the staleness bound would be stale when
+        # their step is delivered.
         self.scheduler.set_engines(MODEL, [f'e{n}' for n in range(99)])
         policy = inventory.IdleFirst(steps_ahead=ahead)
         trainer = _trainer(bound=bound, policy=policy)
@@ -276,8 +274,7 @@
         self.assertEqual({steps + 1}, started)
 
     def test_shares(self) -> None:
-        # Two trainers submit without end; one has three times the share.
-        # Steps are served whole, in the order of their weighted finish.
+        # Two trainers submit all the time, one with three times the share.
         served: collections.Counter[str] = collections.Counter()
         for name, share in (('a', 3), ('b', 1)):
             for number in range(1, 41):
@@ -294,8 +291,8 @@
         self.assertAlmostEqual(3.0, served['a'] / served['b'], delta=0.3)
 
     def test_late_trainer_does_not_starve_the_others(self) -> None:
-        # A trainer that was away for a hundred steps is served in turn, not
-        # for a hundred steps in a row.
+        # Guards against a trainer that catches up on a hundred missed steps
+        # before all others.
         for number in range(1, 101):
             work = _work('a', number)
             self.scheduler.open_step(_trainer('a'), work)
@@ -312,8 +309,8 @@
                 self.scheduler.generated(attempt, START)
         self.assertIn('a', order[4:8])
 
-    def test_one_engine_goes_on_with_its_group(self) -> None:
-        # Members of a group share their prompt, which the engine keeps.
+    def test_an_engine_continues_its_group(self) -> None:
+        # Members of a group share their prompt, which the engine caches.
         self.scheduler.open_step(_trainer(), _work(groups=8))
         first = self._orders().start[0]
         self.scheduler.generated(first, START)
@@ -321,8 +318,8 @@
         self.assertEqual(first.place.group, following.place.group)
         self.assertEqual(first.engine, following.engine)
 
-    def test_closed_step_is_forgotten(self) -> None:
-        # A closed step may hold tens of megabytes of samples.
+    def test_closed_step_is_released(self) -> None:
+        # Guards against a memory leak: a step may hold megabytes of samples.
         work = _work()
         self.scheduler.open_step(_trainer(), work)
         for attempt in self._orders().start:
@@ -334,7 +331,7 @@
         gc.collect()
         self.assertIsNone(kept())
 
-    def test_settled_step_is_cut_off(self) -> None:
+    def test_settled_step_is_cancelled(self) -> None:
         work = _work(groups=2, spare=1)
         self.scheduler.open_step(_trainer(), work)
         running = set(self._orders().start)
--- a/packages/yuccarill-core/tests/rollouts/test_work.py
+++ b/packages/yuccarill-core/tests/rollouts/test_work.py
@@ -34,8 +34,8 @@
         )
 
     def test_place_is_filled_once(self) -> None:
-        # A hedged attempt finishes after the first one, or the scorer
-        # answers twice: the step keeps the first and is not whole early.
+        # Guards against counting a place twice after a hedged attempt or a
+        # repeated scorer response.
         place, *others = self.work.places()
         self.assertTrue(self.work.take(_finished(self.work, place, 1)))
         for _ in range(2):
@@ -46,8 +46,8 @@
         self.assertTrue(self.work.is_whole)
         self.assertEqual([1, 3, 3], [f.oldest_version for f in self._all()])
 
-    def test_nothing_is_taken_after_the_end(self) -> None:
-        # Attempts still under way when the step fails or closes end late.
+    def test_late_samples_are_rejected(self) -> None:
+        # Attempts may end after their step has failed or closed.
         self.work.error = errors.GroupFailed('a group failed')
         place = self.work.places()[0]
         self.assertFalse(self.work.take(_finished(self.work, place, 1)))
@@ -63,8 +63,7 @@
         return self.work.in_order()
 
     def test_spare_group_may_be_left_out(self) -> None:
-        # One of two groups can't be finished. The step is whole without
-        # it, and delivers the other alone.
+        # One of two groups fails; the step delivers the other one alone.
         work = self._spare_work()
         self.assertTrue(work.give_up(GroupNumber(0)))
         for place in work.missing():
