--- a/packages/yuccarill-core/src/yuccarill/core/jobs/board.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/board.py
@@ -42,7 +42,7 @@
     """Enumerate the states of an item."""
 
     WAITING = 'waiting'
-    # Suspended, since several engines stopped while they ran the item.
+    # Suspended, since engines stopped while they ran the item.
     HELD = 'held'
     RUNNING = 'running'
     SCORING = 'scoring'
@@ -71,7 +71,7 @@
         self.failures = 0
         self.score_failures = 0
 
-    def reuse(self, partial: left_text.LeftText) -> bool:
+    def resume(self, partial: left_text.LeftText) -> bool:
         """Resume from a partial text; return False if it does not fit."""
         if partial.body_digest != left_text.body_digest(self.item):
             return False
@@ -85,7 +85,7 @@
             self.score = partial.score
         return True
 
-    def left(self) -> left_text.LeftText:
+    def partial_text(self) -> left_text.LeftText:
         """Return the partial text with its score."""
         if not self._body_digest:
             self._body_digest = left_text.body_digest(self.item)
@@ -274,7 +274,7 @@
         whole = []
         for run in list(state.waiting()):
             text = self._partial_texts_by_id.pop(run.item.id, None)
-            if text is not None and run.reuse(text) and run.text.is_whole:
+            if text is not None and run.resume(text) and run.text.is_whole:
                 whole.append(run)
         return whole
 
@@ -286,7 +286,9 @@
         # The trainer requests incomplete groups again in the next step,
         # which resumes from their partial texts.
         self.leave(
-            run.left() for run in state.runs_by_id.values() if run.text.events
+            run.partial_text()
+            for run in state.runs_by_id.values()
+            if run.text.events
         )
         return state
 
@@ -312,7 +314,7 @@
     def unlisted(self, listed: Container[ItemId]) -> list[left_text.LeftText]:
         """Return the texts of open jobs whose results are unpublished."""
         return [
-            run.left()
+            run.partial_text()
             for state in self.jobs_by_id.values()
             for run in state.runs_by_id.values()
             if run.text.events and run.item.id not in listed
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/job_plan.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/job_plan.py
@@ -20,8 +20,8 @@
 # Ratio of expected lengths from which the needs of groups are rescaled.
 RESCALE_RATIO = 1.05
 
-# Sort key of an item, the lowest first, and the item's run.
-Key = tuple[float, int, 'ItemRun']
+# Two sort keys of an item, the lowest first, and its run.
+Ranked = tuple[float, int, 'ItemRun']
 
 
 class JobPlan:
@@ -46,7 +46,7 @@
         self._length_scale = self._current_scale()
         # Groups that had not started at the last update, the smallest first.
         self._unstarted_needs = sorted(
-            (self._need(group) for group in self._runs_by_group),
+            (self._group_need(group) for group in self._runs_by_group),
             key=_need_work,
         )
         self._started_needs: list[triage.GroupNeed] = []
@@ -66,7 +66,7 @@
         events = run.text.events
         return self._lengths.expected(run.job.model, run.item, events)
 
-    def _need(self, group: GroupId) -> triage.GroupNeed:
+    def _group_need(self, group: GroupId) -> triage.GroupNeed:
         lengths = [
             self._events(run)
             for run in self._runs_by_group[group]
@@ -87,7 +87,7 @@
             ]
         self._rescale()
         self._started_needs = sorted(
-            (self._need(group) for group in started), key=_need_work
+            (self._group_need(group) for group in started), key=_need_work
         )
 
     def _rescale(self) -> None:
@@ -101,7 +101,7 @@
             need.work *= ratio
             need.longest *= ratio
 
-    def step(self) -> triage.StepNeed:
+    def step_need(self) -> triage.StepNeed:
         """Return the remaining need of the step."""
         state = self.state
         # Started groups first, then the smallest of the others.
@@ -116,7 +116,7 @@
             groups=groups,
         )
 
-    def divide(self, fitting: set[GroupId]) -> None:
+    def set_fitting_groups(self, fitting: set[GroupId]) -> None:
         """Record the fitting groups and defer the others."""
         self.fitting_groups = fitting
         needs = [*self._started_needs, *self._unstarted_needs]
@@ -128,7 +128,7 @@
         )
         self._candidates = []
 
-    def _fitting_runs(self) -> Iterator[ItemRun]:
+    def _scan_fitting(self) -> Iterator[ItemRun]:
         """Iterate over the runs of fitting groups, the longest first.
 
         Runs are scanned lazily, once per plan.
@@ -148,7 +148,7 @@
         """Return the number of deferred groups."""
         return len(self._deferred_needs)
 
-    def first(self, pace: float) -> Iterator[Key]:
+    def fitting_runs(self, pace: float) -> Iterator[Ranked]:
         """Return the runs of fitting groups, the least slack first."""
         started = [
             run
@@ -157,27 +157,27 @@
         ]
         return heapq.merge(
             sorted(self._with_deadlines(started, pace), key=sort_key),
-            self._with_deadlines(_without_events(self._fitting_runs()), pace),
+            self._with_deadlines(_without_events(self._scan_fitting()), pace),
             key=sort_key,
         )
 
     def _with_deadlines(
         self, runs: Iterable[ItemRun], pace: float
-    ) -> Iterator[Key]:
+    ) -> Iterator[Ranked]:
         for run in runs:
             seconds = pace * self._events(run)
             yield self.state.due_at - seconds, run.position, run
 
-    def last(self) -> Iterator[Key]:
+    def deferred_runs(self) -> Iterator[Ranked]:
         """Return the runs of deferred groups, the smallest group first."""
         for need in sorted(self._deferred_needs, key=_need_work):
             for run in _waiting(self._runs_by_group[need.group]):
                 yield need.work, run.position, run
 
 
-def sort_key(key: Key) -> tuple[float, int]:
-    """Return the key without the run, which has no order."""
-    return key[:2]
+def sort_key(ranked: Ranked) -> tuple[float, int]:
+    """Return the sort key without the run, which has no order."""
+    return ranked[:2]
 
 
 def _need_work(need: triage.GroupNeed) -> float:
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/planning.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/planning.py
@@ -77,8 +77,8 @@
         # Trainers below their fair share go before those above it.
         for is_below_share in (True, False):
             chosen = [p for p in plans if p.is_below_share is is_below_share]
-            yield from _merged([p.first(pace) for p in chosen])
-        yield from _merged([p.last() for p in plans])
+            yield from _merged([p.fitting_runs(pace) for p in chosen])
+        yield from _merged([p.deferred_runs() for p in plans])
 
     def _update_plans(self, now: Instant) -> None:
         jobs = self._board.jobs_by_id
@@ -99,7 +99,7 @@
         plans = self._plans_by_job.values()
         for plan in plans:
             plan.update()
-        steps = [plan.step() for plan in plans]
+        steps = [plan.step_need() for plan in plans]
         supply = self._supply(now)
         self.is_short = self._are_lengths_known() and triage.is_short(
             steps, supply, now
@@ -110,7 +110,7 @@
             choice = triage.choose_all(steps)
         for plan in plans:
             name = plan.state.job.id
-            plan.divide(choice.groups_by_job[name])
+            plan.set_fitting_groups(choice.groups_by_job[name])
             plan.is_below_share = name in choice.modest_jobs
 
     def _are_lengths_known(self) -> bool:
@@ -178,8 +178,8 @@
         return events * pace_gain - MOVE_SECONDS
 
 
-def _merged(orders: Iterable[Iterator[job_plan.Key]]) -> Iterator[ItemRun]:
-    return (key[2] for key in heapq.merge(*orders, key=job_plan.sort_key))
+def _merged(orders: Iterable[Iterator[job_plan.Ranked]]) -> Iterator[ItemRun]:
+    return (entry[2] for entry in heapq.merge(*orders, key=job_plan.sort_key))
 
 
 def _serves(
