--- a/packages/yuccarill-core/src/yuccarill/core/jobs/board.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/board.py
@@ -42,7 +42,7 @@
     """Enumerate the states of an item."""
 
     WAITING = 'waiting'
-    # Suspended, since engines stopped while they ran the item.
+    # Suspended after engines have failed while they ran the item.
     HELD = 'held'
     RUNNING = 'running'
     SCORING = 'scoring'
@@ -59,8 +59,8 @@
         self.position = position
         self.state = RunState.WAITING
         self.text = text_module.ItemText()
-        # Digests of the request and of the scoring call, cached since the
-        # standby's copy compares all texts several times a second.
+        # Digests of the request and of the scoring call, cached since all
+        # texts are copied to the standby several times a second.
         self._body_digest = b''
         self._scoring_digest = b''
         # Digest of the item's request, computed on first use.
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/engines.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/engines.py
@@ -34,7 +34,7 @@
 # the usual pace, and at least this many seconds.
 SILENT_FACTOR = 10.0
 MIN_SILENCE_SECONDS = 0.4
-# Seconds that a run stays at an engine before it may move for its pace.
+# Seconds that a run stays on an engine before a slow pace may move it.
 MIN_STAY = 0.25
 # Multiple of the median pace from which an engine counts as slow.
 SLOW_FACTOR = 2.0
@@ -152,9 +152,9 @@
             if old is not None and is_same:
                 old.target = target
                 continue
-            # A restarted process begins with a new state. With the versions of
-            # the old process, an engine that has restarted with older weights
-            # would get items that it can't run, and no order to change. Runs
+            # A restarted process gets a new state. If it kept the versions of
+            # the old process, an engine that restarts with older weights would
+            # get items that it can't run, and no order to load new ones. Runs
             # of the old process keep its state until their connection ends.
             self.engines_by_id[target.id] = EngineState(target=target)
 
@@ -178,7 +178,7 @@
     def estimate(
         self, engine: EngineState, beside: int, now: Instant
     ) -> PaceEstimate:
-        """Return the pace of a run beside a number of other runs."""
+        """Return the expected pace of a run beside `beside` other runs."""
         if self.speeds is not None:
             return self.speeds.pace(engine.target.id, beside, now)
         pace = engine.known_pace(now) or self.usual_pace(now)
@@ -242,7 +242,7 @@
             state = self.speeds.state(engine.target.id, now)
             return state is SpeedState.FAULTY
         usual = self.usual_pace(now) or 0.0
-        return _slowness(engine, usual, now) >= SLOW_FACTOR
+        return _relative_pace(engine, usual, now) >= SLOW_FACTOR
 
     def is_held_up(
         self,
@@ -284,7 +284,7 @@
         )
 
 
-def _slowness(engine: EngineState, usual: float, now: Instant) -> float:
+def _relative_pace(engine: EngineState, usual: float, now: Instant) -> float:
     pace = engine.known_pace(now)
     if pace is None or usual <= 0.0:
         return 1.0
@@ -292,8 +292,8 @@
 
 
 def _load_cost(engine: EngineState, usual: float, now: Instant) -> float:
-    slowness = _slowness(engine, usual, now)
+    ratio = _relative_pace(engine, usual, now)
     load = (engine.running + 1) / max(1, engine.target.slots)
     # Slow engines come last whatever their load, since the last item of a
     # group decides when the group is complete.
-    return load + math.floor(slowness / SLOW_FACTOR) * 10.0 + slowness * 0.1
+    return load + math.floor(ratio / SLOW_FACTOR) * 10.0 + ratio * 0.1
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/job_plan.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/job_plan.py
@@ -43,7 +43,7 @@
         )
         self._unscanned_runs = iter(self._ordered_runs)
         self._candidates: list[ItemRun] = []
-        self._length_scale = self._current_scale()
+        self._length_scale = self._reference_length()
         # Groups that had not started at the last update, the smallest first.
         self._unstarted_needs = sorted(
             (self._group_need(group) for group in self._runs_by_group),
@@ -54,8 +54,8 @@
         self.fitting_groups: set[GroupId] = set()
         self.is_below_share = True
 
-    def _current_scale(self) -> float:
-        """Return the expected events of the first item."""
+    def _reference_length(self) -> float:
+        """Return the reference length: the expected events of one item."""
         if not self.state.job.items:
             return 1.0
         item = self.state.job.items[0]
@@ -92,7 +92,7 @@
 
     def _rescale(self) -> None:
         """Rescale the needs of unstarted groups to the learned lengths."""
-        scale = self._current_scale()
+        scale = self._reference_length()
         ratio = scale / max(1e-9, self._length_scale)
         if 1.0 / RESCALE_RATIO < ratio < RESCALE_RATIO:
             return
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/lengths.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/lengths.py
@@ -76,13 +76,13 @@
     def _remaining(
         self, samples: _LengthRatios | None, item: Item, events: int
     ) -> float:
-        unit = _hinted_length(item)
+        hinted = _hinted_length(item)
         if samples is None:
-            return max(0.0, unit - events)
-        mean = samples.mean_above(events / unit)
+            return max(0.0, hinted - events)
+        mean = samples.mean_above(events / hinted)
         if mean is None:
             return events * EXTRA_FRACTION
-        return mean * unit - events
+        return mean * hinted - events
 
 
 class _LengthRatios:
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/placing.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/placing.py
@@ -90,7 +90,7 @@
         while heap:
             cost, _, engine = heap[0]
             if not self._fleet.can_run(engine, job, self._now):
-                # Full since its entry was pushed, or ejected.
+                # Became full or was ejected after its entry was pushed.
                 heapq.heappop(heap)
                 continue
             current = self._fleet.cost(engine, self._now)
@@ -119,7 +119,7 @@
         return free.total - free.by_engine.get(without.target.id, 0)
 
     def moved(self, job: Job) -> None:
-        """Subtract a free slot, since an item of a job has moved to it."""
+        """Subtract the free slot that a moved run of a job will use."""
         free = self._free_slots_by_needs.get((job.model, job.min_version))
         if free is not None:
             free.total -= 1
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/planning.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/planning.py
@@ -114,7 +114,7 @@
             plan.is_below_share = name in choice.modest_jobs
 
     def _are_lengths_known(self) -> bool:
-        # Without samples the hints have an unknown unit.
+        # Without samples, the number of events per hinted token is unknown.
         return all(
             self._board.lengths.has_samples(plan.state.job.items[0])
             for plan in self._plans_by_job.values()
@@ -189,10 +189,10 @@
 ) -> bool:
     if engine.target.is_leaving or now < engine.ejected_until:
         return False
-    for model, least in needs:
+    for model, min_version in needs:
         if model is None:
             return True
         version = engine.version(model)
-        if version is not None and version >= least:
+        if version is not None and version >= min_version:
             return True
     return False
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/standby.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/standby.py
@@ -7,7 +7,7 @@
 from yuccarill.core.ids import Instant
 
 # Seconds without a message after which the holder counts as lost. The holder
-# sends one each 0.5 s, so two messages may be late.
+# sends one each 0.5 s, so two may be late, such as during a short freeze.
 SILENT_SECONDS = 1.2
 # Seconds for which a standby runs on after the store has recovered: the lease
 # of 2.5 s expires meanwhile, and a successor takes over. The time is shorter
@@ -21,8 +21,8 @@
 
     The standby runs only while the store is unavailable after the holder has
     fallen silent, since nobody can acquire the lease then. While the store is
-    available, the lease decides who runs: a holder that is partitioned from
-    its standby alone runs on, and both would send one text to two engines.
+    available, the lease decides who runs: a holder that is partitioned only
+    from its standby still runs, and both would run the same texts.
     """
 
     def __init__(self) -> None:
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/text.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/text.py
@@ -88,8 +88,8 @@
             raise TextBroken(
                 f'Event {event.number} does not follow event {self.events}.'
             )
-        # The version is not guessed from the last ordered weight change: the
-        # sample would be attributed to weights that did not generate it.
+        # A guess from the last requested weight change could attribute the
+        # sample to weights that did not generate it.
         if self._current_version is None:
             raise TextBroken('The engine reports no weight version.')
         self._parts.append(event.data)
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/triage.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/triage.py
@@ -23,9 +23,9 @@
 # Fraction of the engines' throughput that is planned: texts run longer than
 # expected, and the last ones leave slots empty.
 USABLE_FRACTION = 0.8
-# Minimum fraction of the expected length; the hints are inaccurate.
+# Lower bound of actual by expected length; the hints are inaccurate.
 MIN_LENGTH_FRACTION = 0.5
-# Maximum of steps behind the foremost trainer that raise a weight.
+# Steps behind the foremost trainer beyond which a weight grows no further.
 MAX_STEPS_BEHIND = 2
 # Weight that a trainer gains for each step that it is behind.
 WEIGHT_PER_STEP_BEHIND = 0.25
@@ -68,7 +68,7 @@
     """Hold the groups that run before all others."""
 
     groups_by_job: dict[JobId, set[GroupId]]
-    # Jobs of trainers that need less than their fair share.
+    # Jobs of trainers that need no more than their fair share.
     modest_jobs: set[JobId]
 
 
@@ -175,9 +175,9 @@
     newest: dict[str, int] = {}
     for step in steps:
         newest[step.trainer] = max(newest.get(step.trainer, 0), step.step)
-    first = max(newest.values(), default=0)
+    foremost = max(newest.values(), default=0)
     return {
         trainer: 1.0
-        + WEIGHT_PER_STEP_BEHIND * min(MAX_STEPS_BEHIND, first - number)
+        + WEIGHT_PER_STEP_BEHIND * min(MAX_STEPS_BEHIND, foremost - number)
         for trainer, number in newest.items()
     }
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/weights.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/weights.py
@@ -120,7 +120,7 @@
         fleet, ready, sorted(versions_by_model), items_by_model, now
     )
     busy = sum(1 for engine in ready if engine.switching)
-    room = max(MIN_LOADING, math.floor(LOADING_FRACTION * len(ready))) - busy
+    limit = max(MIN_LOADING, math.floor(LOADING_FRACTION * len(ready))) - busy
     candidates: list[tuple[float, Switch]] = []
     for model, engines in assigned.items():
         version = versions_by_model[model]
@@ -146,14 +146,14 @@
             )
             candidates.append((_urgency(engine, current, version), switch))
     candidates.sort(key=lambda pair: pair[0])
-    return _select([switch for _, switch in candidates], room)
+    return _select([switch for _, switch in candidates], limit)
 
 
-def _select(candidates: list[Switch], room: int) -> list[Switch]:
+def _select(candidates: list[Switch], limit: int) -> list[Switch]:
     selected: list[Switch] = []
     engines: set[TargetId] = set()
     for switch in candidates:
-        if len(selected) >= room:
+        if len(selected) >= limit:
             break
         if switch.engine not in engines:
             engines.add(switch.engine)
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/delivery.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/delivery.py
@@ -26,10 +26,10 @@
 
 def digest(samples: Iterable[bytes]) -> str:
     """Return the digest of encoded samples, which depends on their order."""
-    total = xxhash.xxh3_128()
+    hasher = xxhash.xxh3_128()
     for encoded in samples:
-        total.update(encoded)
-    return total.hexdigest()
+        hasher.update(encoded)
+    return hasher.hexdigest()
 
 
 def encode(
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/engines.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/engines.py
@@ -88,8 +88,8 @@
             found = self._choose_near(prefix, allows)
             if found is not None:
                 return found
-        # The least loaded one, or a single engine would be filled while
-        # others are idle.
+        # The least loaded, since taking the first free engine would fill it
+        # while others are idle.
         return min(
             (engine for engine in self._free if allows(engine)),
             key=self._in_flight.__getitem__,
@@ -122,7 +122,7 @@
         heapq.heappush(self._paused, (until, engine))
 
     def pause(self, engine: TargetId, until: Instant) -> None:
-        """Send nothing to an engine for a time."""
+        """Start no attempts on an engine until a given time."""
         if not self._is_paused(engine):
             self._free.pop(engine, None)
             heapq.heappush(self._paused, (until, engine))
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/lanes.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/lanes.py
@@ -46,7 +46,7 @@
         return next((plan for plan in self.plans if plan.work is work), None)
 
     def startable_plans(self) -> list[tuple[int, StepPlan]]:
-        """Return the plans that may start places, with their steps ahead."""
+        """Return the plans with waiting places and their queue positions."""
         limit = min(_steps_ahead(self.trainer), self.trainer.staleness_bound)
         return [
             (ahead, plan)
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/placement.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/placement.py
@@ -150,8 +150,8 @@
 ) -> Iterator[Attempt]:
     plan = candidate.plan
     policy = candidate.lane.trainer.policy
-    few = max(1, policy.hedge_part * plan.size)
-    if plan.has_waiting or len(plan.unfilled) > few:
+    max_unfilled = max(1, policy.hedge_part * plan.size)
+    if plan.has_waiting or len(plan.unfilled) > max_unfilled:
         return
     for attempts in list(plan.attempts_by_place.values()):
         first = attempts[0]
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/replicas.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/replicas.py
@@ -14,7 +14,7 @@
     from collections.abc import Iterable
     from collections.abc import Set
 
-# One replica survives the loss of a data centre.
+# Number of replicas; one of two survives the loss of a data centre.
 COPIES = 2
 
 DISKS_KEY = 'disks'
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/sample.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/sample.py
@@ -64,8 +64,8 @@
 
     The incarnation distinguishes the attempts of two holders.
     """
-    where = f'{trainer}/{step}/{place.group}/{place.member}'
-    return SampleId(f'{where}/{incarnation}.{attempt}')
+    prefix = f'{trainer}/{step}/{place.group}/{place.member}'
+    return SampleId(f'{prefix}/{incarnation}.{attempt}')
 
 
 def place_of(sample: SampleId) -> Place:
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/scheduler.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/scheduler.py
@@ -26,7 +26,7 @@
     from yuccarill.core.rollouts.work import StepWork
 
 DEFAULT_SLOTS = 16
-# Consecutive attempts without a token after which a place has failed.
+# Consecutive failures without any token after which a place has failed.
 MAX_FAILURES = 8
 RATE_WEIGHT = 0.02
 QUEUEING_PAUSE_SECONDS = 1.0
@@ -49,7 +49,7 @@
         self._history = engine_history.EngineHistory()
         self._placement = placement.Placement(self._history)
         self._cancelled: list[Attempt] = []
-        # Moving average of successful attempts, to detect slow ones.
+        # Moving average tokens per second of successful attempts, for hedging.
         self._mean_rate = 0.0
 
     def plan_of(self, work: StepWork) -> StepPlan | None:
@@ -141,8 +141,8 @@
         self._mean_rate = self._mean_rate or rate
         self._mean_rate += RATE_WEIGHT * (rate - self._mean_rate)
         plan = attempt.plan
-        for twin in list(plan.attempts_by_place.get(attempt.place, ())):
-            self._cancel(twin)
+        for other in list(plan.attempts_by_place.get(attempt.place, ())):
+            self._cancel(other)
         is_first = attempt.place in plan.unfilled
         plan.fill(attempt.place)
         return is_first
--- a/packages/yuccarill-core/tests/jobs/load_model.py
+++ b/packages/yuccarill-core/tests/jobs/load_model.py
@@ -52,7 +52,7 @@
 
 
 class Model:
-    """Run steps with the product's decisions or with naive ones."""
+    """Run steps with the decisions of `yuccarill.core` or naive ones."""
 
     def __init__(
         self,
--- a/packages/yuccarill-core/tests/jobs/test_board.py
+++ b/packages/yuccarill-core/tests/jobs/test_board.py
@@ -102,7 +102,7 @@
 class ReuseTest(unittest.TestCase):
     """The next step repeats the groups that were incomplete."""
 
-    def carry(
+    def resubmit(
         self, min_version: int, **more: object
     ) -> tuple[board_module.ItemRun, list[board_module.ItemRun]]:
         board = board_module.JobBoard()
@@ -119,17 +119,17 @@
         return again.runs_by_id[ItemId('j-0-0')], whole
 
     def test_a_partial_text_is_resumed(self) -> None:
-        run, whole = self.carry(2)
+        run, whole = self.resubmit(2)
         self.assertEqual(3, run.text.events)
         self.assertEqual([], whole)
 
     def test_a_complete_text_needs_no_engine(self) -> None:
-        run, whole = self.carry(2, is_whole=True)
+        run, whole = self.resubmit(2, is_whole=True)
         self.assertEqual([run], whole)
         self.assertEqual('signed', run.score)
 
     def test_a_text_of_stale_weights_is_restarted(self) -> None:
-        run, _ = self.carry(3)
+        run, _ = self.resubmit(3)
         self.assertEqual(0, run.text.events)
 
     def test_a_result_of_another_instance_is_reused(self) -> None:
@@ -191,7 +191,7 @@
         self.assertEqual('signed', self.whole[0].score)
 
     def test_published_texts_are_not_handed_over(self) -> None:
-        # It is in the store, and traffic between data centres is expensive.
+        # Results are in the store; traffic between data centres is expensive.
         add_events(self.run_of('j-0-0'), version=2, count=3)
         add_events(self.run_of('j-0-1'), version=2, count=3)
         found = self.before.left(listed={ItemId('j-0-0')})
--- a/packages/yuccarill-core/tests/jobs/test_placing.py
+++ b/packages/yuccarill-core/tests/jobs/test_placing.py
@@ -126,7 +126,7 @@
 
     # Number of engines and of items.
     @params((22, 300), (264, 3000), (880, 6000))
-    def test_an_item_costs_few_checks(self, count: int, many: int) -> None:
+    def test_an_item_costs_few_checks(self, count: int, total: int) -> None:
         fleet = CountedFleet()
         fleet.update(
             items.make_target(f'e{number}', slots=8, m=1)
@@ -135,11 +135,11 @@
         found = placing.Placing(fleet, NOW)
         job = items.make_job(model='m')
         placed = 0
-        for _ in range(many):
+        for _ in range(total):
             engine = found.choose(job)
             if engine is None:
                 break
             engine.runs_by_model[ModelName('m')] += 1
             placed += 1
-        self.assertEqual(min(many, count * 8), placed)
+        self.assertEqual(min(total, count * 8), placed)
         self.assertLessEqual(fleet.checks, count + MAX_CHECKS * placed)
--- a/packages/yuccarill-core/tests/jobs/test_shares.py
+++ b/packages/yuccarill-core/tests/jobs/test_shares.py
@@ -81,14 +81,14 @@
         later = msgspec.structs.replace(
             whole, id=JobId('k'), items=whole.items[: 10 * GROUP_SIZE]
         )
-        part_by_group = {
+        partition_by_group = {
             item.group: share.service
             for share in shares.divide(whole, 9)
             for item in share.items
         }
         for share in shares.divide(later, 9):
             for item in share.items:
-                self.assertEqual(part_by_group[item.group], share.service)
+                self.assertEqual(partition_by_group[item.group], share.service)
 
     def test_shares_want_as_many_groups_as_the_job(self) -> None:
         found = shares.divide(job('j', 0, 40, wanted=36), 9)
--- a/packages/yuccarill-core/tests/jobs/test_step_hold.py
+++ b/packages/yuccarill-core/tests/jobs/test_step_hold.py
@@ -72,7 +72,7 @@
         self.assertTrue(self.held(1.0))
 
     def test_engines_too_old_for_the_step_load_at_once(self) -> None:
-        # They can't run the step in any case.
+        # Engines with these weights can't run the step in any case.
         fleet = items.make_fleet(
             *(items.make_target(f'e{n}', m=0) for n in range(5))
         )
--- a/packages/yuccarill-core/tests/jobs/test_trainers.py
+++ b/packages/yuccarill-core/tests/jobs/test_trainers.py
@@ -23,7 +23,7 @@
 
 
 def trainers(times: int) -> list[trainer_model.Trainer]:
-    """Return trainers of unequal size."""
+    """Return trainers of unequal size, their groups multiplied by `times`."""
     return [
         trainer_model.Trainer(
             name=name, groups=groups * times, size=size, mean_events=mean
--- a/packages/yuccarill-core/tests/jobs/trainer_model.py
+++ b/packages/yuccarill-core/tests/jobs/trainer_model.py
@@ -311,7 +311,7 @@
             self._pauses[pause] = self._noise.random() < faults.pause_fraction
         if self._pauses[pause]:
             factor *= PAUSE_FACTOR
-        # Spread faults over all speeds.
+        # Distribute the faulty engines over all speeds.
         is_faulty = (number * 0.618) % 1.0 < faults.faulty_fraction
         if is_faulty and faults.fault_starts_at <= now < faults.fault_ends_at:
             factor *= faults.faulty_factor
