--- a/tools/calls_model.py
+++ b/tools/calls_model.py
@@ -1,4 +1,4 @@
-"""Model targets and load for measuring policies with a fake clock."""
+"""Simulate targets and load on a fake clock to compare call policies."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-SIGMA = 0.4
-DEADLINES = {CallerClass.LATENCY: 10.0, CallerClass.INTERNAL: 60.0}
-LATENCY_PART = 0.3
-NEAR_SECONDS = 0.001
-FAR_SECONDS = 0.005
+SERVICE_TIME_SIGMA = 0.4
+DEADLINE_SECONDS = {CallerClass.LATENCY: 10.0, CallerClass.INTERNAL: 60.0}
+LATENCY_SHARE = 0.3
+LOCAL_DELAY_SECONDS = 0.001
+REMOTE_DELAY_SECONDS = 0.005
 
 
 class Scenario(enum.Enum):
-    """Name what goes wrong between two instants of a run."""
+    """List the faults that a run can inject."""
 
     NONE = 'no fault'
     SLOW = '5% of targets 5 times slower'
@@ -38,76 +38,78 @@
 
 
 class Loop:
-    """Run events in the order of their instants."""
+    """Run scheduled events in order of time."""
 
     def __init__(self) -> None:
         self.now = Instant(0.0)
         self._events: list[Any] = []
         self._numbers = itertools.count()
 
-    def at(self, seconds: float, act: Callable[..., None], *a: Any) -> None:
-        """Run a function some seconds from now."""
-        entry = (self.now + seconds, next(self._numbers), act, a)
+    def schedule(
+        self, delay: float, callback: Callable[..., None], *arguments: Any
+    ) -> None:
+        """Run a function after a delay in seconds."""
+        entry = (self.now + delay, next(self._numbers), callback, arguments)
         heapq.heappush(self._events, entry)
 
     def run(self, until: float) -> None:
-        """Run all events up to an instant."""
+        """Run all events up to the given time."""
         while self._events and self._events[0][0] <= until:
-            instant, _, act, arguments = heapq.heappop(self._events)
+            instant, _, callback, arguments = heapq.heappop(self._events)
             self.now = Instant(instant)
-            act(*arguments)
+            callback(*arguments)
 
 
 @dataclasses.dataclass(frozen=True)
 class Size:
-    """Set how much of everything there is."""
+    """Set the size of the simulated system."""
 
     targets: int = 1300
     instances: int = 22
-    centres: int = 11
+    data_centres: int = 11
     slots: int = 2
-    seconds: float = 2.4
-    load: float = 760.0
+    service_seconds: float = 2.4
+    request_rate: float = 760.0
     has_priorities: bool = True
 
     @property
     def capacity(self) -> float:
-        return self.targets * self.slots / self.seconds
+        return self.targets * self.slots / self.service_seconds
 
 
 @dataclasses.dataclass(eq=False)
 class Request:
-    """Hold one request and how it ended."""
+    """Record one request and its outcome."""
 
-    begun: float
+    started_at: float
     caller_class: CallerClass
-    seconds: float
+    service_seconds: float
     instance: int
-    ended: float | None = None
-    answered: bool = False
+    ended_at: float | None = None
+    is_answered: bool = False
 
     @property
     def deadline(self) -> Instant:
-        return Instant(self.begun + DEADLINES[self.caller_class])
+        return Instant(self.started_at + DEADLINE_SECONDS[self.caller_class])
 
     @property
     def is_good(self) -> bool:
-        return self.answered and self.ended <= self.deadline
+        return self.is_answered and self.ended_at <= self.deadline
 
     @property
     def is_refused_in_time(self) -> bool:
         return (
-            self.ended is not None
-            and not self.answered
-            and self.ended < self.deadline
+            self.ended_at is not None
+            and not self.is_answered
+            and self.ended_at < self.deadline
         )
 
 
 class Target:
     """Serve some calls at once and queue the rest."""
 
-    def __init__(self, loop: Loop, size: Size, centre: int) -> None:
-        self.centre = centre
+    def __init__(self, loop: Loop, size: Size, data_centre: int) -> None:
+        self.data_centre = data_centre
         self.slowness = 1.0
         self.is_crashed = False
         self.is_frozen = False
@@ -115,7 +117,7 @@
         self._loop = loop
         self._slots = size.slots
         self._busy = 0
-        # Engines honour priorities; plain targets serve in order.
+        # Engines serve by priority, other targets in order of arrival.
         self._queue: list[Any] = []
         self._numbers = itertools.count()
         self._has_priorities = size.has_priorities
@@ -129,7 +131,7 @@
         caller_class: CallerClass,
         reply: Callable[[LoadReport | None], None],
     ) -> None:
-        """Take a call; reply with a report, or none if it is refused."""
+        """Accept a call; reply with a load report, or None on failure."""
         if self.is_crashed:
             reply(None)
         elif self.is_frozen:
@@ -137,14 +139,14 @@
         elif self._busy < self._slots:
             self._begin(seconds, reply)
         else:
-            is_later = caller_class is CallerClass.INTERNAL
-            rank = is_later and self._has_priorities
+            is_internal = caller_class is CallerClass.INTERNAL
+            rank = is_internal and self._has_priorities
             entry = (rank, next(self._numbers), seconds, reply)
             heapq.heappush(self._queue, entry)
-        self._note()
+        self._record_load()
 
     def crash(self) -> None:
-        """Drop all calls and refuse new ones."""
+        """Fail all calls and refuse new ones."""
         self.is_crashed = True
         for entry in self._queue:
             entry[-1](None)
@@ -152,19 +154,19 @@
 
     def _begin(self, seconds: float, reply: Callable[..., None]) -> None:
         self._busy += 1
-        self._loop.at(seconds * self.slowness, self._end, reply)
+        self._loop.schedule(seconds * self.slowness, self._end, reply)
 
     def _end(self, reply: Callable[..., None]) -> None:
         self._busy -= 1
         if self._queue and not self.is_frozen and not self.is_crashed:
             self._begin(*heapq.heappop(self._queue)[2:])
-        self._note()
+        self._record_load()
         if self.is_crashed:
             reply(None)
         elif not self.is_frozen:
             reply(self._report())
 
-    def _note(self) -> None:
+    def _record_load(self) -> None:
         entry = (self._loop.now, self._busy, len(self._queue))
         self._history.append(entry)
         while (
@@ -179,7 +181,7 @@
 
 
 class World:
-    """Hold the targets and send the load, open loop."""
+    """Hold the targets and send them an open-loop load."""
 
     def __init__(self, size: Size, scenario: Scenario, seed: int) -> None:
         self.size = size
@@ -188,44 +190,46 @@
         self.generator = random.Random(seed)
         self.requests: list[Request] = []
         self.targets = [
-            Target(self.loop, size, n % size.centres)
+            Target(self.loop, size, n % size.data_centres)
             for n in range(size.targets)
         ]
-        self.load = size.load
+        self.request_rate = size.request_rate
         if scenario is Scenario.LAGGING:
             for target in self.targets:
                 target.report_lag = 5.0
 
     def run(self, policy: Any, begin: float, end: float, until: float) -> None:
-        """Send load until an instant, with the fault in between."""
-        self.loop.at(0.0, self._arrive, policy, until)
-        self.loop.at(begin, self._break)
-        self.loop.at(end, self._mend)
-        self.loop.run(until + max(DEADLINES.values()) + 5.0)
+        """Send load until a time, with the fault from begin to end."""
+        self.loop.schedule(0.0, self._arrive, policy, until)
+        self.loop.schedule(begin, self._inject_fault)
+        self.loop.schedule(end, self._clear_fault)
+        self.loop.run(until + max(DEADLINE_SECONDS.values()) + 5.0)
 
     def delay(self, instance: int, target: Target) -> float:
-        """Return the seconds on the way, one way."""
-        near = instance % self.size.centres == target.centre
-        return NEAR_SECONDS if near else FAR_SECONDS
+        """Return the one-way network delay in seconds."""
+        is_local = instance % self.size.data_centres == target.data_centre
+        return LOCAL_DELAY_SECONDS if is_local else REMOTE_DELAY_SECONDS
 
     def _arrive(self, policy: Any, until: float) -> None:
         now = self.loop.now
         if now >= until:
             return
         draw = self.generator
-        is_latency = draw.random() < LATENCY_PART
-        mean = math.log(self.size.seconds) - SIGMA**2 / 2
+        is_latency = draw.random() < LATENCY_SHARE
+        mean = math.log(self.size.service_seconds) - SERVICE_TIME_SIGMA**2 / 2
         request = Request(
             now,
             CallerClass.LATENCY if is_latency else CallerClass.INTERNAL,
-            draw.lognormvariate(mean, SIGMA),
+            draw.lognormvariate(mean, SERVICE_TIME_SIGMA),
             draw.randrange(self.size.instances),
         )
         self.requests.append(request)
-        self.loop.at(draw.expovariate(self.load), self._arrive, policy, until)
+        self.loop.schedule(
+            draw.expovariate(self.request_rate), self._arrive, policy, until
+        )
         policy.arrive(request)
 
-    def _break(self) -> None:
+    def _inject_fault(self) -> None:
         match self.scenario:
             case Scenario.SLOW:
                 for target in self.targets[::20]:
@@ -237,10 +241,10 @@
                 for target in self.targets[::33]:
                     target.is_frozen = True
             case Scenario.OVERLOAD:
-                self.load = 2.0 * self.size.capacity
+                self.request_rate = 2.0 * self.size.capacity
 
-    def _mend(self) -> None:
-        self.load = self.size.load
+    def _clear_fault(self) -> None:
+        self.request_rate = self.size.request_rate
         for target in self.targets:
             target.slowness = 1.0
             target.is_crashed = False
--- a/tools/calls_policies.py
+++ b/tools/calls_policies.py
@@ -1,4 +1,4 @@
-"""The policies that are measured: the project's, a naive one, an oracle."""
+"""Call policies to compare: the project's, a naive one and an oracle."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 
 
 class Attempt:
-    """Be one attempt at a target."""
+    """Track one attempt at a target."""
 
     def __init__(self, run: Run, target: TargetId, now: float) -> None:
         self.run = run
         self.target = target
-        self.begun = now
+        self.started_at = now
         self.is_over = False
 
 
 class Run:
-    """Hold an admitted request's attempts."""
+    """Track the attempts of an admitted request."""
 
     def __init__(self, request: calls_model.Request) -> None:
         self.request = request
@@ -44,28 +44,28 @@
 
 
 class Yuccarill:
-    """Drive core's decisions as the daemon does."""
+    """Make calls with the product's dispatcher, as the daemon does."""
 
     def __init__(self, world: calls_model.World, seed: int) -> None:
         self._world = world
         self._loop = world.loop
         self.attempts = 0
         size = world.size
-        centres = {
-            TargetId(str(n)): DataCentreId(str(target.centre))
+        data_centres = {
+            TargetId(str(n)): DataCentreId(str(target.data_centre))
             for n, target in enumerate(world.targets)
         }
         self.dispatchers = []
         for n in range(size.instances):
-            made = dispatcher.Dispatcher[Any](
+            router = dispatcher.Dispatcher[Any](
                 dispatcher.Policy(), random.Random(seed * 1000 + n)
             )
-            here = DataCentreId(str(n % size.centres))
-            made.pool.update(centres, here, Instant(0.0))
-            self.dispatchers.append(made)
+            here = DataCentreId(str(n % size.data_centres))
+            router.pool.update(data_centres, here, Instant(0.0))
+            self.dispatchers.append(router)
 
     def arrive(self, request: calls_model.Request) -> None:
-        made = self.dispatchers[request.instance]
+        router = self.dispatchers[request.instance]
         waiting = admission.Waiting(
             request,
             CallerId(request.caller_class.value),
@@ -73,13 +73,13 @@
             1,
             request.deadline,
         )
-        for refused in made.offer(waiting, self._loop.now):
+        for refused in router.offer(waiting, self._loop.now):
             self._refuse(refused)
         self._admit(request.instance)
         if waiting.is_queued:
-            patience = request.deadline - made.expected
-            seconds = max(0.0, patience - self._loop.now)
-            self._loop.at(seconds, self._expire, waiting)
+            latest_start = request.deadline - router.expected
+            delay = max(0.0, latest_start - self._loop.now)
+            self._loop.schedule(delay, self._expire, waiting)
 
     def _expire(self, waiting: Any) -> None:
         if waiting.is_queued:
@@ -87,12 +87,12 @@
             self._refuse(waiting)
 
     def _refuse(self, waiting: Any) -> None:
-        waiting.item.ended = self._loop.now
+        waiting.item.ended_at = self._loop.now
 
     def _admit(self, instance: int) -> None:
-        made = self.dispatchers[instance]
-        admitted, given_up = made.admit(self._loop.now)
-        for waiting in given_up:
+        router = self.dispatchers[instance]
+        admitted, expired = router.admit(self._loop.now)
+        for waiting in expired:
             self._refuse(waiting)
         for waiting in admitted:
             self._attempt(Run(waiting.item))
@@ -100,9 +100,9 @@
     def _attempt(self, run: Run) -> None:
         now = self._loop.now
         request = run.request
-        made = self.dispatchers[request.instance]
+        router = self.dispatchers[request.instance]
         is_urgent = request.caller_class is CallerClass.LATENCY
-        target = made.pool.choose(now, run.tried, is_urgent)
+        target = router.pool.choose(now, run.tried, is_urgent)
         if target is None:
             if not run.open:
                 self._end(run, False)
@@ -111,41 +111,41 @@
         attempt = Attempt(run, target, now)
         run.tried |= {target}
         run.open += 1
-        made.pool.send(target)
-        left = max(1, made.policy.attempts - len(run.tried) + 1)
-        until = deadlines.attempt_deadline(
-            now, request.deadline, left, made.limit.unloaded
+        router.pool.send(target)
+        attempts_left = max(1, router.policy.attempts - len(run.tried) + 1)
+        retry_at = deadlines.attempt_deadline(
+            now, request.deadline, attempts_left, router.limit.unloaded
         )
-        self._loop.at(until - now, self._rescue, attempt)
-        self._loop.at(request.deadline - now, self._time_out, attempt)
-        place = self._world.targets[int(target)]
-        way = self._world.delay(request.instance, place)
+        self._loop.schedule(retry_at - now, self._retry_if_pending, attempt)
+        self._loop.schedule(request.deadline - now, self._time_out, attempt)
+        model = self._world.targets[int(target)]
+        delay = self._world.delay(request.instance, model)
 
         def reply(report: LoadReport | None) -> None:
-            self._loop.at(way, self._reply, attempt, report)
+            self._loop.schedule(delay, self._reply, attempt, report)
 
-        seconds = request.seconds
-        kind = request.caller_class
-        self._loop.at(way, place.arrive, seconds, kind, reply)
-        hedge = made.hedge_after()
+        seconds = request.service_seconds
+        caller_class = request.caller_class
+        self._loop.schedule(delay, model.arrive, seconds, caller_class, reply)
+        hedge = router.hedge_after()
         if (
             request.caller_class is CallerClass.LATENCY
             and hedge is not None
             and len(run.tried) == 1
         ):
-            self._loop.at(hedge, self._hedge, attempt)
+            self._loop.schedule(hedge, self._hedge, attempt)
 
     def _hedge(self, attempt: Attempt) -> None:
         run = attempt.run
         if attempt.is_over or run.is_over:
             return
-        made = self.dispatchers[run.request.instance]
-        if made.hedge_after() is not None and made.hedges.withdraw():
+        router = self.dispatchers[run.request.instance]
+        if router.hedge_after() is not None and router.hedges.withdraw():
             self._attempt(run)
 
-    def _rescue(self, attempt: Attempt) -> None:
+    def _retry_if_pending(self, attempt: Attempt) -> None:
         if not attempt.is_over and not attempt.run.is_over:
-            self._again(attempt.run)
+            self._retry(attempt.run)
 
     def _reply(self, attempt: Attempt, report: LoadReport | None) -> None:
         if attempt.is_over:
@@ -153,17 +153,17 @@
         attempt.is_over = True
         run = attempt.run
         run.open -= 1
-        made = self.dispatchers[run.request.instance]
+        router = self.dispatchers[run.request.instance]
         now = self._loop.now
         if report is not None:
-            seconds = now - attempt.begun
-            # Plain targets tell nothing of their load.
+            seconds = now - attempt.started_at
+            # Targets other than engines report no load.
             known = report if self._world.size.has_priorities else None
-            made.answer(attempt.target, seconds, known, now)
+            router.answer(attempt.target, seconds, known, now)
             self._end(run, True)
         else:
-            made.fail(attempt.target, Failure.NOT_CONNECTED, 0.0, now)
-            self._again(run)
+            router.fail(attempt.target, Failure.NOT_CONNECTED, 0.0, now)
+            self._retry(run)
 
     def _time_out(self, attempt: Attempt) -> None:
         if attempt.is_over:
@@ -171,40 +171,44 @@
         attempt.is_over = True
         run = attempt.run
         run.open -= 1
-        made = self.dispatchers[run.request.instance]
+        router = self.dispatchers[run.request.instance]
         now = self._loop.now
-        seconds = now - attempt.begun
-        made.fail(attempt.target, Failure.TIMED_OUT, seconds, now)
-        self._again(run)
+        seconds = now - attempt.started_at
+        router.fail(attempt.target, Failure.TIMED_OUT, seconds, now)
+        self._retry(run)
 
-    def _again(self, run: Run) -> None:
+    def _retry(self, run: Run) -> None:
         if run.is_over:
             return
-        made = self.dispatchers[run.request.instance]
+        router = self.dispatchers[run.request.instance]
         now = self._loop.now
-        is_left = len(run.tried) < made.policy.attempts
-        if now < run.request.deadline and is_left and made.retries.withdraw():
+        has_attempts_left = len(run.tried) < router.policy.attempts
+        if (
+            now < run.request.deadline
+            and has_attempts_left
+            and router.retries.withdraw()
+        ):
             self._attempt(run)
         elif not run.open:
             self._end(run, False)
 
-    def _end(self, run: Run, answered: bool) -> None:
+    def _end(self, run: Run, is_answered: bool) -> None:
         if run.is_over:
             return
         run.is_over = True
-        run.request.ended = self._loop.now
-        run.request.answered = answered
+        run.request.ended_at = self._loop.now
+        run.request.is_answered = is_answered
         instance = run.request.instance
         self.dispatchers[instance].finish()
         self._admit(instance)
 
 
 class Naive:
-    """Go round the targets and try three times."""
+    """Call the targets in next_index, with up to three attempts."""
 
-    tries = 3
-    # The part of a request's time after which it is tried again.
-    share = 1 / 3
+    max_attempts = 3
+    # Share of a request's time limit after which an attempt times out.
+    timeout_share = 1 / 3
 
     def __init__(self, world: calls_model.World, seed: int) -> None:
         self._world = world
@@ -221,10 +225,10 @@
     def _attempt(self, request: calls_model.Request, number: int) -> None:
         self.attempts += 1
         world = self._world
-        turn = self._next[request.instance] + 1
-        self._next[request.instance] = turn % world.size.targets
+        next_index = self._next[request.instance] + 1
+        self._next[request.instance] = next_index % world.size.targets
         target = world.targets[self._next[request.instance]]
-        way = world.delay(request.instance, target)
+        delay = world.delay(request.instance, target)
         state = {'over': False}
 
         def end(report: LoadReport | None) -> None:
@@ -232,43 +236,43 @@
                 return
             state['over'] = True
             if report is not None:
-                if not request.answered:
-                    request.answered = True
-                    request.ended = self._loop.now
-            elif number < self.tries:
+                if not request.is_answered:
+                    request.is_answered = True
+                    request.ended_at = self._loop.now
+            elif number < self.max_attempts:
                 self._attempt(request, number + 1)
             else:
-                request.ended = request.ended or self._loop.now
+                request.ended_at = request.ended_at or self._loop.now
 
         def reply(report: LoadReport | None) -> None:
-            self._loop.at(way, end, report)
+            self._loop.schedule(delay, end, report)
 
-        seconds = request.seconds
-        kind = request.caller_class
-        self._loop.at(way, target.arrive, seconds, kind, reply)
-        share = (request.deadline - request.begun) * self.share
-        self._loop.at(share, end, None)
+        seconds = request.service_seconds
+        caller_class = request.caller_class
+        self._loop.schedule(delay, target.arrive, seconds, caller_class, reply)
+        timeout = (request.deadline - request.started_at) * self.timeout_share
+        self._loop.schedule(timeout, end, None)
 
 
 class PatientNaive(Naive):
-    """Try again only what failed."""
+    """Retry failed attempts only, without a timeout for each attempt."""
 
-    share = 1.0
+    timeout_share = 1.0
 
 
 class Oracle:
-    """Serve from one queue that knows loads, faults and durations."""
+    """Serve one queue, knowing every load, fault and service time."""
 
     def __init__(self, world: calls_model.World, seed: int) -> None:
         self._world = world
         self._loop = world.loop
         self._busy: collections.Counter[int] = collections.Counter()
-        self._free = [
+        self._free_slots = [
             n
             for n in range(world.size.targets)
             for _ in range(world.size.slots)
         ]
-        world.generator.shuffle(self._free)
+        world.generator.shuffle(self._free_slots)
         self._queues: dict[Any, collections.deque[Any]] = {
             c: collections.deque() for c in CallerClass
         }
@@ -281,29 +285,29 @@
     def _serve(self) -> None:
         for caller_class in (CallerClass.LATENCY, CallerClass.INTERNAL):
             queue = self._queues[caller_class]
-            while queue and self._free:
+            while queue and self._free_slots:
                 request = queue.popleft()
-                if self._loop.now + request.seconds > request.deadline:
-                    request.ended = self._loop.now
+                if self._loop.now + request.service_seconds > request.deadline:
+                    request.ended_at = self._loop.now
                     continue
                 self._start(request)
 
     def _start(self, request: calls_model.Request) -> None:
-        for _ in range(len(self._free)):
-            place = self._free.pop()
-            target = self._world.targets[place]
-            usable = not (target.is_crashed or target.is_frozen)
-            if usable and target.slowness == 1.0:
+        for _ in range(len(self._free_slots)):
+            index = self._free_slots.pop()
+            target = self._world.targets[index]
+            is_usable = not (target.is_crashed or target.is_frozen)
+            if is_usable and target.slowness == 1.0:
                 break
-            self._free.insert(0, place)
+            self._free_slots.insert(0, index)
         else:
             self._queues[request.caller_class].appendleft(request)
             return
         self.attempts += 1
-        self._loop.at(request.seconds, self._end, request, place)
+        self._loop.schedule(request.service_seconds, self._end, request, index)
 
-    def _end(self, request: calls_model.Request, place: int) -> None:
-        request.answered = True
-        request.ended = self._loop.now
-        self._free.append(place)
+    def _end(self, request: calls_model.Request, index: int) -> None:
+        request.is_answered = True
+        request.ended_at = self._loop.now
+        self._free_slots.append(index)
         self._serve()
--- a/tools/measure_calls.py
+++ b/tools/measure_calls.py
@@ -1,4 +1,4 @@
-"""Measure the call policies at size, with a fake clock and open loop."""
+"""Measure call policies under an open-loop load on a fake clock."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from yuccarill.core.ids import TargetId
 
 SEED = 5
-BEGIN = 20.0
-AFTER = 30.0
+FAULT_BEGIN = 20.0
+FAULT_AFTER = 30.0
 POLICIES = {
     'naive': calls_policies.Naive,
     'naive, patient': calls_policies.PatientNaive,
@@ -27,8 +27,8 @@
     'oracle': calls_policies.Oracle,
 }
 DECISIONS = 20_000
-# Seconds that are left for recovery before it is judged.
-RECOVERY = 5.0
+# Time after a fault that is not counted as recovered.
+RECOVERY_SECONDS = 5.0
 
 
 @click.group()
@@ -55,12 +55,12 @@
     size = calls_model.Size(
         targets=targets,
         instances=instances,
-        load=760.0 * targets / 1300,
+        request_rate=760.0 * targets / 1300,
         has_priorities=not plain,
     )
     click.echo(
-        f'{targets} targets, {instances} instances, {size.load:.0f} '
-        f'requests/s, capacity {size.capacity:.0f}/s; the fault stands for '
+        f'{targets} targets, {instances} instances, {size.request_rate:.0f} '
+        f'requests/s, capacity {size.capacity:.0f}/s; the fault lasts '
         f'{seconds:.0f} s; seed {SEED}'
     )
     click.echo(
@@ -71,34 +71,34 @@
     for scenario in calls_model.Scenario:
         if names and scenario.name.lower() not in names:
             continue
-        for name, kind in POLICIES.items():
+        for name, policy_class in POLICIES.items():
             if chosen and name not in chosen:
                 continue
             world = calls_model.World(size, scenario, SEED)
-            policy = kind(world, SEED)
-            end = BEGIN + seconds
-            world.run(policy, BEGIN, end, end + AFTER)
+            policy = policy_class(world, SEED)
+            end = FAULT_BEGIN + seconds
+            world.run(policy, FAULT_BEGIN, end, end + FAULT_AFTER)
             click.echo(_row(scenario, name, world, policy, end))
 
 
 def _row(scenario: Any, name: str, world: Any, policy: Any, end: float) -> str:
-    latency = _latency_class(world, BEGIN, end)
-    recovered = end + RECOVERY
+    latency = _latency_class(world, FAULT_BEGIN, end)
+    recovered = end + RECOVERY_SECONDS
     refused = sum(r.is_refused_in_time for r in latency) / len(latency)
     histogram = hdrh.histogram.HdrHistogram(1, 600_000, 3)
     for request in latency:
-        if request.answered:
-            seconds = request.ended - request.begun
+        if request.is_answered:
+            seconds = request.ended_at - request.started_at
             histogram.record_value(max(1, int(seconds * 1000)))
     attempts = policy.attempts / len(world.requests)
     return (
         f'| {scenario.value} | {name} '
-        f'| {_goodput(world, BEGIN, end):.0f}/s '
-        f'| {_goodput(world, recovered, end + AFTER):.0f}/s '
+        f'| {_goodput(world, FAULT_BEGIN, end):.0f}/s '
+        f'| {_goodput(world, recovered, end + FAULT_AFTER):.0f}/s '
         f'| {_late(latency):.2%} | {refused:.2%} '
         f'| {histogram.get_value_at_percentile(50) / 1000:.2f} '
         f'| {histogram.get_value_at_percentile(99) / 1000:.2f} '
-        f'| {_late(_latency_class(world, recovered, end + AFTER)):.2%} '
+        f'| {_late(_latency_class(world, recovered, end + FAULT_AFTER)):.2%} '
         f'| {attempts:.2f} |'
     )
 
@@ -107,44 +107,44 @@
     return [
         request
         for request in world.requests
-        if begin <= request.begun < end
+        if begin <= request.started_at < end
         and request.caller_class is CallerClass.LATENCY
     ]
 
 
 def _late(requests: list[Any]) -> float:
-    """Return the part that was neither answered nor refused in time."""
-    fine = sum(r.is_good or r.is_refused_in_time for r in requests)
-    return 1.0 - fine / len(requests)
+    """Return the share neither answered nor refused in time."""
+    in_time = sum(r.is_good or r.is_refused_in_time for r in requests)
+    return 1.0 - in_time / len(requests)
 
 
 def _goodput(world: Any, begin: float, end: float) -> float:
-    """Count answers in time by the instant at which they came."""
-    ended = [r for r in world.requests if r.is_good and r.ended]
-    return sum(begin <= r.ended < end for r in ended) / (end - begin)
+    """Return the answers in time per second, by time of the answer."""
+    good = [r for r in world.requests if r.is_good and r.ended_at]
+    return sum(begin <= r.ended_at < end for r in good) / (end - begin)
 
 
 @main.command()
 def decisions() -> None:
-    """Time one routing decision against the number of targets."""
+    """Time one routing decision for several numbers of targets."""
     click.echo('| targets | us a decision |')
     click.echo('|---|---|')
     for count in (13, 130, 1300):
-        made = dispatcher.Dispatcher[Any](
+        router = dispatcher.Dispatcher[Any](
             dispatcher.Policy(), random.Random(SEED)
         )
-        centres = {
+        data_centres = {
             TargetId(str(n)): DataCentreId(str(n % 11)) for n in range(count)
         }
-        made.pool.update(centres, DataCentreId('0'), Instant(0.0))
-        begun = time.perf_counter()
+        router.pool.update(data_centres, DataCentreId('0'), Instant(0.0))
+        started_at = time.perf_counter()
         for n in range(DECISIONS):
             now = Instant(n * 0.001)
-            target = made.pool.choose(now)
+            target = router.pool.choose(now)
             assert target is not None
-            made.pool.send(target)
-            made.answer(target, 0.1, None, now)
-        seconds = (time.perf_counter() - begun) / DECISIONS
+            router.pool.send(target)
+            router.answer(target, 0.1, None, now)
+        seconds = (time.perf_counter() - started_at) / DECISIONS
         click.echo(f'| {count} | {seconds * 1e6:.1f} |')
 
 
--- a/tools/measure_claims.py
+++ b/tools/measure_claims.py
@@ -1,4 +1,4 @@
-"""Price durable claims of non-repeatable requests against tickets."""
+"""Compare store claims and tickets for non-repeatable requests."""
 
 from __future__ import annotations
 
@@ -12,65 +12,65 @@
 
 SEED = 5
 SECONDS = 60.0
-# 30% of 760 requests a second may not be repeated.
-RATE = 228.0
+# Non-repeatable requests per second: 30% of 760.
+REQUEST_RATE = 228.0
 STORE_SECONDS = 0.004
-STORE_WRITES = 300.0
+WRITE_RATE = 300.0
 PEER_SECONDS = 0.0012
 INSTANCES = 8
 
 
 @dataclasses.dataclass(frozen=True)
 class Claims:
-    """Say how many holders write claims, and how long they gather them."""
+    """Set the number of claim holders and their batching delay."""
 
     holders: int
-    gather: float
+    batch_seconds: float
 
 
 class Store:
-    """Answer writes one after another at the rate that is allowed."""
+    """Simulate a store that serialises writes at a limited rate."""
 
-    def __init__(self, loop: Any, draw: random.Random) -> None:
+    def __init__(self, loop: Any, generator: random.Random) -> None:
         self._loop = loop
-        self._draw = draw
+        self._generator = generator
         self._free_at = 0.0
         self.writes = 0
 
-    def write(self, done: Any) -> None:
-        """Answer once the write has taken effect."""
+    def write(self, callback: Any) -> None:
+        """Call back once the write is durable."""
         self.writes += 1
-        self._free_at = max(self._free_at, self._loop.now) + 1 / STORE_WRITES
+        self._free_at = max(self._free_at, self._loop.now) + 1 / WRITE_RATE
         wait = self._free_at - self._loop.now
-        seconds = self._draw.expovariate(1 / STORE_SECONDS)
-        self._loop.at(wait + seconds, done)
+        seconds = self._generator.expovariate(1 / STORE_SECONDS)
+        self._loop.schedule(wait + seconds, callback)
 
 
 class Holder:
-    """Write the claims of its part of the keys, one group at a time."""
+    """Write the claims of one key range in batches."""
 
-    def __init__(self, loop: Any, store: Store, gather: float) -> None:
+    def __init__(self, loop: Any, store: Store, batch_seconds: float) -> None:
         self._loop = loop
         self._store = store
-        self._gather = gather
+        self._batch_seconds = batch_seconds
         self._waiting: list[Any] = []
         self._is_busy = False
 
-    def claim(self, done: Any) -> None:
+    def claim(self, callback: Any) -> None:
         """Call back once a request's claim is durable."""
-        self._waiting.append(done)
+        self._waiting.append(callback)
         if not self._is_busy:
             self._is_busy = True
-            self._loop.at(self._gather, self._write)
+            self._loop.schedule(self._batch_seconds, self._write)
 
     def _write(self) -> None:
-        group, self._waiting = self._waiting, []
+        batch, self._waiting = self._waiting, []
 
         def written() -> None:
-            for done in group:
-                done()
+            for callback in batch:
+                callback()
             if self._waiting:
-                self._loop.at(self._gather, self._write)
+                self._loop.schedule(self._batch_seconds, self._write)
             else:
                 self._is_busy = False
 
@@ -78,29 +78,29 @@
 
 
 def measure(claims: Claims) -> tuple[float, Any]:
-    """Return the writes a second and the added latencies."""
-    draw = random.Random(SEED)
+    """Return writes per second and a histogram of added microseconds."""
+    generator = random.Random(SEED)
     loop = calls_model.Loop()
-    store = Store(loop, draw)
-    holders = [Holder(loop, store, claims.gather) for _ in range(64)]
+    store = Store(loop, generator)
+    holders = [Holder(loop, store, claims.batch_seconds) for _ in range(64)]
     histogram = hdrh.histogram.HdrHistogram(1, 60_000_000, 3)
 
     def arrive() -> None:
         if loop.now >= SECONDS:
             return
-        loop.at(draw.expovariate(RATE), arrive)
-        begun = loop.now
-        holder = holders[draw.randrange(claims.holders)]
-        is_here = draw.random() < 1 / INSTANCES
-        way = 0.0 if is_here else PEER_SECONDS / 2
+        loop.schedule(generator.expovariate(REQUEST_RATE), arrive)
+        started_at = loop.now
+        holder = holders[generator.randrange(claims.holders)]
+        is_local = generator.random() < 1 / INSTANCES
+        delay = 0.0 if is_local else PEER_SECONDS / 2
 
         def claimed() -> None:
-            microseconds = int((loop.now + way - begun) * 1e6)
+            microseconds = int((loop.now + delay - started_at) * 1e6)
             histogram.record_value(max(1, microseconds))
 
-        loop.at(way, holder.claim, claimed)
+        loop.schedule(delay, holder.claim, claimed)
 
-    loop.at(0.0, arrive)
+    loop.schedule(0.0, arrive)
     loop.run(SECONDS + 30.0)
     return store.writes / SECONDS, histogram
 
@@ -109,15 +109,15 @@
 def main() -> None:
     """Compare claims with tickets."""
     click.echo(
-        f'{RATE:.0f} non-repeatable requests/s, {INSTANCES} instances, store '
-        f'{STORE_SECONDS * 1000:.0f} ms and {STORE_WRITES:.0f} writes/s; seed '
+        f'{REQUEST_RATE:.0f} non-repeatable requests/s, {INSTANCES} instances, '
+        f'store {STORE_SECONDS * 1000:.0f} ms and {WRITE_RATE:.0f} writes/s; seed '
         f'{SEED}'
     )
     click.echo('| way | writes/s | added p50 ms | added p99 ms |')
     click.echo('|---|---|---|---|')
     click.echo('| ticket at its home | 0 | 0.0 | 0.0 |')
-    passed = f'{PEER_SECONDS * 1000:.1f}'
-    click.echo(f'| ticket passed on | 0 | {passed} | {passed} |')
+    hop = f'{PEER_SECONDS * 1000:.1f}'
+    click.echo(f'| ticket passed on | 0 | {hop} | {hop} |')
     for claims in (
         Claims(64, 0.0),
         Claims(8, 0.0),
@@ -130,7 +130,7 @@
         p99 = latency.get_value_at_percentile(99) / 1000
         click.echo(
             f'| claims, {claims.holders} holders, gathered for '
-            f'{claims.gather * 1000:.0f} ms | {writes:.0f} | {p50:.1f} '
+            f'{claims.batch_seconds * 1000:.0f} ms | {writes:.0f} | {p50:.1f} '
             f'| {p99:.1f} |'
         )
 
--- a/tools/measure_prefixes.py
+++ b/tools/measure_prefixes.py
@@ -1,4 +1,4 @@
-"""Measure how often a prompt meets an engine that has it cached."""
+"""Measure the prefix cache hit rate of routing policies."""
 
 from __future__ import annotations
 
@@ -18,80 +18,82 @@
 SEED = 5
 ENGINES = 130
 INSTANCES = 8
-RATE = 76.0
+CALLS_PER_SECOND = 76.0
 SECONDS = 120.0
 CALL_SECONDS = 2.4
 PROMPTS = 20_000
-CACHED = 64
-HERE = DataCentreId('here')
+CACHED_PROMPTS = 64
+CENTRE = DataCentreId('here')
 
 
 class Engine:
-    """Keep the prompts used last, and count the calls."""
+    """Simulate an LRU prompt cache and count concurrent calls."""
 
     def __init__(self) -> None:
         self.cached: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
         self.in_flight = 0
-        self.highest = 0
+        self.peak_in_flight = 0
 
-    def begin(self, prompt: str) -> bool:
-        """Tell whether a prompt was cached, and cache it."""
+    def begin_call(self, prompt: str) -> bool:
+        """Begin a call and return whether its prompt was cached."""
         is_hit = prompt in self.cached
         self.cached[prompt] = None
         self.cached.move_to_end(prompt)
-        if len(self.cached) > CACHED:
+        if len(self.cached) > CACHED_PROMPTS:
             self.cached.popitem(last=False)
         self.in_flight += 1
-        self.highest = max(self.highest, self.in_flight)
+        self.peak_in_flight = max(self.peak_in_flight, self.in_flight)
         return is_hit
 
 
 def measure(uses_prefix: bool) -> tuple[float, float, int]:
-    """Return the part of hits, the best possible part, and the top load."""
-    draw = random.Random(SEED)
+    """Return the hit rate, the best possible rate and the peak load."""
+    generator = random.Random(SEED)
     loop = calls_model.Loop()
     engines = {TargetId(str(n)): Engine() for n in range(ENGINES)}
     pools = []
     for number in range(INSTANCES):
-        made = pool.Pool(pool.RoutingPolicy(), random.Random(number))
-        made.update(dict.fromkeys(engines, HERE), HERE, Instant(0.0))
-        pools.append(made)
+        created = pool.Pool(pool.RoutingPolicy(), random.Random(number))
+        created.update(dict.fromkeys(engines, CENTRE), CENTRE, Instant(0.0))
+        pools.append(created)
     weights = [1 / (n + 1) for n in range(PROMPTS)]
-    prompts = iter(draw.choices(range(PROMPTS), weights, k=20_000))
+    prompts = iter(generator.choices(range(PROMPTS), weights, k=20_000))
     seen: set[str] = set()
     counts: collections.Counter[str] = collections.Counter()
 
     def arrive() -> None:
         if loop.now >= SECONDS:
             return
-        loop.at(draw.expovariate(RATE), arrive)
+        loop.schedule(generator.expovariate(CALLS_PER_SECOND), arrive)
         prompt = f'prompt {next(prompts)}'
-        made = draw.choice(pools)
-        target = made.choose(loop.now, prefix=prompt if uses_prefix else None)
+        chosen = generator.choice(pools)
+        target = chosen.choose(
+            loop.now, prefix=prompt if uses_prefix else None
+        )
         assert target is not None
-        made.send(target)
+        chosen.send(target)
         counts['calls'] += 1
-        counts['hits'] += engines[target].begin(prompt)
+        counts['hits'] += engines[target].begin_call(prompt)
         counts['best'] += prompt in seen
         seen.add(prompt)
-        seconds = draw.expovariate(1 / CALL_SECONDS)
-        loop.at(seconds, end, made, target, seconds)
+        seconds = generator.expovariate(1 / CALL_SECONDS)
+        loop.schedule(seconds, end, chosen, target, seconds)
 
-    def end(made: Any, target: TargetId, seconds: float) -> None:
+    def end(chosen: Any, target: TargetId, seconds: float) -> None:
         engine = engines[target]
         engine.in_flight -= 1
         report = LoadReport(engine.in_flight, 0)
-        made.answer(target, seconds, report, loop.now)
+        chosen.answer(target, seconds, report, loop.now)
 
-    loop.at(0.0, arrive)
+    loop.schedule(0.0, arrive)
     loop.run(SECONDS + 60.0)
-    top = max(engine.highest for engine in engines.values())
+    peak = max(engine.peak_in_flight for engine in engines.values())
     return (
         counts['hits'] / counts['calls'],
         counts['best'] / counts['calls'],
-        top,
+        peak,
     )
 
 
@@ -101,8 +103,8 @@
     click.echo('| routing | cached | best possible | most calls at once |')
     click.echo('|---|---|---|---|')
     for name, uses_prefix in (('load', False), ('prefix and load', True)):
-        hits, best, top = measure(uses_prefix)
-        click.echo(f'| {name} | {hits:.1%} | {best:.1%} | {top} |')
+        hits, best, peak = measure(uses_prefix)
+        click.echo(f'| {name} | {hits:.1%} | {best:.1%} | {peak} |')
 
 
 if __name__ == '__main__':
