--- a/tools/bare_relay.py
+++ b/tools/bare_relay.py
@@ -1,4 +1,4 @@
-"""Relay calls with klein and treq and nothing else, as a baseline."""
+"""Relay calls with plain klein and treq, as a baseline."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Relay:
-    """Pass each call on to one target."""
+    """Forward each call to one target."""
 
     app = klein.Klein()
 
@@ -36,7 +36,7 @@
 @click.argument('port', type=int)
 @click.argument('target')
 def main(port: int, target: str) -> None:
-    """Serve on PORT of loopback and pass calls on to TARGET."""
+    """Serve on loopback PORT and forward calls to TARGET."""
     Relay(target).app.run('127.0.0.1', port, logFile=open('/dev/null', 'w'))
 
 
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -1,7 +1,7 @@
-"""Work out docs/CAPACITY.md from the slopes in docs/capacity.toml.
+"""Generate docs/CAPACITY.md from the slopes in docs/capacity.toml.
 
-Each figure of a role is a sum of measured slopes, each times a number of
-the size; the page shows the terms, so that a reader can follow them.
+Each cost of a role is a sum of measured slopes, each multiplied by a factor
+of the deployment size. The page shows the terms of each sum.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Quantity(msgspec.Struct, frozen=True):
-    """Name one kind of cost and its unit."""
+    """Describe one kind of cost and its unit."""
 
     field: str
     title: str
@@ -31,19 +31,19 @@
 
 
 class Slope(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Hold one measured slope and where it comes from."""
+    """Store one measured slope and its source."""
 
     value: float
     unit: str
     meaning: str
-    # Section of docs/MEASURES.md that has the command and the run.
+    # Section of docs/MEASURES.md with the command and the results.
     section: str
-    # Sizes that the run covered; beyond them the line is drawn on.
+    # Measured range of sizes; larger sizes are extrapolated.
     reach: str
 
 
 class Role(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Describe one role at the size."""
+    """Describe the costs of one role at the deployment size."""
 
     name: str
     count: str
@@ -58,7 +58,7 @@
 
 
 class Capacity(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Hold the size, the slopes and the roles."""
+    """Store the content of docs/capacity.toml."""
 
     size: dict[str, float]
     slopes: dict[str, Slope]
@@ -74,10 +74,10 @@
 )
 
 
-def total(capacity: Capacity, terms: Terms) -> float:
-    """Sum slopes times their factors."""
+def sum_terms(capacity: Capacity, terms: Terms) -> float:
+    """Return the sum of slopes times their factors."""
     return sum(
-        capacity.slopes[slope].value * _factor(capacity, factor)
+        capacity.slopes[slope].value * _factor_value(capacity, factor)
         for slope, factor in terms.items()
     )
 
@@ -86,7 +86,7 @@
     """Return the generated part of the page."""
     lines = ['## Roles', '']
     for role in capacity.roles:
-        lines += _role_lines(capacity, role)
+        lines += _render_role(capacity, role)
     lines += ['## Slopes', '']
     lines += ['| slope | value | meaning | section | reach |']
     lines += ['|---|---|---|---|---|']
@@ -98,7 +98,7 @@
     return '\n'.join(lines)
 
 
-def _role_lines(capacity: Capacity, role: Role) -> list[str]:
+def _render_role(capacity: Capacity, role: Role) -> list[str]:
     lines = [f'### {role.name}', '']
     lines += ['| | |', '|---|---|']
     lines.append(f'| how many | {role.count} |')
@@ -108,28 +108,28 @@
     for quantity in QUANTITIES:
         terms: Terms = getattr(role, quantity.field)
         if terms:
-            sum_ = f'{total(capacity, terms):.3g} {quantity.unit}'
+            amount = f'{sum_terms(capacity, terms):.3g} {quantity.unit}'
             parts = ' + '.join(
-                _term(capacity, slope, factor)
+                _render_term(capacity, slope, factor)
                 for slope, factor in terms.items()
             )
-            lines.append(f'| {quantity.title} | **{sum_}** = {parts} |')
+            lines.append(f'| {quantity.title} | **{amount}** = {parts} |')
     return [*lines, '']
 
 
-def _term(capacity: Capacity, slope: str, factor: str | float) -> str:
-    number = _factor(capacity, factor)
+def _render_term(capacity: Capacity, slope: str, factor: str | float) -> str:
+    number = _factor_value(capacity, factor)
     if number == 1:
         return f'`{slope}`'
     name = f' ({factor})' if isinstance(factor, str) else ''
     return f'`{slope}` x {number:.4g}{name}'
 
 
-def _factor(capacity: Capacity, factor: str | float) -> float:
+def _factor_value(capacity: Capacity, factor: str | float) -> float:
     return capacity.size[factor] if isinstance(factor, str) else factor
 
 
-def _page(capacity: Capacity) -> str:
+def _render_page(capacity: Capacity) -> str:
     text = PAGE.read_text()
     before, rest = text.split(BEGIN)
     _, after = rest.split(END)
@@ -137,15 +137,15 @@
 
 
 @click.command()
-@click.option('--check', is_flag=True, help='Only compare with the page.')
+@click.option('--check', is_flag=True, help='Only check the page.')
 def main(check: bool) -> None:
-    """Write the figures into docs/CAPACITY.md."""
+    """Write the generated part of docs/CAPACITY.md."""
     capacity = msgspec.convert(tomllib.loads(DATA.read_text()), Capacity)
-    page = _page(capacity)
+    page = _render_page(capacity)
     if not check:
         PAGE.write_text(page)
     elif page != PAGE.read_text():
-        click.echo('docs/CAPACITY.md is old; run "make capacity".', err=True)
+        click.echo('docs/CAPACITY.md is stale; run "make capacity".', err=True)
         sys.exit(1)
 
 
--- a/tools/control_fleet.py
+++ b/tools/control_fleet.py
@@ -1,4 +1,4 @@
-"""Run stand-ins and instances on loopback to measure them."""
+"""Run instances and stand-ins for the services they use, on loopback."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 
 LOOPBACK = '127.0.0.1'
 DATA_CENTRES = ('centre-a', 'centre-b', 'centre-c')
-START_SECONDS = 60.0
-IN_FORCE_SECONDS = 20.0
+START_TIMEOUT_SECONDS = 60.0
+CHANGE_TIMEOUT_SECONDS = 20.0
 POLL_SECONDS = 0.02
 
 
 class Fleet:
-    """Run stand-ins and instances of one build."""
+    """Run stand-ins and the instances of one build."""
 
     def __init__(
         self, binary: str, instances: int, targets: int, folder: pathlib.Path
     ) -> None:
         self._binary = binary
         self._folder = folder
-        self._count = instances
-        self._document = _document(targets)
+        self._instance_count = instances
+        self._document = _build_document(targets)
         self._processes: list[subprocess.Popen[bytes]] = []
         self._platform: dict[str, str] = {}
         self._revision = 0
         self.http_ports: list[int] = []
-        self.members: list[psutil.Process] = []
+        self.instance_processes: list[psutil.Process] = []
 
     def start(self) -> None:
         """Start all processes and apply the first inventory."""
@@ -48,25 +48,27 @@
                 sys.executable,
                 '-m',
                 'yuccarill.standins',
-                str(_as_toml(example, self._document)),
+                str(_write_toml(example, self._document)),
                 str(self._folder),
             ],
         )
         ready = self._folder / 'platform.json'
-        until(lambda: ready.exists() and ready.stat().st_size > 0)
+        wait_until(lambda: ready.exists() and ready.stat().st_size > 0)
         self._platform = json.loads(ready.read_text())
         inventory = self._folder / 'inventory.json'
         self._document = json.loads(inventory.read_text())
-        chosen = ports.free(2 * self._count)
-        for number in range(self._count):
-            self._start_instance(number, chosen[2 * number : 2 * number + 2])
+        free_ports = ports.free(2 * self._instance_count)
+        for number in range(self._instance_count):
+            self._start_instance(
+                number, free_ports[2 * number : 2 * number + 2]
+            )
         for port in self.http_ports:
-            until(lambda port=port: self._status(port) is not None)
-        self.change()
-        until(lambda: self._in_force(self._revision))
+            wait_until(lambda port=port: self._status(port) is not None)
+        self.apply_change()
+        wait_until(lambda: self._is_applied(self._revision))
 
-    def change(self) -> float:
-        """Apply a changed inventory; return when it was sent."""
+    def apply_change(self) -> float:
+        """Apply a changed inventory and return the time of sending."""
         models = self._document['models']
         models[0]['serving_part'] = 0.4 + self._revision % 100 / 1000
         sent_at = time.monotonic()
@@ -82,15 +84,15 @@
         self._revision = reply['revision']
         return sent_at
 
-    def seconds_in_force(self) -> float:
-        """Apply a change and wait until every instance has it."""
-        sent_at = self.change()
-        self.wait_in_force()
+    def measure_change(self) -> float:
+        """Return the seconds until every instance has applied a change."""
+        sent_at = self.apply_change()
+        self.wait_until_applied()
         return time.monotonic() - sent_at
 
-    def wait_in_force(self) -> None:
-        """Wait until every instance has the last change."""
-        deadline = time.monotonic() + IN_FORCE_SECONDS
+    def wait_until_applied(self) -> None:
+        """Wait until every instance has applied the last change."""
+        deadline = time.monotonic() + CHANGE_TIMEOUT_SECONDS
         waiting = list(self.http_ports)
         while waiting and time.monotonic() < deadline:
             status = self._status(waiting[0])
@@ -99,22 +101,22 @@
             else:
                 time.sleep(POLL_SECONDS)
         if waiting:
-            raise SystemExit('A change was not in force in time.')
+            raise SystemExit('The instances did not apply a change in time.')
 
     def store_calls(self) -> dict[str, float]:
-        """Return the key-value service's counts by kind."""
+        """Return the number of key-value service calls by kind."""
         url = f'{self._platform["key_value"]}/admin/calls'
         return dict(send('GET', url))
 
     def bytes_sent(self) -> list[int]:
-        """Return what each instance sent its peers since its start."""
+        """Return the bytes that each instance sent to its peers."""
         return [
             (self._status(port) or {}).get('peer_bytes_sent', 0)
             for port in self.http_ports
         ]
 
-    def list_calls(self) -> float:
-        """Return how often the instance list was read, if it tells."""
+    def count_list_reads(self) -> float:
+        """Return the reads of the instance list, or 0 if not available."""
         try:
             url = f'{self._platform["instance_list"]}/admin/calls'
             return float(sum(send('GET', url).values()))
@@ -122,35 +124,35 @@
             return 0.0
 
     def stop(self) -> None:
-        """End every process that was started."""
+        """Kill every process that was started."""
         for process in self._processes:
             process.send_signal(signal.SIGKILL)
         for process in self._processes:
             process.wait()
 
-    def _start_instance(self, number: int, chosen: list[int]) -> None:
+    def _start_instance(self, number: int, free_ports: list[int]) -> None:
         entry = {
             'id': f'entry-{number}',
             'data_centre': DATA_CENTRES[number % len(DATA_CENTRES)],
             'host': LOOPBACK,
-            'http_port': chosen[0],
-            'peer_port': chosen[1],
+            'http_port': free_ports[0],
+            'peer_port': free_ports[1],
             'state': 'live',
         }
         url = f'{self._platform["instance_list"]}/admin/instances'
         send('PUT', f'{url}/{entry["id"]}', entry)
-        words = [self._binary, '--instance', entry['id']]
+        command = [self._binary, '--instance', entry['id']]
         for name in ('data_centre', 'host', 'http_port', 'peer_port'):
-            words += [f'--{name.replace("_", "-")}', str(entry[name])]
+            command += [f'--{name.replace("_", "-")}', str(entry[name])]
         for name in ('key_value', 'instance_list', 'weight_store'):
-            words += [f'--{name.replace("_", "-")}', self._platform[name]]
-        process = self._spawn(str(entry['id']), words)
-        self.members.append(psutil.Process(process.pid))
-        self.http_ports.append(chosen[0])
+            command += [f'--{name.replace("_", "-")}', self._platform[name]]
+        process = self._spawn(str(entry['id']), command)
+        self.instance_processes.append(psutil.Process(process.pid))
+        self.http_ports.append(free_ports[0])
 
-    def _spawn(self, name: str, words: list[str]) -> subprocess.Popen[bytes]:
+    def _spawn(self, name: str, command: list[str]) -> subprocess.Popen[bytes]:
         log = (self._folder / f'{name}.log').open('wb')
-        process = subprocess.Popen(words, stdout=log, stderr=log)
+        process = subprocess.Popen(command, stdout=log, stderr=log)
         self._processes.append(process)
         return process
 
@@ -160,7 +162,7 @@
         except OSError:
             return None
 
-    def _in_force(self, revision: int) -> bool:
+    def _is_applied(self, revision: int) -> bool:
         for port in self.http_ports:
             status = self._status(port)
             if status is None or status['revision'] < revision:
@@ -168,7 +170,7 @@
         return True
 
 
-def _document(targets: int) -> dict[str, Any]:
+def _build_document(targets: int) -> dict[str, Any]:
     engines = [
         {
             'id': f'engine-{number}',
@@ -181,7 +183,7 @@
     return {'models': [{'name': 'model'}], 'engines': engines}
 
 
-def _as_toml(path: pathlib.Path, document: dict[str, Any]) -> pathlib.Path:
+def _write_toml(path: pathlib.Path, document: dict[str, Any]) -> pathlib.Path:
     lines = ['[[models]]', 'name = "model"']
     for engine in document['engines']:
         lines.append('[[engines]]')
@@ -202,9 +204,9 @@
         return json.load(reply)
 
 
-def until(condition: Any) -> None:
-    """Wait until a condition holds, or end the program."""
-    deadline = time.monotonic() + START_SECONDS
+def wait_until(condition: Any) -> None:
+    """Wait until a condition holds; exit the program on a timeout."""
+    deadline = time.monotonic() + START_TIMEOUT_SECONDS
     while not condition():
         if time.monotonic() > deadline:
             raise SystemExit('The fleet did not start in time.')
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Run the main job on stand-ins: 6 instances, callers, a trainer, faults.
+# Run a demo on stand-ins: 6 instances, callers, a trainer and faults.
 # usage: demo.sh [EXAMPLE]
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -13,12 +13,12 @@
 "$BIN/yuccarill" --address "$FIRST" apply "$RUN/inventory.json" --base 0 \
     --author demo
 CODE=0
-# The shell would tell on stderr of the child that was killed as intended.
+# Hides the message of the shell about a child that the demo kills.
 {
     "$BIN/python" -m yuccarill.standins.demo run "$RUN" 2>&1 || CODE=$?
 } 2>/dev/null
 
-# A stopped instance is this shell's child, so only here is its exit code seen.
+# Only this shell, its parent, can read the stopped instance's exit code.
 STOPPED=$(cat "$RUN/stopped.txt")
 STOP_CODE=0
 wait "$(cat "$RUN/$STOPPED.pid")" 2>/dev/null || STOP_CODE=$?
--- a/tools/fleet.sh
+++ b/tools/fleet.sh
@@ -1,5 +1,5 @@
 # Start stand-ins and 6 instances; sourced by demo.sh and playground.sh.
-# Reads BIN, EXAMPLE and RUN; leaves FIRST, an instance's address.
+# Reads BIN, EXAMPLE and RUN; sets FIRST to the address of one instance.
 
 PIDS=()
 cleanup() {
@@ -22,7 +22,7 @@
 
 "$BIN/python" -m yuccarill.standins.demo prepare "$RUN"
 while read -r name flags; do
-    # shellcheck disable=SC2086  # the flags are words by design
+    # shellcheck disable=SC2086  # flags are split into words
     "$BIN/yuccarilld" $flags >"$RUN/$name.log" 2>&1 &
     PIDS+=($!)
     echo "$!" >"$RUN/$name.pid"
--- a/tools/measure_claims.py
+++ b/tools/measure_claims.py
@@ -109,9 +109,9 @@
 def main() -> None:
     """Compare claims with tickets."""
     click.echo(
-        f'{REQUEST_RATE:.0f} non-repeatable requests/s, {INSTANCES} instances, '
-        f'store {STORE_SECONDS * 1000:.0f} ms and {WRITE_RATE:.0f} writes/s; seed '
-        f'{SEED}'
+        f'{REQUEST_RATE:.0f} non-repeatable requests/s, {INSTANCES} '
+        f'instances, store {STORE_SECONDS * 1000:.0f} ms and '
+        f'{WRITE_RATE:.0f} writes/s; seed {SEED}'
     )
     click.echo('| way | writes/s | added p50 ms | added p99 ms |')
     click.echo('|---|---|---|---|')
--- a/tools/measure_configuration_losses.py
+++ b/tools/measure_configuration_losses.py
@@ -1,8 +1,8 @@
-"""Measure changes of configuration while real instances are lost.
+"""Measure configuration changes while instances freeze or die.
 
-Starts stand-ins and instances on loopback. At the moment of each change one
-instance is frozen, and woken once the others have the change; at the last
-change of a run one is killed.
+Starts stand-ins and instances on loopback. One instance is frozen before each
+change and resumed once the others have applied the change. One instance is
+killed before the last change of a run.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Losses:
-    """Lose instances of one fleet at the moment of a change."""
+    """Freeze and kill instances of a fleet during changes."""
 
     def __init__(self, fleet: control_fleet.Fleet, seed: int) -> None:
         self._fleet = fleet
@@ -31,27 +31,27 @@
         self.killed: list[float] = []
 
     def freeze_one(self) -> None:
-        """Freeze an instance, change, and wake it again."""
-        place = self._choose()
-        member = self._fleet.members[place]
-        port = self._fleet.http_ports.pop(place)
-        member.send_signal(signal.SIGSTOP)
-        self.frozen.append(self._fleet.seconds_in_force())
-        member.send_signal(signal.SIGCONT)
-        woken_at = time.monotonic()
-        self._fleet.http_ports.insert(place, port)
-        self._fleet.wait_in_force()
-        self.woken.append(time.monotonic() - woken_at)
+        """Freeze an instance, apply a change and resume the instance."""
+        index = self._choose_index()
+        process = self._fleet.instance_processes[index]
+        port = self._fleet.http_ports.pop(index)
+        process.send_signal(signal.SIGSTOP)
+        self.frozen.append(self._fleet.measure_change())
+        process.send_signal(signal.SIGCONT)
+        resumed_at = time.monotonic()
+        self._fleet.http_ports.insert(index, port)
+        self._fleet.wait_until_applied()
+        self.woken.append(time.monotonic() - resumed_at)
 
     def kill_one(self) -> None:
-        """Kill an instance and change."""
-        place = self._choose()
-        self._fleet.members.pop(place).send_signal(signal.SIGKILL)
-        self._fleet.http_ports.pop(place)
-        self.killed.append(self._fleet.seconds_in_force())
+        """Kill an instance and apply a change."""
+        index = self._choose_index()
+        self._fleet.instance_processes.pop(index).send_signal(signal.SIGKILL)
+        self._fleet.http_ports.pop(index)
+        self.killed.append(self._fleet.measure_change())
 
-    def _choose(self) -> int:
-        # The first one takes the changes.
+    def _choose_index(self) -> int:
+        # Instance 0 receives the changes and has to stay alive.
         return self._random.randrange(1, len(self._fleet.http_ports))
 
 
@@ -64,8 +64,12 @@
 def main(
     binary: str, instances: int, targets: int, runs: int, freezes: int
 ) -> None:
-    """Run fleets and print the seconds until changes are in force."""
-    taken: dict[str, list[float]] = {'frozen': [], 'woken': [], 'killed': []}
+    """Run fleets and print the seconds until changes are applied."""
+    seconds_by_kind: dict[str, list[float]] = {
+        'frozen': [],
+        'woken': [],
+        'killed': [],
+    }
     for seed in range(runs):
         with tempfile.TemporaryDirectory() as name:
             fleet = control_fleet.Fleet(
@@ -81,12 +85,12 @@
                 losses.kill_one()
             finally:
                 fleet.stop()
-        for kind, found in taken.items():
-            found.extend(getattr(losses, kind))
-    for kind, found in taken.items():
+        for kind, seconds in seconds_by_kind.items():
+            seconds.extend(getattr(losses, kind))
+    for kind, seconds in seconds_by_kind.items():
         click.echo(
-            f'{kind}: median {statistics.median(found):.2f} s, '
-            f'worst {max(found):.2f} s of {len(found)}'
+            f'{kind}: median {statistics.median(seconds):.2f} s, '
+            f'worst {max(seconds):.2f} s of {len(seconds)}'
         )
 
 
--- a/tools/measure_control.py
+++ b/tools/measure_control.py
@@ -1,8 +1,8 @@
-"""Measure what control costs against the number of instances.
+"""Measure the cost of the control plane by number of instances.
 
-Starts stand-ins and real instances on loopback, idle and under changes of
-configuration, for one or more builds side by side, and prints a row for
-each run and a straight line through the rows of each build.
+Starts stand-ins and real instances of one or more builds on loopback, idle
+and under configuration changes. Prints a row for each run and a linear fit
+over the rows of each build.
 """
 
 from __future__ import annotations
@@ -25,33 +25,33 @@
 
 
 class Row(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the figures of one window of one run."""
+    """Results of one measurement window."""
 
     build: str
     instances: int
     targets: int
     window: str
-    # Share of one core an instance uses, mean and worst, in percent.
+    # Percent of one core used per instance.
     cpu_mean: float
     cpu_worst: float
     # Resident memory of the largest instance, in MB.
     memory_worst: float
-    # Bytes a second an instance sends its peers, mean and worst.
+    # Bytes per second sent to peers, per instance.
     sent_mean: float
     sent_worst: float
     store_reads: float
     store_writes: float
     store_watches: float
-    # Watches that wait at the end of the window.
+    # Watches open at the end of the window.
     waiting_watches: float
     list_reads: float
-    # Seconds until the slowest instance had a change, median and worst.
+    # Seconds until the slowest instance has applied a change.
     in_force_median: float = 0.0
     in_force_worst: float = 0.0
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """Hold counters at one moment."""
+    """Snapshot of the counters."""
 
     at: float
     cpu_by_member: list[float]
@@ -60,18 +60,20 @@
     list_reads: float
 
 
-def _sample(fleet: control_fleet.Fleet) -> Sample:
-    cpu = [sum(member.cpu_times()[:2]) for member in fleet.members]
+def _take_sample(fleet: control_fleet.Fleet) -> Sample:
+    cpu = [
+        sum(process.cpu_times()[:2]) for process in fleet.instance_processes
+    ]
     return Sample(
         time.monotonic(),
         cpu,
         fleet.bytes_sent(),
         fleet.store_calls(),
-        fleet.list_calls(),
+        fleet.count_list_reads(),
     )
 
 
-def _row(
+def _build_row(
     fleet: control_fleet.Fleet,
     before: Sample,
     after: Sample,
@@ -90,13 +92,15 @@
             for kind in kinds
         ) / max(seconds, 1e-9)
 
-    memory = max(member.memory_info().rss for member in fleet.members)
+    memory = max(
+        process.memory_info().rss for process in fleet.instance_processes
+    )
     sent = [
         (late - early) / seconds
         for early, late in zip(before.sent_by_member, after.sent_by_member)
     ]
     return Row(
-        instances=len(fleet.members),
+        instances=len(fleet.instance_processes),
         cpu_mean=statistics.fmean(shares),
         cpu_worst=max(shares),
         memory_worst=memory / 1e6,
@@ -128,10 +132,10 @@
         try:
             fleet.start()
             time.sleep(SETTLE_SECONDS)
-            before = _sample(fleet)
+            before = _take_sample(fleet)
             time.sleep(seconds)
-            after = _sample(fleet)
-            yield _row(
+            after = _take_sample(fleet)
+            yield _build_row(
                 fleet,
                 before,
                 after,
@@ -140,14 +144,14 @@
                 targets=targets,
                 window='idle',
             )
-            before = _sample(fleet)
+            before = _take_sample(fleet)
             for _ in range(changes):
-                fleet.change()
+                fleet.apply_change()
                 time.sleep(seconds / changes)
-            after = _sample(fleet)
-            # Polled apart from the window, since polling costs as well.
-            in_force = [fleet.seconds_in_force() for _ in range(changes)]
-            yield _row(
+            after = _take_sample(fleet)
+            # Outside the window, since polling uses processor time too.
+            in_force = [fleet.measure_change() for _ in range(changes)]
+            yield _build_row(
                 fleet,
                 before,
                 after,
@@ -160,7 +164,7 @@
             fleet.stop()
 
 
-def _print_lines(rows: list[Row]) -> None:
+def _print_fits(rows: list[Row]) -> None:
     for build in sorted({row.build for row in rows}):
         for window in sorted({row.window for row in rows}):
             chosen = [
@@ -169,19 +173,19 @@
                 if (row.build, row.window) == (build, window)
             ]
             for axis in ('instances', 'targets'):
-                _print_line(build, window, axis, chosen)
+                _print_fit(build, window, axis, chosen)
 
 
-def _print_line(build: str, window: str, axis: str, rows: list[Row]) -> None:
+def _print_fit(build: str, window: str, axis: str, rows: list[Row]) -> None:
     sizes = [float(getattr(row, axis)) for row in rows]
     if len(set(sizes)) < 2:
         return
     for field in Row.__struct_fields__[4:]:
         values = [getattr(row, field) for row in rows]
-        line = statistics.linear_regression(sizes, values)
+        fit = statistics.linear_regression(sizes, values)
         click.echo(
-            f'{build}, {window}: {field} = {line.intercept:.3f} '
-            f'+ {line.slope:.5f} x {axis}'
+            f'{build}, {window}: {field} = {fit.intercept:.3f} '
+            f'+ {fit.slope:.5f} x {axis}'
         )
 
 
@@ -198,7 +202,7 @@
     seconds: float,
     changes: int,
 ) -> None:
-    """Measure builds at several sizes."""
+    """Measure builds with several numbers of instances and targets."""
     rows = []
     for target_count in targets:
         for count in instances:
@@ -209,7 +213,7 @@
                 ):
                     rows.append(row)
                     click.echo(msgspec.json.encode(row).decode())
-    _print_lines(rows)
+    _print_fits(rows)
 
 
 if __name__ == '__main__':
--- a/tools/measure_crashes.py
+++ b/tools/measure_crashes.py
@@ -1,8 +1,8 @@
-"""Play a caller whose request ends its targets, beside others' requests.
+"""Simulate a caller whose requests crash targets, among other callers.
 
-Run as `.venv/bin/python tools/measure_crashes.py`. Prints for each load, with
-requests known by their ids alone and by what they ask: the targets that ended
-in 30 s and the part of the others' requests that was served, means of seeds.
+Run as `.venv/bin/python tools/measure_crashes.py`. Prints the crashes in 30 s
+and the share of the other requests served, averaged over the seeds, with a
+crashing request recognised by its id alone and by its content.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 
 TESTS = pathlib.Path(__file__).parents[1] / 'packages/yuccarill-daemon/tests'
 SECONDS = 30.0
-CULPRIT_RATE = 2.5
-# What it is, instances, targets, others' requests a second, their bodies.
+CRASH_REQUEST_RATE = 2.5
+# Name, instances, targets, other requests per second, distinct bodies.
 LOADS = (
     ('3 targets, rare requests', 3, 3, 20.0, 400),
     ('3 targets, one popular request', 3, 3, 20.0, 1),
@@ -30,30 +30,32 @@
 
 
 @click.command()
-@click.option('--seeds', default=10, help='How many plays of each load.')
+@click.option('--seeds', default=10, help='Runs of each load.')
 def main(seeds: int) -> None:
     """Print the table."""
     quiet = structlog.make_filtering_bound_logger(logging.CRITICAL)
     structlog.configure(wrapper_class=quiet)
     sys.path.insert(0, str(TESTS))
-    world = importlib.import_module('gateway.crash_world')
+    crash_world = importlib.import_module('gateway.crash_world')
     click.echo('| load | ended by id | served | ended by content | served |')
     click.echo('|---|---|---|---|---|')
     for name, instances, targets, rate, count in LOADS:
         others = [b'other %d' % number for number in range(count)]
         cells = [name]
         for is_naive in (True, False):
-            ends, served = [], []
+            crashes, served = [], []
             for seed in range(seeds):
-                played = world.CrashWorld(instances, targets, seed, is_naive)
-                played.run(
+                world = crash_world.CrashWorld(
+                    instances, targets, seed, is_naive
+                )
+                world.run(
                     SECONDS,
-                    played.often(CULPRIT_RATE, [b'crash']),
-                    played.often(rate, others),
+                    world.often(CRASH_REQUEST_RATE, [b'crash']),
+                    world.often(rate, others),
                 )
-                ends.append(len(played.ends))
-                served.append(played.share_served(others, 0.0))
-            cells.append(f'{statistics.mean(ends):.1f}')
+                crashes.append(len(world.ends))
+                served.append(world.share_served(others, 0.0))
+            cells.append(f'{statistics.mean(crashes):.1f}')
             cells.append(f'{statistics.mean(served):.3f}')
         click.echo(f'| {" | ".join(cells)} |')
 
--- a/tools/measure_modules.py
+++ b/tools/measure_modules.py
@@ -1,8 +1,8 @@
-"""Measure what the gateway's process has loaded, by package.
+"""Measure the memory used by the imports of the gateway process.
 
-Prints the private memory after all imports, and of that what Python's own
-allocators gave to each package while its modules were read
-(`--by-package`, which takes memory itself).
+Prints the private memory after all imports. With `--by-package`, prints the
+memory that Python allocated while importing each package; tracing uses memory
+of its own.
 """
 
 from __future__ import annotations
@@ -19,47 +19,47 @@
 MODULE = 'yuccarill.daemon.gateway'
 
 
-class Loads:
-    """Count the bytes that each module's loading took."""
+class ImportTracer:
+    """Trace the memory that importing each module allocates."""
 
     def __init__(self) -> None:
         self.bytes_by_module: collections.Counter[str] = collections.Counter()
-        self._inner: list[int] = []
-        self._load = importlib.machinery.SourceFileLoader.exec_module
+        self._nested_bytes: list[int] = []
+        self._exec_module = importlib.machinery.SourceFileLoader.exec_module
 
-    def watch(self) -> None:
-        """Count from here on."""
-        loads = self
+    def start(self) -> None:
+        """Trace all imports from now on."""
+        tracer = self
 
         def exec_module(loader: Any, module: Any) -> None:
-            loads.count(loader, module)
+            tracer.load(loader, module)
 
         importlib.machinery.SourceFileLoader.exec_module = exec_module
         tracemalloc.start(1)
 
-    def count(self, loader: Any, module: Any) -> None:
-        """Load one module; what it imports counts for itself."""
+    def load(self, loader: Any, module: Any) -> None:
+        """Load a module, counting its own imports separately."""
         before = tracemalloc.get_traced_memory()[0]
-        self._inner.append(0)
+        self._nested_bytes.append(0)
         try:
-            self._load(loader, module)
+            self._exec_module(loader, module)
         finally:
-            taken = tracemalloc.get_traced_memory()[0] - before
-            own = taken - self._inner.pop()
+            allocated = tracemalloc.get_traced_memory()[0] - before
+            own = allocated - self._nested_bytes.pop()
             self.bytes_by_module[module.__name__] += own
-            if self._inner:
-                self._inner[-1] += taken
+            if self._nested_bytes:
+                self._nested_bytes[-1] += allocated
 
 
 def private_kilobytes() -> int:
-    """Return the private memory of this process."""
+    """Return the private resident memory of this process."""
     lines = pathlib.Path('/proc/self/status').read_text().splitlines()
     (line,) = [line for line in lines if line.startswith('RssAnon')]
     return int(line.split()[1])
 
 
-def load() -> None:
-    """Load the gateway, which ends for want of settings."""
+def import_gateway() -> None:
+    """Import the gateway, which exits for lack of settings."""
     sys.argv = ['gateway', '--settings-file', '/dev/null']
     try:
         runpy.run_module(MODULE, run_name='__main__')
@@ -67,19 +67,19 @@
         pass
 
 
-def main(words: list[str]) -> None:
-    """Print the figures of one process."""
-    # A parser of command lines would be among what is measured.
-    by_package = words == ['--by-package']
-    loads = Loads()
+def main(arguments: list[str]) -> None:
+    """Print the memory used by the imports."""
+    # No argument parser, since its import would be measured too.
+    by_package = arguments == ['--by-package']
+    tracer = ImportTracer()
     if by_package:
-        loads.watch()
-    load()
+        tracer.start()
+    import_gateway()
     if not by_package:
         print(f'private memory: {private_kilobytes()} kB')
         return
     bytes_by_package: collections.Counter[str] = collections.Counter()
-    for name, count in loads.bytes_by_module.items():
+    for name, count in tracer.bytes_by_module.items():
         bytes_by_package[name.partition('.')[0]] += count
     print(f'{sum(bytes_by_package.values()) // KILOBYTE} kB in all')
     for name, count in bytes_by_package.most_common(12):
--- a/tools/measure_process.py
+++ b/tools/measure_process.py
@@ -1,8 +1,8 @@
-"""Measure one instance: processor time a request, memory and start-up.
+"""Measure one instance: processor time per request, memory and start-up.
 
-Runs stand-ins, one instance and a bare relay of klein and treq on loopback
-and sends both the same calls in turns, so that a busy machine weighs on
-both alike.
+Runs stand-ins, one instance and a minimal klein and treq relay on loopback.
+Both get the same calls in alternating rounds, so that other load on the
+machine affects both alike.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 CALLERS = 8
 IDLE_SECONDS = 10.0
 MEGABYTE = 1e6
-# The instance's own modules bring in all that it imports; nothing runs.
+# Imports all modules of an instance without starting anything.
 BARE_IMPORTS = """
 import sys
 for name in ('OpenSSL', '_hashlib', 'ssl'):
@@ -59,11 +59,15 @@
             str(self._folder),
         )
         ready = self._folder / 'platform.json'
-        control_fleet.until(lambda: ready.exists() and ready.stat().st_size)
+        control_fleet.wait_until(
+            lambda: ready.exists() and ready.stat().st_size
+        )
         inventory = json.loads((self._folder / 'inventory.json').read_text())
-        self._list_instance()
-        self.instance = self._spawn(*self._words('entry-1', *self._ports[:2]))
-        control_fleet.until(self._answers)
+        self._register_instance()
+        self.instance = self._spawn(
+            *self._command('entry-1', *self._ports[:2])
+        )
+        control_fleet.wait_until(self._is_ready)
         control_fleet.send(
             'PUT',
             f'127.0.0.1:{self.instance_port}/v1/operators/configuration',
@@ -75,31 +79,32 @@
             str(self.relay_port),
             inventory['targets'][0]['address'],
         )
-        control_fleet.until(lambda: _listens(self.relay_port))
-        # A port that was free may be taken by another program by now, which
-        # would then be measured.
+        control_fleet.wait_until(lambda: _is_listening(self.relay_port))
+        # Guards against measuring another program that took a free port.
         if any(process.poll() is not None for process in self._processes):
-            raise SystemExit('A process ended at its start; run it again.')
+            raise SystemExit(
+                'A process ended during start-up. Run the tool again.'
+            )
 
     def stop(self) -> None:
-        """End every process that was started."""
+        """Kill every process that was started."""
         for process in self._processes:
             process.kill()
             process.wait()
 
-    def start_seconds(self) -> float:
-        """Start another instance and return when it answered."""
-        chosen = ports.free(2)
-        begun_at = time.monotonic()
-        process = self._spawn(*self._words('entry-2', *chosen))
-        control_fleet.until(lambda: _listens(chosen[0]))
-        seconds = time.monotonic() - begun_at
+    def measure_start(self) -> float:
+        """Return the seconds until a new instance listens."""
+        free_ports = ports.free(2)
+        started_at = time.monotonic()
+        process = self._spawn(*self._command('entry-2', *free_ports))
+        control_fleet.wait_until(lambda: _is_listening(free_ports[0]))
+        seconds = time.monotonic() - started_at
         process.kill()
         process.wait()
         self._processes.remove(process)
         return seconds
 
-    def _list_instance(self) -> None:
+    def _register_instance(self) -> None:
         platform = json.loads((self._folder / 'platform.json').read_text())
         self._platform = platform
         control_fleet.send(
@@ -115,7 +120,7 @@
             },
         )
 
-    def _words(self, name: str, http_port: int, peer_port: int) -> list[str]:
+    def _command(self, name: str, http_port: int, peer_port: int) -> list[str]:
         flags = {
             'instance': name,
             'data-centre': 'freising',
@@ -127,17 +132,17 @@
             'weight-store': self._platform['weight_store'],
             'log-level': 'error',
         }
-        words = [str(BIN / 'yuccarilld')]
+        command = [str(BIN / 'yuccarilld')]
         for name, value in flags.items():
-            words += [f'--{name}', str(value)]
-        return words
+            command += [f'--{name}', str(value)]
+        return command
 
-    def _spawn(self, *words: str) -> subprocess.Popen[bytes]:
-        process = subprocess.Popen(words, stderr=subprocess.DEVNULL)
+    def _spawn(self, *command: str) -> subprocess.Popen[bytes]:
+        process = subprocess.Popen(command, stderr=subprocess.DEVNULL)
         self._processes.append(process)
         return process
 
-    def _answers(self) -> bool:
+    def _is_ready(self) -> bool:
         try:
             address = f'127.0.0.1:{self.instance_port}'
             control_fleet.send('GET', f'{address}/v1/operators/status')
@@ -146,7 +151,7 @@
         return True
 
 
-def _listens(port: int) -> bool:
+def _is_listening(port: int) -> bool:
     connection = http.client.HTTPConnection('127.0.0.1', port, timeout=1)
     try:
         connection.connect()
@@ -169,7 +174,7 @@
     connection.close()
 
 
-def _milliseconds_a_request(
+def _milliseconds_per_request(
     pid: int, port: int, path: str, requests: int
 ) -> float:
     process = psutil.Process(pid)
@@ -185,7 +190,7 @@
 
 
 def _start_bare() -> subprocess.Popen[bytes]:
-    """Start an interpreter and wait until it has imported everything."""
+    """Start an interpreter and wait for its imports to finish."""
     script = f'{BARE_IMPORTS}\nprint(flush=True)\ninput()'
     process = subprocess.Popen(
         [sys.executable, '-c', script],
@@ -197,9 +202,9 @@
 
 
 def _bare_seconds() -> float:
-    begun_at = time.monotonic()
+    started_at = time.monotonic()
     process = _start_bare()
-    seconds = time.monotonic() - begun_at
+    seconds = time.monotonic() - started_at
     process.communicate(b'\n')
     return seconds
 
@@ -216,12 +221,12 @@
     own, bare = [], []
     for _ in range(rounds):
         own.append(
-            _milliseconds_a_request(
+            _milliseconds_per_request(
                 bench.instance.pid, bench.instance_port, own_path, requests
             )
         )
         bare.append(
-            _milliseconds_a_request(
+            _milliseconds_per_request(
                 bench.relay.pid, bench.relay_port, '/look', requests
             )
         )
@@ -237,9 +242,9 @@
 def _print_start(bench: Bench, rounds: int) -> None:
     own, bare = [], []
     for _ in range(rounds):
-        own.append(bench.start_seconds())
+        own.append(bench.measure_start())
         bare.append(_bare_seconds())
-    # On a busy machine the quickest start says most of the work itself.
+    # The fastest start is the least affected by other load.
     ratio = min(own) / min(bare)
     click.echo(
         f'start-up, quickest and median: instance {min(own):.2f} and '
@@ -262,7 +267,7 @@
 @click.option('--rounds', default=7, show_default=True)
 @click.option('--requests', default=800, show_default=True)
 def main(rounds: int, requests: int) -> None:
-    """Print the figures of one instance."""
+    """Print memory, start-up and processor time of one instance."""
     with tempfile.TemporaryDirectory() as folder:
         bench = Bench(pathlib.Path(folder))
         try:
--- a/tools/measure_streams.py
+++ b/tools/measure_streams.py
@@ -1,4 +1,4 @@
-"""Measure what a streamed generation costs the instance that relays it."""
+"""Measure the processor time of relaying a streamed generation."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 TARGETS = 8
 CALLERS = 16
-LENGTHS = (16, 128, 512)
+TOKEN_COUNTS = (16, 128, 512)
 
 
 def _generate(port: int, number: int, tokens: int) -> None:
@@ -33,14 +33,14 @@
     with urllib.request.urlopen(request, timeout=60) as reply:
         last = reply.read().splitlines()[-1]
     if not json.loads(last).get('done'):
-        raise SystemExit(f'The answer was cut: {last!r}')
+        raise SystemExit(f'A stream ended early with {last!r}.')
 
 
 def _cpu_seconds(fleet: control_fleet.Fleet) -> float:
-    return float(sum(fleet.members[0].cpu_times()[:2]))
+    return float(sum(fleet.instance_processes[0].cpu_times()[:2]))
 
 
-def _cost(
+def _cpu_seconds_per_request(
     fleet: control_fleet.Fleet,
     numbers: itertools.count[int],
     tokens: int,
@@ -62,26 +62,28 @@
 @click.option('--requests', type=int, default=200)
 @click.option('--rounds', type=int, default=3)
 def main(requests: int, rounds: int) -> None:
-    """Send generations of several lengths and fit a line."""
+    """Measure several lengths and print a linear fit."""
     numbers = itertools.count()
     lengths = []
     costs = []
-    with tempfile.TemporaryDirectory() as name:
+    with tempfile.TemporaryDirectory() as folder:
         fleet = control_fleet.Fleet(
-            '.venv/bin/yuccarilld', 1, TARGETS, pathlib.Path(name)
+            '.venv/bin/yuccarilld', 1, TARGETS, pathlib.Path(folder)
         )
         try:
             fleet.start()
-            for length in LENGTHS * rounds:
-                cost = _cost(fleet, numbers, length, requests)
+            for length in TOKEN_COUNTS * rounds:
+                cost = _cpu_seconds_per_request(
+                    fleet, numbers, length, requests
+                )
                 lengths.append(float(length))
                 costs.append(1000 * cost)
                 click.echo(f'{length} tokens: {1000 * cost:.2f} ms a request')
         finally:
             fleet.stop()
-    line = statistics.linear_regression(lengths, costs)
+    fit = statistics.linear_regression(lengths, costs)
     click.echo(
-        f'{line.intercept:.2f} ms a request + {1000 * line.slope:.2f} ms '
+        f'{fit.intercept:.2f} ms a request + {1000 * fit.slope:.2f} ms '
         'a 1,000 tokens'
     )
 
--- a/tools/paired_days.py
+++ b/tools/paired_days.py
@@ -1,12 +1,12 @@
-"""Play the same days with several states of the code, and compare them.
+"""Run the same simulated days with several versions of the code.
 
 Run as `.venv/bin/python tools/paired_days.py BENCH SITE --state now=. \\
 --state before=../before --day DAY --seed 11 --seed 12 --why "..."`. Each
-day and seed is played by every state in turn, without processor time, so
-what chance does to a day is the same on both sides as far as it can be.
-Prints each state's mean worth and its difference from the first state with
-a 95% confidence interval. Entries that the plays leave in the states' own
-journals are copied to this repository's.
+state is a checkout of the code. Every state runs each day with each seed,
+without processor time, so that random effects are paired. Prints the mean
+score of each state and its difference from the first state with a 95%
+confidence interval. Copies new journal entries of the states to the journal
+of this repository.
 """
 
 from __future__ import annotations
@@ -22,33 +22,33 @@
 
 import click
 
-# Standard errors on either side of a mean that hold it in 95 of 100 cases.
+# Two-sided 95% quantile of the normal distribution.
 NORMAL_QUANTILE = 1.96
 
 
-# Rules are named in capitals where one is broken.
-RULE = re.compile(r'^\s*[A-Z]{3,10}\b.*: ')
-BEHIND = re.compile(
+# Output line for a broken rule, named in capitals.
+BROKEN_RULE = re.compile(r'^\s*[A-Z]{3,10}\b.*: ')
+TRAINER_LAG = re.compile(
     r': (?P<steps>\d+) steps asked, the last (?P<seconds>[\d.]+) s behind'
 )
-# Trainers of all deployments ask for a step each four seconds.
-STEP_SECONDS = 4.0
+# Interval at which each trainer requests a step.
+STEP_INTERVAL_SECONDS = 4.0
 ROOT = pathlib.Path(__file__).resolve().parents[1]
 
 
-class Play:
-    """Hold one day as one state played it."""
+class Run:
+    """Store the result of one day run by one state."""
 
     def __init__(self, state: str, day: str, seed: int) -> None:
         self.state = state
         self.day = day
         self.seed = seed
-        self.worth = math.nan
-        # Seconds that all trainers are behind their time at the end, less
-        # what the steps they came to take; only differences mean anything.
-        self.behind = math.nan
+        self.score = math.nan
+        # Seconds that all trainers lag at the end, less the scheduled time
+        # of their steps; only differences between states are meaningful.
+        self.lag_seconds = math.nan
         self.rules: dict[str, object] = {}
-        self.note = ''
+        self.error = ''
 
     @property
     def key(self) -> tuple[str, int]:
@@ -59,13 +59,13 @@
         return f'{self.state} {self.day} {self.seed}'
 
 
-def _run(play: Play, bench: str, site: str, root: pathlib.Path, why: str):
-    # A day may be a file of one's own.
-    name = pathlib.Path(play.day).stem
-    report = root / 'target' / f'paired-{name}-{play.seed}.json'
-    command = [bench, 'run', site, play.day, '--seed', str(play.seed)]
+def _execute(run: Run, bench: str, site: str, root: pathlib.Path, why: str):
+    # A day is a name or the path of a file.
+    name = pathlib.Path(run.day).stem
+    report = root / 'target' / f'paired-{name}-{run.seed}.json'
+    command = [bench, 'run', site, run.day, '--seed', str(run.seed)]
     command += ['--no-cpu', '--jobs', '1', '--report', str(report)]
-    command += ['--why', f'{why} [{play.state}]']
+    command += ['--why', f'{why} [{run.state}]']
     done = subprocess.run(command, cwd=root, capture_output=True, text=True)
     found = [
         line.split()[1]
@@ -73,16 +73,16 @@
         if line.startswith('worth ') and ' = ' in line
     ]
     if not found:
-        play.note = (done.stdout + done.stderr).strip()[-300:]
+        run.error = (done.stdout + done.stderr).strip()[-300:]
         return
-    play.worth = float(found[0])
-    play.behind = sum(
-        float(match['seconds']) - STEP_SECONDS * int(match['steps'])
-        for match in BEHIND.finditer(done.stdout)
+    run.score = float(found[0])
+    run.lag_seconds = sum(
+        float(match['seconds']) - STEP_INTERVAL_SECONDS * int(match['steps'])
+        for match in TRAINER_LAG.finditer(done.stdout)
     )
     for line in done.stdout.splitlines():
-        if RULE.match(line):
-            play.rules[line.strip()] = True
+        if BROKEN_RULE.match(line):
+            run.rules[line.strip()] = True
 
 
 def _copy_journal(roots: list[pathlib.Path]) -> int:
@@ -90,34 +90,34 @@
     copied = 0
     for root in roots:
         for path in (root / 'journal').rglob('*'):
-            goal = target / path.relative_to(root / 'journal')
-            if path.is_file() and not goal.exists():
-                goal.parent.mkdir(parents=True, exist_ok=True)
-                shutil.copyfile(path, goal)
+            destination = target / path.relative_to(root / 'journal')
+            if path.is_file() and not destination.exists():
+                destination.parent.mkdir(parents=True, exist_ok=True)
+                shutil.copyfile(path, destination)
                 copied += 1
     return copied
 
 
-def _read(results: pathlib.Path | None) -> dict[str, list[float]]:
+def _read_results(results: pathlib.Path | None) -> dict[str, list[float]]:
     if results is None or not results.exists():
         return {}
     return json.loads(results.read_text())
 
 
-def _write(
+def _write_results(
     results: pathlib.Path | None,
-    known: dict[str, list[float]],
-    plays: list[Play],
+    results_by_name: dict[str, list[float]],
+    runs: list[Run],
 ) -> None:
     if results is None:
         return
-    for play in plays:
-        if not math.isnan(play.worth):
-            known[play.name] = [play.worth, play.behind]
-    results.write_text(json.dumps(known, indent=1))
+    for run in runs:
+        if not math.isnan(run.score):
+            results_by_name[run.name] = [run.score, run.lag_seconds]
+    results.write_text(json.dumps(results_by_name, indent=1))
 
 
-def _interval(values: list[float]) -> tuple[float, float]:
+def _confidence_interval(values: list[float]) -> tuple[float, float]:
     mean = statistics.fmean(values)
     if len(values) < 2:
         return mean, math.inf
@@ -125,11 +125,11 @@
     return mean, NORMAL_QUANTILE * error
 
 
-def _show(plays: list[Play], names: list[str]) -> None:
-    by_state: dict[str, dict[tuple[str, int], Play]] = {}
-    for play in plays:
-        if not math.isnan(play.worth):
-            by_state.setdefault(play.state, {})[play.key] = play
+def _print_comparison(runs: list[Run], names: list[str]) -> None:
+    by_state: dict[str, dict[tuple[str, int], Run]] = {}
+    for run in runs:
+        if not math.isnan(run.score):
+            by_state.setdefault(run.state, {})[run.key] = run
     first = by_state.get(names[0], {})
     click.echo(
         '| state | plays | worth | least | against the first '
@@ -141,34 +141,34 @@
         if not found:
             click.echo(f'| {name} | 0 | | | | |')
             continue
-        worths = [play.worth for play in found.values()]
+        scores = [run.score for run in found.values()]
         shared = sorted(first.keys() & found.keys())
-        differences = [found[k].worth - first[k].worth for k in shared]
-        mean, width = _interval(differences)
-        late, late_width = _interval(
-            [found[k].behind - first[k].behind for k in shared]
+        differences = [found[key].score - first[key].score for key in shared]
+        mean, width = _confidence_interval(differences)
+        lag, lag_width = _confidence_interval(
+            [found[key].lag_seconds - first[key].lag_seconds for key in shared]
         )
         click.echo(
-            f'| {name} | {len(worths)} | {statistics.fmean(worths):.4f} '
-            f'| {min(worths):.3f} | {mean:+.4f} ± {width:.4f} '
-            f'| {late:+.2f} ± {late_width:.2f} |'
+            f'| {name} | {len(scores)} | {statistics.fmean(scores):.4f} '
+            f'| {min(scores):.3f} | {mean:+.4f} ± {width:.4f} '
+            f'| {lag:+.2f} ± {lag_width:.2f} |'
         )
-    for day in sorted({play.day for play in plays}):
+    for day in sorted({run.day for run in runs}):
         parts = []
         for name in names:
-            worths = [
-                play.worth
-                for play in by_state.get(name, {}).values()
-                if play.day == day
+            scores = [
+                run.score
+                for run in by_state.get(name, {}).values()
+                if run.day == day
             ]
-            if worths:
-                parts.append(f'{name} {statistics.fmean(worths):.3f}')
+            if scores:
+                parts.append(f'{name} {statistics.fmean(scores):.3f}')
         click.echo(f'{day}: ' + ', '.join(parts))
-    for play in plays:
-        if play.note or play.rules:
+    for run in runs:
+        if run.error or run.rules:
             click.echo(
-                f'! {play.state} {play.day} --seed {play.seed}: '
-                f'{json.dumps(sorted(play.rules))} {play.note}'
+                f'! {run.state} {run.day} --seed {run.seed}: '
+                f'{json.dumps(sorted(run.rules))} {run.error}'
             )
 
 
@@ -179,11 +179,11 @@
 @click.option('--day', 'days', multiple=True)
 @click.option('--seed', 'seeds', multiple=True, type=int)
 @click.option('--seeds', 'seed_range', default='', help='FIRST-LAST')
-@click.option('--jobs', default=4, help='Plays at a time.')
+@click.option('--jobs', default=4, help='Runs in parallel.')
 @click.option(
     '--results',
     type=click.Path(path_type=pathlib.Path),
-    help='Keep plays here, and leave out those that stand there.',
+    help='File of done runs, which are not repeated.',
 )
 @click.option('--why', required=True)
 def main(
@@ -197,38 +197,40 @@
     results: pathlib.Path | None,
     why: str,
 ) -> None:
-    """Play and compare."""
+    """Run the days and compare the states."""
     roots_by_name = {}
     for text in states:
         name, _, folder = text.partition('=')
         roots_by_name[name] = pathlib.Path(folder).resolve()
-    chosen = list(seeds)
+    all_seeds = list(seeds)
     if seed_range:
         first, _, last = seed_range.partition('-')
-        chosen += range(int(first), int(last) + 1)
+        all_seeds += range(int(first), int(last) + 1)
     bench = str(pathlib.Path(bench).resolve())
     site = str(pathlib.Path(site).resolve())
     for root in roots_by_name.values():
         subprocess.run([bench, 'build'], cwd=root, check=True)
-    plays = [
-        Play(name, day, seed)
-        for seed in chosen
+    runs = [
+        Run(name, day, seed)
+        for seed in all_seeds
         for day in days
         for name in roots_by_name
     ]
-    known = _read(results)
-    for play in plays:
-        play.worth, play.behind = known.get(play.name, [math.nan] * 2)
-    left = [play for play in plays if math.isnan(play.worth)]
+    results_by_name = _read_results(results)
+    for run in runs:
+        run.score, run.lag_seconds = results_by_name.get(
+            run.name, [math.nan] * 2
+        )
+    pending = [run for run in runs if math.isnan(run.score)]
     with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
-        running = [
-            pool.submit(_run, p, bench, site, roots_by_name[p.state], why)
-            for p in left
+        futures = [
+            pool.submit(_execute, p, bench, site, roots_by_name[p.state], why)
+            for p in pending
         ]
-        for each in running:
-            each.result()
-    _write(results, known, plays)
-    _show(plays, list(roots_by_name))
+        for future in futures:
+            future.result()
+    _write_results(results, results_by_name, runs)
+    _print_comparison(runs, list(roots_by_name))
     copied = _copy_journal(list(roots_by_name.values()))
     click.echo(f'{copied} journal files copied.')
 
--- a/tools/playground.sh
+++ b/tools/playground.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Run stand-ins and 6 instances until interrupted, to try commands on them.
+# Run stand-ins and 6 instances until interrupted, for trying out commands.
 # usage: playground.sh [EXAMPLE]
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -13,5 +13,5 @@
 "$BIN/yuccarill" --address "$FIRST" apply "$RUN/inventory.json" --base 0 \
     --author playground
 echo "export YUCCARILL_ADDRESS=$FIRST" >"$RUN/env"
-echo "In another shell: . $RUN/env (Ctrl-C here ends all)."
+echo "In another shell, run: . $RUN/env (Ctrl-C here stops everything)."
 wait
--- a/tools/regression.py
+++ b/tools/regression.py
@@ -1,9 +1,9 @@
-"""Score the regression sites and compare them with the last landed state.
+"""Score the regression sites and compare them with the baseline.
 
 Run as `.venv/bin/python tools/regression.py BENCH SITE... --why "..."` with
-the site files whose names stand in docs/regression.toml. Sites are scored
-one after the other; one table is printed. Ends with 1 if a gate failed, a
-rule was broken or a site is lower than the landed state by more than 0.03.
+the site files named in docs/regression.toml. Scores the sites in turn and
+prints one table. Exits with 1 if a gate fails, a rule is broken or the mean
+score of a site is more than 0.03 below its baseline.
 """
 
 from __future__ import annotations
@@ -19,42 +19,41 @@
 import msgspec
 
 ROOT = pathlib.Path(__file__).resolve().parents[1]
-LANDED = ROOT / 'docs' / 'regression.toml'
-# How far the mean worth of a site may fall; the users' own bound.
-MAX_FALL = 0.03
-TROUBLE_SLOTS = ('trouble', 'scale')
+BASELINE = ROOT / 'docs' / 'regression.toml'
+# Largest accepted drop of a site's mean score.
+MAX_DROP = 0.03
+FAULT_SLOTS = ('trouble', 'scale')
 
 
 class SiteScore(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what one score says of a site."""
+    """Store the score of one site."""
 
     site: str
     is_gate_passed: bool
     rules: tuple[str, ...]
-    worth: float
+    mean_score: float
 
-    def fall(self, landed_by_site: dict[str, float]) -> float | None:
-        """Return how much lower it is than the landed state."""
-        landed = landed_by_site.get(self.site)
-        return None if landed is None else landed - self.worth
+    def drop(self, baseline_by_site: dict[str, float]) -> float | None:
+        """Return the drop below the baseline, or None without one."""
+        baseline = baseline_by_site.get(self.site)
+        return None if baseline is None else baseline - self.mean_score
 
-    def is_well(self, landed_by_site: dict[str, float]) -> bool:
-        fall = self.fall(landed_by_site)
-        holds = fall is None or fall <= MAX_FALL
-        return self.is_gate_passed and not self.rules and holds
+    def is_acceptable(self, baseline_by_site: dict[str, float]) -> bool:
+        drop = self.drop(baseline_by_site)
+        is_in_bound = drop is None or drop <= MAX_DROP
+        return self.is_gate_passed and not self.rules and is_in_bound
 
 
 def read_score(entry: dict) -> SiteScore:
-    """Return what a journal entry of a score says.
+    """Return the score in a journal entry.
 
-    The day drawn for this score counts for the gate, not for the worth.
+    Days drawn for this run count for the gate, not for the mean score.
     """
     days = entry['days']
-    standard = [
+    standard_scores = [
         day['G']
         for day in days
-        if day['slot'] in TROUBLE_SLOTS
-        and not day['name'].startswith('fresh-')
+        if day['slot'] in FAULT_SLOTS and not day['name'].startswith('fresh-')
     ]
     return SiteScore(
         site=entry['site'],
@@ -62,29 +61,31 @@
         rules=tuple(
             f'{day["name"]}: {rule}' for day in days for rule in day['rules']
         ),
-        worth=statistics.fmean(standard),
+        mean_score=statistics.fmean(standard_scores),
     )
 
 
-def table(scores: list[SiteScore], landed_by_site: dict[str, float]) -> str:
-    """Return one row a site."""
+def render_table(
+    scores: list[SiteScore], baseline_by_site: dict[str, float]
+) -> str:
+    """Return a Markdown table with one row per site."""
     rows = [
         '| site | gate | rules broken | mean worth | against landed |',
         '|---|---|---|---|---|',
     ]
     for score in scores:
-        fall = score.fall(landed_by_site)
-        change = 'none landed' if fall is None else f'{-fall:+.3f}'
+        drop = score.drop(baseline_by_site)
+        change = 'none landed' if drop is None else f'{-drop:+.3f}'
         gate = 'passed' if score.is_gate_passed else 'FAILED'
         rules = '; '.join(score.rules) or 'none'
         rows.append(
-            f'| {score.site} | {gate} | {rules} | {score.worth:.3f} '
+            f'| {score.site} | {gate} | {rules} | {score.mean_score:.3f} '
             f'| {change} |'
         )
     return '\n'.join(rows)
 
 
-def _score(bench: str, site: str, jobs: int, why: str) -> SiteScore:
+def _score_site(bench: str, site: str, jobs: int, why: str) -> SiteScore:
     before = set((ROOT / 'journal').glob('*.json'))
     command = [bench, 'score', site, '--jobs', str(jobs), '--why', why]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
@@ -93,21 +94,21 @@
         if entry['cmd'] == 'score' and entry['days']:
             return read_score(entry)
     raise click.ClickException(
-        f'{site} was not scored: {(done.stdout + done.stderr)[-300:]}'
+        f'Site {site} was not scored: {(done.stdout + done.stderr)[-300:]}'
     )
 
 
 @click.command()
 @click.argument('bench')
 @click.argument('sites', nargs=-1, required=True)
-@click.option('--jobs', default=2, help='Days to play at a time.')
-@click.option('--why', required=True, help='A line for the journal.')
+@click.option('--jobs', default=2, help='Days to run in parallel.')
+@click.option('--why', required=True, help='Reason to record in the journal.')
 def main(bench: str, sites: tuple[str, ...], jobs: int, why: str) -> None:
     """Score the sites and print one table."""
-    landed_by_site = tomllib.loads(LANDED.read_text())['worth']
-    scores = [_score(bench, site, jobs, why) for site in sites]
-    click.echo(table(scores, landed_by_site))
-    if not all(score.is_well(landed_by_site) for score in scores):
+    baseline_by_site = tomllib.loads(BASELINE.read_text())['worth']
+    scores = [_score_site(bench, site, jobs, why) for site in sites]
+    click.echo(render_table(scores, baseline_by_site))
+    if not all(score.is_acceptable(baseline_by_site) for score in scores):
         sys.exit(1)
 
 
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,6 +1,6 @@
-"""Run every package's tests and print one closing line.
+"""Run the tests of every package and print a summary line.
 
-A test listed in KNOWN-RED.txt may fail; it is printed and not counted.
+A failure of a test listed in KNOWN-RED.txt is printed but not counted.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class PackageRun:
-    """Run one package's tests and read its report."""
+    """Run the tests of one package and read their report."""
 
     def __init__(self, tests: pathlib.Path) -> None:
         self.name = tests.parent.name
@@ -28,7 +28,7 @@
         self.exit_code = 0
 
     def run(self) -> PackageRun:
-        """Run the tests in a process of their own."""
+        """Run the tests in a separate process."""
         finished = subprocess.run(
             [
                 sys.executable,
@@ -54,16 +54,16 @@
         return self
 
     def results(self) -> dict[str, str]:
-        """Return passed, failed or skipped by test name."""
+        """Return the outcome of each test by name."""
         if not self._report.exists():
             return {f'{self.name}: no report': 'failed'}
-        by_name: dict[str, str] = {}
+        outcome_by_name: dict[str, str] = {}
         for case in ElementTree.parse(self._report).iter('testcase'):
             name = f'{case.get("classname")}.{case.get("name")}'
-            by_name[name] = _outcome(case)
-        if self.exit_code and 'failed' not in by_name.values():
-            by_name[f'{self.name}: exit {self.exit_code}'] = 'failed'
-        return by_name
+            outcome_by_name[name] = _outcome(case)
+        if self.exit_code and 'failed' not in outcome_by_name.values():
+            outcome_by_name[f'{self.name}: exit {self.exit_code}'] = 'failed'
+        return outcome_by_name
 
 
 def _outcome(case: ElementTree.Element) -> str:
@@ -74,17 +74,17 @@
     return 'passed'
 
 
-def _known_red() -> set[str]:
+def _read_known_red() -> set[str]:
     if not KNOWN_RED.exists():
         return set()
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line]
     if len(lines) > KNOWN_RED_LIMIT:
-        raise SystemExit(f'KNOWN-RED.txt: over {KNOWN_RED_LIMIT} lines.')
+        raise SystemExit(f'KNOWN-RED.txt has over {KNOWN_RED_LIMIT} lines.')
     return {line.split(',')[0].strip() for line in lines}
 
 
 def main() -> int:
-    """Run all packages side by side and count."""
+    """Run all packages in parallel and print the failures."""
     REPORTS.mkdir(exist_ok=True)
     for report in REPORTS.glob('*.xml'):
         report.unlink()
@@ -103,9 +103,9 @@
             print(run.output)
         for name, outcome in run.results().items():
             by_outcome[outcome].append(name)
-    known = _known_red()
-    red = [name for name in by_outcome['failed'] if name in known]
-    failed = [name for name in by_outcome['failed'] if name not in known]
+    known_red = _read_known_red()
+    red = [name for name in by_outcome['failed'] if name in known_red]
+    failed = [name for name in by_outcome['failed'] if name not in known_red]
     for name in red:
         print(f'known red: {name}')
     for name in failed:
--- a/tools/tests/test_regression.py
+++ b/tools/tests/test_regression.py
@@ -1,4 +1,4 @@
-"""Test what the regression table says of a score."""
+"""Test reading and comparing regression scores."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 import regression  # noqa: E402
 
-LANDED = {'s': 0.7}
+BASELINE_BY_SITE = {'s': 0.7}
 
 
 def day(
-    name: str, worth: float, slot: str = 'trouble', **rules: object
+    name: str, score: float, slot: str = 'trouble', **rules: object
 ) -> dict:
-    return {'name': name, 'G': worth, 'slot': slot, 'rules': rules}
+    return {'name': name, 'G': score, 'slot': slot, 'rules': rules}
 
 
 def entry(*days: dict, gate: float = 1.0) -> dict:
@@ -26,7 +26,7 @@
 
 
 class RegressionTest(unittest.TestCase):
-    def test_only_standard_days_with_trouble_count(self) -> None:
+    def test_mean_covers_standard_fault_days_only(self) -> None:
         found = regression.read_score(
             entry(
                 day('quiet-1', 0.1, 'quiet'),
@@ -35,20 +35,22 @@
                 day('fresh-1', 0.1),
             )
         )
-        self.assertAlmostEqual(0.7, found.worth)
+        self.assertAlmostEqual(0.7, found.mean_score)
 
     @params(
-        ('as before', entry(day('trouble-1', 0.7)), True),
-        ('a little lower', entry(day('trouble-1', 0.68)), True),
-        ('too low', entry(day('trouble-1', 0.66)), False),
+        ('unchanged', entry(day('trouble-1', 0.7)), True),
+        ('drop within the bound', entry(day('trouble-1', 0.68)), True),
+        ('drop beyond the bound', entry(day('trouble-1', 0.66)), False),
         ('gate failed', entry(day('trouble-1', 0.9), gate=0.0), False),
-        ('a rule broken', entry(day('trouble-1', 0.9, LOST=3)), False),
+        ('rule broken', entry(day('trouble-1', 0.9, LOST=3)), False),
     )
-    def test_what_holds(self, _: str, found: dict, expected: bool) -> None:
+    def test_acceptance(self, _: str, found: dict, expected: bool) -> None:
         score = regression.read_score(found)
-        self.assertIs(expected, score.is_well(LANDED))
+        self.assertIs(expected, score.is_acceptable(BASELINE_BY_SITE))
 
-    def test_a_row_a_site(self) -> None:
+    def test_row_of_a_site(self) -> None:
         scores = [regression.read_score(entry(day('trouble-1', 0.75)))]
-        row = regression.table(scores, LANDED).splitlines()[-1]
+        row = regression.render_table(scores, BASELINE_BY_SITE).splitlines()[
+            -1
+        ]
         self.assertEqual('| s | passed | none | 0.750 | +0.050 |', row)
