--- a/tools/lease_fleet.py
+++ b/tools/lease_fleet.py
@@ -1,4 +1,4 @@
-"""Run lease keepers of many instances on a fake clock and a tiny store."""
+"""Simulate the lease keepers of many instances on a fake clock."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-TICK = 0.25
+TICK_SECONDS = 0.25
 STORE_SECONDS = 0.005
-# From a write of the table until every instance has it.
-SPREAD_SECONDS = 0.1
-# Until members agree on who came or crashed.
-NOTICE_SECONDS = 5.0
+# From a write of the lease table until every instance has read it.
+READ_SECONDS = 0.1
+# Until all instances have detected a start or a crash.
+DETECTION_SECONDS = 5.0
 TARGETS = 1300
-START = 1000.0
+START_TIME = 1000.0
 
 
 class Node:
-    """Hold one instance's keeper."""
+    """Simulate one instance with its lease keeper."""
 
     def __init__(self, name: InstanceId, serial: int, seed: int) -> None:
         self.id = name
@@ -47,10 +47,10 @@
 
 
 class Fleet:
-    """Run instances, a store and the spread of the table."""
+    """Simulate instances, the store and reads of the lease table."""
 
     def __init__(self, count: int) -> None:
-        self.now = START
+        self.now = START_TIME
         self.calls_by_kind: collections.Counter[str] = collections.Counter()
         # Processor seconds of all keepers' decisions.
         self.decision_seconds = 0.0
@@ -63,77 +63,79 @@
         self._live: list[InstanceId] = []
         for number in range(count):
             self._add(InstanceId(f'i{number}'))
-        self.notice()
+        self.update_membership()
 
     def start(self, name: InstanceId) -> None:
-        """Start an instance; the others learn of it a little later."""
+        """Start an instance; the others detect it after a delay."""
         self._add(name)
         self.nodes_by_id[name].keeper.set_live(self._live)
-        self._at(NOTICE_SECONDS, self.notice)
+        self._schedule(DETECTION_SECONDS, self.update_membership)
 
     def crash(self, name: InstanceId) -> None:
-        """End an instance; the others learn of it a little later."""
+        """Crash an instance; the others detect it after a delay."""
         self.nodes_by_id[name].is_dead = True
-        self._at(NOTICE_SECONDS, self.notice)
+        self._schedule(DETECTION_SECONDS, self.update_membership)
 
     def stop(self, name: InstanceId) -> None:
-        """End an instance gracefully; the others are told at once."""
-        leaver = self.nodes_by_id[name].keeper
-        gifts: dict[int, table.Holder | None] = {}
-        for shard, heir in leaver.leave().items():
-            assert heir is not None
-            found = self.nodes_by_id[heir].keeper
-            found.want_session(Instant(self.now + 10))
-            session = self._time(lambda f=found: f.usable_session(self.now))
-            gifts[shard] = table.Holder(heir, session) if session else None
-        leaver.give(gifts)
-        while not leaver.close():
-            self.run(TICK)
+        """Stop an instance gracefully; the others detect it at once."""
+        leaving = self.nodes_by_id[name].keeper
+        handovers: dict[int, table.Holder | None] = {}
+        for shard, successor in leaving.leave().items():
+            assert successor is not None
+            peer = self.nodes_by_id[successor].keeper
+            peer.want_session(Instant(self.now + 10))
+            session = self._time(lambda k=peer: k.usable_session(self.now))
+            handovers[shard] = (
+                table.Holder(successor, session) if session else None
+            )
+        leaving.give(handovers)
+        while not leaving.close():
+            self.run(TICK_SECONDS)
         self.nodes_by_id[name].is_dead = True
-        self.notice()
+        self.update_membership()
 
-    def notice(self) -> None:
-        """Let all instances agree on who is live."""
+    def update_membership(self) -> None:
+        """Give every instance the list of live instances."""
         self._live = [n.id for n in self.nodes_by_id.values() if not n.is_dead]
         for node in self._running():
             self._time(lambda n=node: n.keeper.set_live(self._live))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock and run the events that are due."""
         end = self.now + seconds
         while self._events and self._events[0][0] <= end:
-            self.now, _, do = heapq.heappop(self._events)
-            do()
+            self.now, _, callback = heapq.heappop(self._events)
+            callback()
         self.now = end
 
     def holders(self) -> dict[int, InstanceId | None]:
-        """Return who may act on each shard right now."""
-        found: dict[int, InstanceId | None] = dict.fromkeys(shards.ALL_SHARDS)
+        """Return the instance with a valid lease for each shard."""
+        held: dict[int, InstanceId | None] = dict.fromkeys(shards.ALL_SHARDS)
         for node in self._running():
             for shard in node.keeper.held():
                 if node.keeper.epoch_of(shard, Instant(self.now)) is not None:
-                    found[shard] = node.id
-        return found
+                    held[shard] = node.id
+        return held
 
     def seconds_until_held(self, limit: float = 60.0) -> float:
-        """Let time pass until every shard is held."""
-        begun = self.now
-        while None in self.holders().values() and self.now < begun + limit:
-            self.run(TICK)
-        return self.now - begun
+        """Advance the clock until all shards are held; return the seconds."""
+        start = self.now
+        while None in self.holders().values() and self.now < start + limit:
+            self.run(TICK_SECONDS)
+        return self.now - start
 
     def _add(self, name: InstanceId) -> None:
         serial = next(self._serials)
         node = Node(name, serial, serial)
         self.nodes_by_id[name] = node
-        # Processes tick at moments of their own.
-        phase = random.Random(serial).uniform(0, TICK)
-        self._at(phase, self._tick, node)
+        # Instances tick at independent phases.
+        phase = random.Random(serial).uniform(0, TICK_SECONDS)
+        self._schedule(phase, self._tick, node)
 
     def _tick(self, node: Node) -> None:
         if not node.is_dead:
             self._step(node)
-            self._at(TICK, self._tick, node)
+            self._schedule(TICK_SECONDS, self._tick, node)
 
     def _running(self) -> list[Node]:
         return [n for n in self.nodes_by_id.values() if not n.is_dead]
@@ -141,7 +143,7 @@
     def _step(self, node: Node) -> None:
         now = Instant(self.now)
         for operation in self._time(lambda: node.keeper.next_operations(now)):
-            self._at(STORE_SECONDS, self._apply, node, operation)
+            self._schedule(STORE_SECONDS, self._apply, node, operation)
         for ask in self._time(lambda: node.keeper.due_asks(now)):
             holder = self.nodes_by_id.get(ask.holder)
             if holder is not None and not holder.is_dead:
@@ -149,19 +151,19 @@
                 holder.keeper.consent(to, ask.shards)
 
     def _apply(self, node: Node, operation: operations.Operation) -> None:
-        outcome = self._outcome(operation)
+        outcome = self._execute(operation)
         if isinstance(outcome, operations.Written):
             if operation.key == table.TABLE_KEY:
                 assert operation.value is not None
                 version, value = outcome.version, operation.value
-                self._at(SPREAD_SECONDS, self._spread, version, value)
+                self._schedule(READ_SECONDS, self._propagate, version, value)
         if node.is_dead:
             return
         now = Instant(self.now)
         self._time(lambda: node.keeper.complete(operation, outcome, now))
         self._step(node)
 
-    def _outcome(self, operation: operations.Operation) -> operations.Outcome:
+    def _execute(self, operation: operations.Operation) -> operations.Outcome:
         version, value = self._entries_by_key.get(operation.key, (0, b''))
         if operation.value is None:
             self.calls_by_kind['read'] += 1
@@ -175,30 +177,30 @@
         self._entries_by_key[operation.key] = entry
         return operations.Written(entry[0])
 
-    def _spread(self, version: int, value: bytes) -> None:
+    def _propagate(self, version: int, value: bytes) -> None:
         for node in self._running():
             self._time(lambda n=node: n.keeper.offer_table(version, value))
 
-    def _time(self, do: Callable[[], object]) -> object:
-        begun = time.process_time()
+    def _time(self, callback: Callable[[], object]) -> object:
+        start = time.process_time()
         try:
-            return do()
+            return callback()
         finally:
-            self.decision_seconds += time.process_time() - begun
+            self.decision_seconds += time.process_time() - start
 
-    def _at(
-        self, delay: float, do: Callable[..., None], *more: object
+    def _schedule(
+        self, delay: float, callback: Callable[..., None], *arguments: object
     ) -> None:
         event = (
             self.now + delay,
             next(self._serials),
-            lambda: do(*more),
+            lambda: callback(*arguments),
         )
         heapq.heappush(self._events, event)
 
 
 class NaiveFleet:
-    """Renew a lease a target; every instance reads who holds what."""
+    """Renew a lease per target; every instance reads all holders."""
 
     def __init__(self, count: int) -> None:
         names = [InstanceId(f'i{number}') for number in range(count)]
@@ -210,7 +212,7 @@
         }
 
     def run(self, seconds: float, period: float) -> None:
-        """Count the calls of a time without change."""
+        """Count the store calls of a period without changes."""
         for _ in range(round(seconds / period)):
             for _ in self.holders_by_target:
                 self.calls_by_kind['write'] += 1
--- a/tools/measure_weights.py
+++ b/tools/measure_weights.py
@@ -1,9 +1,9 @@
-"""Measure a weight switch: in virtual time at size, and on loopback.
+"""Measure weight rollouts in virtual time and on loopback.
 
-The core part runs the decisions for 1,300 engines of 11 data centres in
-virtual time, beside switching one by one, in lockstep waves and all at
-once with the same swap times. The loopback part gives the processor time
-and bytes of an order to engine stand-ins in a process of their own.
+The core part simulates a rollout to 1,300 engines in 11 data centres, and
+naive rollouts with the same swap times: one by one, in lockstep waves and all
+at once. The loopback part measures the processor time and bytes per order
+sent to engine stand-ins in another process.
 """
 
 from __future__ import annotations
@@ -29,10 +29,10 @@
 ENGINES = 1300
 DATA_CENTRES = 11
 SHARDS = 64
-RATE = 50.0
-FAILURE_PART = 0.01
-LOWEST_SWAP = 0.5
-LONGEST_SWAP = 6.0
+DOWNLOAD_RATE = 50.0
+FAILURE_SHARE = 0.01
+SHORTEST_SWAP_SECONDS = 0.5
+LONGEST_SWAP_SECONDS = 6.0
 
 
 class SwapTimes:
@@ -42,12 +42,12 @@
         self._random = random.Random(seed)
 
     def __call__(self) -> float:
-        drawn = LOWEST_SWAP + self._random.lognormvariate(-0.4, 0.8)
-        return min(LONGEST_SWAP, drawn)
+        drawn = SHORTEST_SWAP_SECONDS + self._random.lognormvariate(-0.4, 0.8)
+        return min(LONGEST_SWAP_SECONDS, drawn)
 
 
 class Stopwatch:
-    """Sum the processor time that is spent in some functions."""
+    """Sum the processor time spent in the wrapped methods."""
 
     def __init__(self) -> None:
         self.seconds = 0.0
@@ -55,60 +55,60 @@
 
     def wrap(self, owner: type, *names: str) -> None:
         for name in names:
-            setattr(owner, name, self._timed(getattr(owner, name)))
+            setattr(owner, name, self._wrap(getattr(owner, name)))
 
-    def _timed(self, function: Any) -> Any:
-        def run(*args: Any, **more: Any) -> Any:
+    def _wrap(self, function: Any) -> Any:
+        def run(*args: Any, **options: Any) -> Any:
             self._depth += 1
-            begun = time.process_time()
+            started_at = time.process_time()
             try:
-                return function(*args, **more)
+                return function(*args, **options)
             finally:
                 self._depth -= 1
                 if not self._depth:
-                    self.seconds += time.process_time() - begun
+                    self.seconds += time.process_time() - started_at
 
         return run
 
 
 def run_core(part: float, seed: int, engines: int = ENGINES) -> dict[str, Any]:
-    """Switch all engines once and return what was counted."""
-    fakes = [
+    """Roll out one version to all engines and return the counts."""
+    fake_engines = [
         fleet_module.FakeEngine(
             TargetId(f'e{n}'), DataCentreId(f'dc{n % DATA_CENTRES}')
         )
         for n in range(engines)
     ]
-    fleet = fleet_module.Fleet(fakes, SHARDS, part, RATE, seed)
+    fleet = fleet_module.Fleet(fake_engines, SHARDS, part, DOWNLOAD_RATE, seed)
     fleet.switch_seconds = SwapTimes(seed)
-    fleet.failure_part = FAILURE_PART
+    fleet.failure_part = FAILURE_SHARE
     fleet.run(6, lambda: False)
     fleet.store_newest = 2
     lowest = engines
-    begun: float | None = None
+    started_at: float | None = None
 
     def is_done() -> bool:
-        nonlocal lowest, begun
+        nonlocal lowest, started_at
         lowest = min(lowest, fleet.serving())
-        if begun is None and any(e.is_swapping for e in fakes):
-            begun = float(fleet.now)
+        if started_at is None and any(e.is_swapping for e in fake_engines):
+            started_at = float(fleet.now)
         return fleet.is_done()
 
     if not fleet.run(600, is_done):
-        raise SystemExit('the switch did not end')
-    assert begun is not None
+        raise SystemExit('The rollout did not finish in time.')
+    assert started_at is not None
     return {
-        'seconds': fleet.now - begun,
+        'seconds': fleet.now - started_at,
         'staging': max(fleet.downloads) - min(fleet.downloads),
         'serving': lowest / engines,
-        'downloads': _busiest_second(fleet.downloads),
+        'downloads': _peak_per_second(fleet.downloads),
         'orders': fleet.orders_sent,
         'faults': fleet.faults,
     }
 
 
 def naive_seconds(part: float, seed: int) -> dict[str, float]:
-    """Return the time of the naive ways with swap times drawn alike."""
+    """Return the durations of naive rollouts with the same swap times."""
     times = SwapTimes(seed)
     swaps = [times() for _ in range(ENGINES)]
     wave = ENGINES - math.ceil(ENGINES * part)
@@ -120,26 +120,26 @@
     }
 
 
-def _busiest_second(times: list[float]) -> int:
+def _peak_per_second(times: list[float]) -> int:
     ordered = sorted(times)
     first = 0
-    most = 0
+    peak = 0
     for last, at in enumerate(ordered):
         while at - ordered[first] >= 1.0:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        peak = max(peak, last - first + 1)
+    return peak
 
 
 @click.group()
 def main() -> None:
-    """Measure weight switches."""
+    """Measure weight rollouts."""
 
 
 @main.command()
 @click.option('--seeds', default=5)
 def core(seeds: int) -> None:
-    """Run the decisions at size in virtual time."""
+    """Simulate rollouts at full size in virtual time."""
     for part in (0.5, 0.8):
         runs = [run_core(part, seed) for seed in range(seeds)]
         naive = [naive_seconds(part, seed) for seed in range(seeds)]
@@ -153,7 +153,7 @@
         click.echo(
             f'  staged in {max(run["staging"] for run in runs):.1f} s, '
             f'busiest second {max(run["downloads"] for run in runs)} '
-            f'downloads, limit {RATE:.0f}; orders '
+            f'downloads, limit {DOWNLOAD_RATE:.0f}; orders '
             f'{max(run["orders"] for run in runs)}; floor broken '
             f'{sum(len(run["faults"]) for run in runs)} times'
         )
@@ -165,7 +165,7 @@
 
 @main.command()
 def decisions() -> None:
-    """Count the decisions' processor time against engines."""
+    """Measure the processor time of decisions by number of engines."""
     from yuccarill.core.weights import desk
     from yuccarill.core.weights import rollout
 
@@ -187,7 +187,7 @@
 @main.command()
 @click.option('--engines', default=40)
 def loopback(engines: int) -> None:
-    """Order engine stand-ins on loopback; measure this process."""
+    """Measure the cost of orders to engine stand-ins on loopback."""
     import weights_loopback
 
     weights_loopback.run(engines)
--- a/tools/paired_days.py
+++ b/tools/paired_days.py
@@ -183,7 +183,7 @@
 @click.option(
     '--results',
     type=click.Path(path_type=pathlib.Path),
-    help='File of done runs, which are not repeated.',
+    help='File of earlier results, which are not run again.',
 )
 @click.option('--why', required=True)
 def main(
--- a/tools/weights_loopback.py
+++ b/tools/weights_loopback.py
@@ -1,4 +1,4 @@
-"""Order engine stand-ins on loopback and measure what an order costs."""
+"""Measure the cost of weight orders to engine stand-ins on loopback."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 class HeldLeases:
-    """Hold every duty here."""
+    """Lease stub in which this instance holds every lease."""
 
     def __init__(self, me: Instance) -> None:
         self._me = me
@@ -75,7 +75,7 @@
 
 
 class FixedStore:
-    """Name the newest version without a call."""
+    """Weight store stub with a settable newest version."""
 
     def __init__(self) -> None:
         self.version = WeightVersion(1)
@@ -85,7 +85,7 @@
 
 
 def run(engines: int) -> None:
-    """Measure with a number of engines and print it."""
+    """Measure with a number of engines and print the results."""
     failed: list[Any] = []
     with tempfile.TemporaryDirectory() as folder:
         stand_ins = _start(pathlib.Path(folder), engines)
@@ -117,18 +117,18 @@
     process = subprocess.Popen(
         [sys.executable, '-m', 'yuccarill.standins', example, folder]
     )
-    until = time.monotonic() + START_SECONDS
+    deadline = time.monotonic() + START_SECONDS
     while not (folder / 'platform.json').exists():
-        if time.monotonic() > until:
-            raise SystemExit('the stand-ins did not start')
+        if time.monotonic() > deadline:
+            raise SystemExit('The stand-ins did not start in time.')
         time.sleep(0.1)
     return process
 
 
 async def _measure(folder: pathlib.Path) -> None:
-    plain = json.loads((folder / 'inventory.json').read_text())
-    reads = len(plain['engines'])
-    inventory = reader.from_plain(plain)
+    document = json.loads((folder / 'inventory.json').read_text())
+    engine_count = len(document['engines'])
+    inventory = reader.from_plain(document)
     me = Instance(
         id=InstanceId('i'),
         data_centre=DataCentreId('dc0'),
@@ -141,46 +141,46 @@
     leases: Any = HeldLeases(me)
     store: Any = FixedStore()
     adapter = engine_weights.EngineWeightsAdapter(http.HttpClient())
-    nobody: Any = None
+    unused: Any = None
     holder = targets.TargetController(
-        blackboard, leases, adapter, nobody, reactor
+        blackboard, leases, adapter, unused, reactor
     )
     planner = weights.WeightController(
-        blackboard, leases, store, holder, nobody, 500.0, reactor
+        blackboard, leases, store, holder, unused, 500.0, reactor
     )
     count = ByteCount()
-    for following in (holder, planner):
-        defer.ensureDeferred(following.follow()).addErrback(click.echo)
-    await _until(
-        lambda: len(blackboard.targets_by_id) == len(plain['engines'])
+    for controller in (holder, planner):
+        defer.ensureDeferred(controller.follow()).addErrback(click.echo)
+    await _wait_until(
+        lambda: len(blackboard.targets_by_id) == len(document['engines'])
     )
     await _sleep(2.0)
-    idle = await _cost(count, _sleep(IDLE_SECONDS))
+    idle = await _measure_cost(count, _sleep(IDLE_SECONDS))
     click.echo(
-        f'{reads} engines read: '
+        f'{engine_count} engines read: '
         f'{idle[0] / IDLE_SECONDS * 100:.2f}% of a core, '
         f'{idle[1] / IDLE_SECONDS:.0f} B/s'
     )
     store.version = WeightVersion(2)
-    begun = time.monotonic()
-    spent = await _cost(
+    started_at = time.monotonic()
+    spent = await _measure_cost(
         count,
-        _until(
+        _wait_until(
             lambda: all(
                 state.weight_version == 2
                 for state in blackboard.targets_by_id.values()
             )
         ),
     )
-    seconds = time.monotonic() - begun
-    # What reading would have cost in the same time is not the orders'.
+    seconds = time.monotonic() - started_at
+    # Excludes the cost of reading engine states in the same time.
     share = seconds / IDLE_SECONDS
-    orders_sent = 2 * reads
+    orders_sent = 2 * engine_count
     cpu = (spent[0] - idle[0] * share) / orders_sent
     size = (spent[1] - idle[1] * share) / orders_sent
     click.echo(
         f'{orders_sent} orders in {seconds:.1f} s: {cpu * 1000:.2f} ms and '
-        f'{size:.0f} B each (HTTP), reading taken off'
+        f'{size:.0f} B each (HTTP), without reading'
     )
     _print_peer_bytes()
 
@@ -218,17 +218,17 @@
         )
 
 
-async def _cost(count: ByteCount, work: Any) -> tuple[float, int]:
+async def _measure_cost(count: ByteCount, work: Any) -> tuple[float, int]:
     cpu, size = time.process_time(), count.total
     await work
     return time.process_time() - cpu, count.total - size
 
 
-async def _until(is_met: Any) -> None:
+async def _wait_until(is_met: Any) -> None:
     deadline = time.monotonic() + SWITCH_SECONDS
     while not is_met():
         if time.monotonic() > deadline:
-            raise SystemExit('waited too long')
+            raise SystemExit('The engines did not change state in time.')
         await _sleep(0.1)
 
 
