--- a/tools/configuration_fleet.py
+++ b/tools/configuration_fleet.py
@@ -1,4 +1,4 @@
-"""Many instances' controllers in one process on a simulated clock."""
+"""Simulate the controllers of many instances in one process."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 
 REGIONS = 5
 DATA_CENTRES = 11
-# One way, in seconds.
+# One-way network delays.
 NEAR_SECONDS = 0.00025
 REGION_SECONDS = 0.0005
 FAR_SECONDS = 0.08
 STORE_SECONDS = 0.002
-# Until a call over a cut is given up.
-CUT_SECONDS = 2.0
+# Until a call across a partition fails.
+PARTITION_SECONDS = 2.0
 
 
 class SimulatedClock:
-    """Run delayed calls in order with no wait between them."""
+    """Run delayed calls in order of time, without waiting."""
 
     def __init__(self) -> None:
         self._now = 0.0
@@ -68,7 +68,7 @@
         return call
 
     def run(self, seconds: float) -> None:
-        """Let simulated time pass."""
+        """Advance the clock and run the calls that are due."""
         end = self._now + seconds
         while self._calls and self._calls[0][0] <= end:
             self._now, _, call = heapq.heappop(self._calls)
@@ -78,33 +78,33 @@
         self._now = end
 
 
-class FarStore:
-    """Reach the store from one region."""
+class RemoteStore:
+    """Delay calls to the store by the distance of a region."""
 
     def __init__(
-        self, store: memory.MemoryKeyValue, clock: SimulatedClock, far: float
+        self, store: memory.MemoryKeyValue, clock: SimulatedClock, delay: float
     ) -> None:
         self._store = store
         self._clock = clock
-        self._far = far
-        self.is_cut = False
+        self._delay = delay
+        self.is_partitioned = False
 
     def __getattr__(self, name: str) -> Any:
         method = getattr(self._store, name)
 
         async def call(*arguments: Any) -> Any:
-            await self._travel()
+            await self._cross_network()
             result = await method(*arguments)
-            await self._travel()
+            await self._cross_network()
             return result
 
         return call
 
-    async def _travel(self) -> None:
-        await task.deferLater(self._clock, self._far, lambda: None)
-        if self.is_cut:
-            await task.deferLater(self._clock, CUT_SECONDS, lambda: None)
-            raise errors.StoreUnavailable('cut off')
+    async def _cross_network(self) -> None:
+        await task.deferLater(self._clock, self._delay, lambda: None)
+        if self.is_partitioned:
+            await task.deferLater(self._clock, PARTITION_SECONDS, lambda: None)
+            raise errors.StoreUnavailable('The store is unreachable.')
 
 
 class Fleet:
@@ -126,25 +126,25 @@
             )
             for n in range(count)
         ]
-        self.boards: dict[InstanceId, Blackboard] = {}
-        self.controllers: dict[
+        self.blackboards_by_id: dict[InstanceId, Blackboard] = {}
+        self.controllers_by_id: dict[
             InstanceId, configuration.ConfigurationController
         ] = {}
-        self._stores: dict[InstanceId, FarStore] = {}
-        self._following: dict[InstanceId, list[defer.Deferred[Any]]] = {}
+        self._stores_by_id: dict[InstanceId, RemoteStore] = {}
+        self._following_by_id: dict[InstanceId, list[defer.Deferred[Any]]] = {}
         for instance in self.instances:
             self.start(instance)
 
     def live(self) -> list[Instance]:
-        """Return all instances: nobody has noticed a loss yet."""
-        # Built anew at each call, as the members' view builds it.
+        """Return all instances, as if no loss were detected."""
+        # Returns copies, as the membership view does.
         return [msgspec.structs.replace(i) for i in self.instances]
 
     def start(self, me: Instance) -> None:
         """Start one instance."""
         peers = self.network.peers_of(me)
-        far = 0.0 if _region(me) == 0 else FAR_SECONDS
-        store = FarStore(self.store, self.clock, far)
+        delay = 0.0 if _region(me) == 0 else FAR_SECONDS
+        store = RemoteStore(self.store, self.clock, delay)
         spread = dissemination.DisseminationController(
             me,
             self,
@@ -153,9 +153,9 @@
             random.Random(self.random.random()),
             self.clock,
         )
-        board = Blackboard(me=me)
+        blackboard = Blackboard(me=me)
         controller = configuration.ConfigurationController(
-            board,
+            blackboard,
             spread,
             peers,
             decisions.DecisionRunner(store, self.clock),
@@ -168,61 +168,62 @@
             return spread.handle(body)
 
         self.network.handlers_by_id[me.id] = handle
-        self.boards[me.id] = board
-        self.controllers[me.id] = controller
-        self._stores[me.id] = store
-        self._following[me.id] = [
+        self.blackboards_by_id[me.id] = blackboard
+        self.controllers_by_id[me.id] = controller
+        self._stores_by_id[me.id] = store
+        self._following_by_id[me.id] = [
             defer.ensureDeferred(part.follow()).addErrback(lambda _: None)
             for part in (controller, spread)
         ]
 
     def kill(self, me: Instance) -> None:
-        """Take an instance away as a dead machine: it answers nothing."""
+        """Kill an instance, which no longer answers requests."""
 
-        async def silence(_: messages.Body) -> messages.Body:
+        async def never_reply(_: messages.Body) -> messages.Body:
             return await defer.Deferred()
 
-        self.network.handlers_by_id[me.id] = silence
-        for following in self._following[me.id]:
+        self.network.handlers_by_id[me.id] = never_reply
+        for following in self._following_by_id[me.id]:
             following.cancel()
-        del self.boards[me.id]
+        del self.blackboards_by_id[me.id]
 
-    def cut_region(self, region: int) -> None:
-        """Cut a region off from the others and from the store."""
+    def partition_region(self, region: int) -> None:
+        """Partition a region from the others and from the store."""
         inside = {i.id for i in self.instances if _region(i) == region}
         outside = {i.id for i in self.instances} - inside
         self.network.silent = set(itertools.product(inside, outside))
         self.network.silent |= set(itertools.product(outside, inside))
-        for cut in inside:
-            self._stores[cut].is_cut = True
+        for member in inside:
+            self._stores_by_id[member].is_partitioned = True
 
     def heal(self) -> None:
-        """End every cut."""
+        """Remove all partitions."""
         self.network.silent = set()
-        for store in self._stores.values():
-            store.is_cut = False
+        for store in self._stores_by_id.values():
+            store.is_partitioned = False
 
     def apply(self, at: Instance, base: int, document: Any) -> list[Any]:
-        """Apply a document; the time of acceptance is listed."""
+        """Apply a document; return a list that receives the finish time."""
         accepted: list[Any] = []
         defer.ensureDeferred(
-            self.controllers[at.id].apply('operator', base, document)
+            self.controllers_by_id[at.id].apply('operator', base, document)
         ).addCallbacks(
             lambda _: accepted.append(self.clock.seconds()), accepted.append
         )
         return accepted
 
-    def in_force_after(self, revision: int, limit: float) -> float:
+    def seconds_until_applied(self, revision: int, limit: float) -> float:
         """Return the seconds until all live instances have a revision."""
-        began = self.clock.seconds()
-        while self.clock.seconds() - began < limit:
+        started_at = self.clock.seconds()
+        while self.clock.seconds() - started_at < limit:
             if all(
-                board.head is not None and board.head.revision >= revision
-                for board in self.boards.values()
+                blackboard.head is not None
+                and blackboard.head.revision >= revision
+                for blackboard in self.blackboards_by_id.values()
             ):
                 break
             self.clock.run(0.005)
-        return self.clock.seconds() - began
+        return self.clock.seconds() - started_at
 
     def traffic(self) -> dict[InstanceId, int]:
         """Return the bytes sent and received by each instance."""
--- a/tools/measure_configuration.py
+++ b/tools/measure_configuration.py
@@ -1,8 +1,8 @@
-"""Measure how changes of configuration reach the instances.
+"""Measure the propagation of configuration changes to the instances.
 
 Runs the controllers of many instances in one process on a simulated clock,
-with modelled delays between regions, beside the naive way, in which every
-instance watches the head and fetches the whole document.
+with simulated delays between regions. Compares them with a naive design, in
+which every instance watches the store and fetches the whole document.
 """
 
 from __future__ import annotations
@@ -34,14 +34,14 @@
 DAY_SECONDS = 86400
 IDLE_SECONDS = 20.0
 PAUSE_SECONDS = 4.0
-CUT_REGION = 4
+PARTITIONED_REGION = 4
 CALLS_SECONDS = 60.0
 CALLS_CHANGES = 32
 CALLS_PAUSE_SECONDS = 2.0
 
 
 def documents(targets: int) -> Iterator[dict[str, Any]]:
-    """Return documents that each differ from the last in one entry."""
+    """Yield documents that each differ from the previous in one entry."""
     engines = [
         {
             'id': f'engine-{n:04d}',
@@ -61,88 +61,92 @@
         }
 
 
-def measure_spread(count: int, changes: int, killed: int) -> None:
-    """Print times, bytes and processor time with and without losses."""
+def measure_propagation(count: int, changes: int, killed: int) -> None:
+    """Print propagation times, bytes and processor time."""
     fleet = Fleet(count, seed=1)
     source = documents(TARGETS)
     fleet.clock.run(1.0)
     revision = 1
     reads = fleet.store.calls_by_kind['read']
     fleet.apply(fleet.instances[0], 0, next(source))
-    first = fleet.in_force_after(revision, 30.0)
+    first = fleet.seconds_until_applied(revision, 30.0)
     fleet.clock.run(5.0)
     reads = fleet.store.calls_by_kind['read'] - reads
     idle_bytes, idle_processor = _idle(fleet)
     _print('whole document, no delta, in force after', f'{first:.2f} s')
     _print('reads of the store for it', f'{reads}')
-    before, began = fleet.traffic(), time.process_time()
+    before, start = fleet.traffic(), time.process_time()
     watched = fleet.store.bytes_by_kind['watch']
     written = fleet.store.bytes_by_kind['write']
-    started = fleet.clock.seconds()
-    calm, applier = [], 0.0
+    simulated_start = fleet.clock.seconds()
+    delays, decoding = [], 0.0
     for _ in range(changes):
         at = fleet.random.choice(fleet.instances)
         document = next(source)
         mark = time.process_time()
         reader.from_plain(document)
-        applier += time.process_time() - mark
+        decoding += time.process_time() - mark
         fleet.apply(at, revision, document)
         revision += 1
-        calm.append(fleet.in_force_after(revision, 10.0))
+        delays.append(fleet.seconds_until_applied(revision, 10.0))
         fleet.clock.run(PAUSE_SECONDS)
-    passed = fleet.clock.seconds() - started
-    used = time.process_time() - began - passed * idle_processor - applier
+    elapsed = fleet.clock.seconds() - simulated_start
+    used = time.process_time() - start - elapsed * idle_processor - decoding
     watched = fleet.store.bytes_by_kind['watch'] - watched
     written = fleet.store.bytes_by_kind['write'] - written
     watchers = 2 * len({i.data_centre for i in fleet.instances})
     head = watched / changes / watchers
     after = fleet.traffic()
-    each = [
-        (after[i] - before[i] - idle_bytes[i] * passed) / changes
+    per_change = [
+        (after[i] - before[i] - idle_bytes[i] * elapsed) / changes
         for i in after
     ]
     daily = CHANGES_A_DAY / DAY_SECONDS
     steady = [
-        rate + daily * (n + head) for rate, n in zip(idle_bytes.values(), each)
+        rate + daily * (n + head)
+        for rate, n in zip(idle_bytes.values(), per_change)
     ]
     processor = used / changes / count
     share = idle_processor / count + processor * daily
     idle_mean = statistics.mean(idle_bytes.values())
-    _print('in force everywhere, worst', f'{max(calm):.2f} s')
-    _print('in force everywhere, median', f'{statistics.median(calm):.2f} s')
+    _print('in force everywhere, worst', f'{max(delays):.2f} s')
+    _print('in force everywhere, median', f'{statistics.median(delays):.2f} s')
     _print('idle, bytes/s a node', f'{idle_mean:.0f}')
-    _print('bytes a node a change, mean', f'{statistics.mean(each):.0f}')
-    _print('bytes a node a change, most', f'{max(each):.0f}')
+    _print(
+        'bytes a node a change, mean',
+        f'{statistics.mean(per_change):.0f}',
+    )
+    _print('bytes a node a change, most', f'{max(per_change):.0f}')
     _print('head read by a watcher a change, bytes', f'{head:.0f}')
     _print('written to the store a change, bytes', f'{written / changes:.0f}')
     _print('bytes/s at 6,000 a day, busiest watcher', f'{max(steady):.0f}')
     _print('processor idle, of a core', f'{idle_processor / count:.4%}')
     _print('processor a change', f'{processor * 1000:.2f} ms')
     _print('processor at 6,000 a day, of a core', f'{share:.4%}')
-    _measure_cut(fleet, source, revision, changes)
+    _measure_partition(fleet, source, revision, changes)
     _measure_losses(fleet, source, revision + changes, changes, killed)
 
 
 def _idle(fleet: Fleet) -> tuple[dict[InstanceId, float], float]:
-    before, began = fleet.traffic(), time.process_time()
+    before, start = fleet.traffic(), time.process_time()
     fleet.clock.run(IDLE_SECONDS)
-    used = time.process_time() - began
+    used = time.process_time() - start
     rates = {
         i: (n - before[i]) / IDLE_SECONDS for i, n in fleet.traffic().items()
     }
     return rates, used / IDLE_SECONDS
 
 
-def _measure_cut(
+def _measure_partition(
     fleet: Fleet, source: Any, revision: int, changes: int
 ) -> None:
-    fleet.cut_region(CUT_REGION)
+    fleet.partition_region(PARTITIONED_REGION)
     for base in range(revision, revision + changes):
         fleet.apply(fleet.instances[0], base, next(source))
         fleet.clock.run(PAUSE_SECONDS)
     reads = fleet.store.calls_by_kind['read']
     fleet.heal()
-    took = fleet.in_force_after(revision + changes, 30.0)
+    took = fleet.seconds_until_applied(revision + changes, 30.0)
     reads = fleet.store.calls_by_kind['read'] - reads
     _print(f'region cut off for {changes} changes, then', f'{took:.2f} s')
     _print('reads of the store then', f'{reads}')
@@ -163,7 +167,7 @@
         revision += 1
         for instance in lost:
             fleet.kill(instance)
-        took.append(fleet.in_force_after(revision, 20.0))
+        took.append(fleet.seconds_until_applied(revision, 20.0))
         for instance in lost:
             fleet.start(instance)
         fleet.clock.run(PAUSE_SECONDS)
@@ -175,7 +179,7 @@
 
 
 class NaiveFleet:
-    """Let every instance watch the whole document."""
+    """Make every instance watch the whole document."""
 
     def __init__(self, count: int) -> None:
         self.clock = configuration_fleet.SimulatedClock()
@@ -186,12 +190,12 @@
             defer.ensureDeferred(self._follow())
 
     def apply(self, value: bytes) -> None:
-        """Write a document as an operator would, read first."""
+        """Write a document after reading it, as an operator does."""
         defer.ensureDeferred(self._apply(value))
 
     async def _apply(self, value: bytes) -> None:
-        standing = await self.store.get('head')
-        await self.store.swap('head', value, standing.version)
+        current = await self.store.get('head')
+        await self.store.swap('head', value, current.version)
 
     async def _follow(self) -> None:
         version = 0
@@ -203,18 +207,18 @@
 
 
 def measure_naive(count: int, changes: int) -> None:
-    """Print bytes and processor time of the naive way."""
+    """Print bytes and processor time of the naive design."""
     fleet = NaiveFleet(count)
     source = documents(TARGETS)
     fleet.clock.run(1.0)
     values = [
         reader.to_json(reader.from_plain(next(source))) for _ in range(changes)
     ]
-    began = time.process_time()
+    start = time.process_time()
     for value in values:
         fleet.apply(value)
         fleet.clock.run(1.0)
-    used = time.process_time() - began
+    used = time.process_time() - start
     size = fleet.store.bytes_by_kind['watch'] / changes / count
     daily = CHANGES_A_DAY / DAY_SECONDS
     _print('naive: bytes a node a change', f'{size:.0f}')
@@ -226,7 +230,7 @@
 
 
 def measure_store_calls(counts: list[int]) -> None:
-    """Print calls a second to the store against instances."""
+    """Print store calls per second by number of instances."""
     print('| instances | way | calls/s idle | calls a change |')
     for count in counts:
         fleet = Fleet(count, seed=1)
@@ -263,8 +267,8 @@
         change()
         fleet.clock.run(CALLS_PAUSE_SECONDS)
     made = fleet.store.calls_by_kind.total() - before
-    quiet = idle * CALLS_PAUSE_SECONDS
-    _print(name, f'{idle:.1f} | {made / CALLS_CHANGES - quiet:.1f}')
+    idle_calls = idle * CALLS_PAUSE_SECONDS
+    _print(name, f'{idle:.1f} | {made / CALLS_CHANGES - idle_calls:.1f}')
 
 
 def _print(name: str, value: str) -> None:
@@ -272,7 +276,7 @@
 
 
 def main() -> None:
-    """Run the measures."""
+    """Run all measurements."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--instances', type=int, default=410)
     parser.add_argument('--changes', type=int, default=20)
@@ -281,7 +285,9 @@
         wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL)
     )
     print(f'{options.instances} instances, {TARGETS} targets')
-    measure_spread(options.instances, options.changes, options.instances // 10)
+    measure_propagation(
+        options.instances, options.changes, options.instances // 10
+    )
     measure_naive(options.instances, options.changes)
     measure_store_calls([6, 12, 24, 48, 96, 205, 410])
 
--- a/tools/measure_jobs.py
+++ b/tools/measure_jobs.py
@@ -1,8 +1,8 @@
-"""Play the heaviest loads of trainers on the decisions, beside naive ones.
+"""Simulate heavy trainer loads with the product's and with naive scheduling.
 
-Run as `.venv/bin/python tools/measure_jobs.py`. Prints for each pattern the
-seconds until nine tenths of a step's groups are whole, the worst step of
-four, and how often texts were begun.
+Run as `.venv/bin/python tools/measure_jobs.py`. Prints for each load pattern
+the seconds until nine tenths of a step's groups are complete, for the slowest
+of four steps, and the number of runs per text.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 
 
 @click.command()
-@click.option('--seeds', default=5, help='How many days of each pattern.')
+@click.option('--seeds', default=5, help='Runs of each pattern.')
 def main(seeds: int) -> None:
-    """Print the table."""
+    """Print a table of the load patterns."""
     sys.path.insert(0, str(TESTS))
     model = importlib.import_module('jobs.load_model')
     loads = importlib.import_module('jobs.test_heavy_load')
@@ -31,11 +31,11 @@
         runs = 0
         for seed in range(seeds):
             for is_naive in (True, False):
-                played = model.Model(engines, slots, slowness, is_naive, seed)
+                world = model.Model(engines, slots, slowness, is_naive, seed)
                 jobs = dict.fromkeys(loads.STEPS, groups)
-                seconds = max(played.play(jobs, size))
+                seconds = max(world.play(jobs, size))
                 worst[is_naive] = max(worst[is_naive], seconds)
-                runs += 0 if is_naive else played.runs
+                runs += 0 if is_naive else world.runs
         texts = seeds * len(loads.STEPS) * groups * size
         click.echo(
             f'| {name} | {worst[True]:.1f} | {worst[False]:.1f} '
--- a/tools/measure_membership.py
+++ b/tools/measure_membership.py
@@ -1,7 +1,8 @@
-"""Measure membership in one process, with a clock set by hand.
+"""Measure membership in one process on a simulated clock.
 
-Runs the real controllers on the tests' network in memory, beside a naive
-one: everybody probes everybody and reads the instance list each second.
+Runs the real controllers on the in-memory network of the tests. Compares them
+with a naive design, in which every instance probes all others and reads the
+instance list each second.
 """
 
 from __future__ import annotations
@@ -31,15 +32,15 @@
 SETTLE_SECONDS = 8.0
 STEADY_SECONDS = 10.0
 LOSS_SECONDS = 30.0
-LOSS = 0.01
+LOSS_RATE = 0.01
 TRIALS = 3
-GIVEN_UP_SECONDS = 20.0
+DETECTION_TIMEOUT_SECONDS = 20.0
 NAIVE_SECONDS = 2.0
 STEP_SECONDS = 0.05
 
 
 class DelayedCall:
-    """Be one call of the clock."""
+    """Store one scheduled call."""
 
     def __init__(self, at: float, function: Any) -> None:
         self.at = at
@@ -53,7 +54,7 @@
 
 
 class HeapClock:
-    """Run delayed calls in order; twisted's own clock sorts at each."""
+    """Run delayed calls from a heap, faster than twisted's task.Clock."""
 
     def __init__(self) -> None:
         self._now = 0.0
@@ -79,7 +80,7 @@
 
 
 class NaiveProcess:
-    """Probe every listed instance and read the list, each second."""
+    """Probe every listed instance and read the list each second."""
 
     def __init__(
         self, fleet: memory_fleet.Fleet, process: memory_fleet.Process
@@ -101,14 +102,14 @@
 
 
 class NaiveFleet(memory_fleet.Fleet):
-    """Start naive processes in place of the real ones."""
+    """Start naive processes instead of the real ones."""
 
     def begin(self, process: memory_fleet.Process) -> None:
         naive = NaiveProcess(self, process)
         self.clock.callLater(self.chance.random(), naive.tick)
 
 
-class Count:
+class MessageCounter:
     """Count messages and their encoded bytes by kind."""
 
     def __init__(self, fleet: memory_fleet.Fleet) -> None:
@@ -122,18 +123,18 @@
         self.bytes += len(frames.encode(messages.Envelope(1000, False, body)))
 
 
-def _settled(size: int) -> memory_fleet.Fleet:
+def _start_fleet(size: int) -> memory_fleet.Fleet:
     fleet = memory_fleet.Fleet(size, centres=CENTRES, clock=HeapClock())
     fleet.pass_time(SETTLE_SECONDS)
     return fleet
 
 
 def _rates(fleet: memory_fleet.Fleet, size: int, seconds: float) -> str:
-    # Twice: encoding for the count must not show as processor time.
-    begun = time.process_time()
+    # Runs twice, since counting encodes messages and uses processor time.
+    started_at = time.process_time()
     fleet.pass_time(seconds)
-    share = (time.process_time() - begun) / seconds / size
-    count = Count(fleet)
+    share = (time.process_time() - started_at) / seconds / size
+    count = MessageCounter(fleet)
     fleet.list_reads = 0
     fleet.pass_time(seconds)
     sent = sum(count.messages.values()) / seconds / size
@@ -144,18 +145,18 @@
     )
 
 
-def steady(size: int) -> None:
-    """Print what an idle fleet sends, an instance."""
-    ours = _rates(_settled(size), size, STEADY_SECONDS)
-    print(f'{size:4} instances: {ours}')
+def print_idle(size: int) -> None:
+    """Print the traffic and processor time of an idle fleet."""
+    rates = _rates(_start_fleet(size), size, STEADY_SECONDS)
+    print(f'{size:4} instances: {rates}')
     fleet = NaiveFleet(size, centres=CENTRES, clock=HeapClock())
     fleet.pass_time(1.0)
     print(f'      naive way: {_rates(fleet, size, NAIVE_SECONDS)}')
 
 
 def _known_after(fleet: memory_fleet.Fleet, name: str) -> float:
-    began = fleet.clock.seconds()
-    while fleet.clock.seconds() - began < GIVEN_UP_SECONDS:
+    started_at = fleet.clock.seconds()
+    while fleet.clock.seconds() - started_at < DETECTION_TIMEOUT_SECONDS:
         fleet.clock.advance(STEP_SECONDS)
         if all(
             process.controller._view.members_by_id[name].state
@@ -164,12 +165,12 @@
             if process.me.id != name and not process.clock.is_paused
         ):
             break
-    return fleet.clock.seconds() - began
+    return fleet.clock.seconds() - started_at
 
 
-def spread(size: int) -> None:
-    """Print how long each end of an instance takes to be known to all."""
-    fleet = _settled(size)
+def print_detection(size: int) -> None:
+    """Print the time until all instances know that one has ended."""
+    fleet = _start_fleet(size)
     names = iter(list(fleet.processes_by_id))
     worst: dict[str, float] = collections.defaultdict(float)
     for _ in range(min(TRIALS, size // 6)):
@@ -186,17 +187,17 @@
     print(f'{size:4} instances, known everywhere after, worst: {shown}')
 
 
-def tenth(size: int) -> None:
-    """Print what a tenth of the fleet crashing at once costs."""
-    fleet = _settled(size)
+def print_crashes(size: int) -> None:
+    """Print the cost of a tenth of the fleet crashing at once."""
+    fleet = _start_fleet(size)
     names = list(fleet.processes_by_id)[: max(1, size // 10)]
-    count = Count(fleet)
+    count = MessageCounter(fleet)
     for name in names:
         fleet.crash(name)
-    began = fleet.clock.seconds()
+    started_at = fleet.clock.seconds()
     for name in names:
         _known_after(fleet, name)
-    seconds = fleet.clock.seconds() - began
+    seconds = fleet.clock.seconds() - started_at
     share = count.bytes / size
     print(
         f'{size:4} instances, {len(names)} crash at once: known everywhere '
@@ -204,9 +205,9 @@
     )
 
 
-def loss(size: int) -> None:
-    """Print false suspicions while one message in a hundred is lost."""
-    fleet = _settled(size)
+def print_losses(size: int) -> None:
+    """Print the false suspicions under message loss."""
+    fleet = _start_fleet(size)
     suspected = 0
 
     def watch(mark: Any) -> Any:
@@ -221,22 +222,22 @@
     for process in fleet.up():
         view = process.controller._view
         view.mark = watch(view.mark)
-    fleet.loss = LOSS
+    fleet.loss = LOSS_RATE
     fleet.pass_time(LOSS_SECONDS)
     print(
-        f'{size:4} instances, {LOSS:.0%} of messages lost for '
+        f'{size:4} instances, {LOSS_RATE:.0%} of messages lost for '
         f'{LOSS_SECONDS:.0f} s: {suspected} false suspicions'
     )
 
 
 def main() -> None:
-    """Run what is asked for at each size."""
+    """Run all measurements at each size."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--sizes', type=int, nargs='+', default=SIZES)
     sizes = parser.parse_args().sizes
-    for part in (steady, spread, tenth, loss):
+    for measure in (print_idle, print_detection, print_crashes, print_losses):
         for size in sizes:
-            part(size)
+            measure(size)
 
 
 if __name__ == '__main__':
--- a/tools/measure_rollouts.py
+++ b/tools/measure_rollouts.py
@@ -1,8 +1,8 @@
-"""Measure rollouts on a fake clock: idle trainers, staleness and cost.
+"""Measure trainer idle time, staleness and cost of rollouts on a fake clock.
 
-The scheduler and the bookkeeping of steps are the product's own; engines,
-trainers and faults are those of rollout_model. The naive policy and the lower
-bound run on the same lengths in the same run.
+Runs the product's scheduler and step bookkeeping on the engines, trainers and
+faults simulated by rollout_model. The naive policy and the lower bound use
+the same sample lengths.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 }
 
 
-def _row(name: str, run: Any, naive_idle: float, bound: float) -> str:
+def _render_row(name: str, run: Any, naive_idle: float, bound: float) -> str:
     trainers = run.trainers
     idle = sum(t.idle for t in trainers) / sum(t.total for t in trainers)
     lags: collections.Counter[int] = sum(
@@ -66,52 +66,54 @@
     return f'| {" | ".join(cells)} |'
 
 
-def _idle(run: Any) -> float:
+def _idle_share(run: Any) -> float:
     total = sum(t.total for t in run.trainers)
     return sum(t.idle for t in run.trainers) / total
 
 
-def _compare(size: rollout_model.Size, title: str) -> None:
+def _print_comparison(size: rollout_model.Size, title: str) -> None:
     lengths = rollout_model.Lengths(size)
     bound = rollout_model.bound_idle(size, lengths)
     print(f'\n{title}: bound {bound:.1%}')
     print('| policy | idle | of naive | of bound | lag | worst |')
     naive = naive_rollouts.NaiveRun(size, lengths)
     naive.run()
-    print(_row('naive', naive, _idle(naive), bound))
+    print(_render_row('naive', naive, _idle_share(naive), bound))
     for name, policy in POLICIES.items():
         spare = 0.02 if policy.spare_groups else 0.0
         run = product_rollouts.ProductRun(size, lengths, policy, spare)
         run.run()
-        print(_row(name, run, _idle(naive), bound))
-        _check(run, size, name)
+        print(_render_row(name, run, _idle_share(naive), bound))
+        _check_delivery(run, size, name)
         made = sum(t.lags.total() for t in run.trainers)
         print(
-            f'  {run.seconds / made * 1e6:.0f} us a sample in decisions, '
-            f'{run.warm / run.starts:.0%} of starts on a cached prefix, '
+            f'  {run.cpu_seconds / made * 1e6:.0f} us a sample in decisions, '
+            f'{run.cached / run.starts:.0%} of starts on a cached prefix, '
             f'{run.resumed} resumed, {run.fleet.crashed} crashes'
         )
 
 
-def _check(
+def _check_delivery(
     run: product_rollouts.ProductRun, size: rollout_model.Size, name: str
 ) -> None:
-    spare = run.spare * rollout_model.MEMBERS
+    spare = run.spare * rollout_model.GROUP_SIZE
     for trainer in run.trainers:
-        doubled = [n for n, count in trainer.received.items() if count > 1]
+        duplicates = [n for n, count in trainer.received.items() if count > 1]
         wanted = rollout_model.STEPS * (size.samples - spare)
         missing = wanted - len(trainer.received)
-        if doubled or missing:
-            sys.exit(f'{name}: {len(doubled)} doubled, {missing} lost')
+        if duplicates or missing:
+            sys.exit(
+                f'{name}: {len(duplicates)} samples duplicated, {missing} lost'
+            )
 
 
-def _memory() -> None:
+def _print_memory() -> None:
     print('\nmemory of a holder, bytes a sample')
     for samples in (1024, 8192, 57344):
         model = rollout_model.TrainerModel(
             0, rollout_model.Loop(), rollout_model.Size(1), 0
         )
-        request = product_rollouts.request_of(samples, 1, model, 0)
+        request = product_rollouts.build_request(samples, 1, model, 0)
         trainer = inventory.Trainer(
             id=TrainerId('t0'),
             model=product_rollouts.MODEL,
@@ -138,10 +140,10 @@
         )
 
 
-def _processor() -> None:
+def _print_processor_time() -> None:
     print('\nprocessor time of decisions, idle first, 1% slow')
     for scale in (64, 16, 8):
-        size = rollout_model.Size(scale, 0.01, rollout_model.SLOW_PART)
+        size = rollout_model.Size(scale, 0.01, rollout_model.SLOW_SHARE)
         lengths = rollout_model.Lengths(size)
         run = product_rollouts.ProductRun(
             size, lengths, POLICIES['idle first']
@@ -149,18 +151,18 @@
         run.run()
         print(
             f'  {size.samples} samples a step, {size.engines} engines: '
-            f'{run.seconds / run.starts * 1e6:.0f} us a sample'
+            f'{run.cpu_seconds / run.starts * 1e6:.0f} us a sample'
         )
 
 
-def _delivery() -> None:
+def _print_delivery() -> None:
     samples = rollout_model.SAMPLES
     model = rollout_model.TrainerModel(
         0, rollout_model.Loop(), rollout_model.Size(1), 0
     )
     work = work_module.StepWork(
         TrainerId('forecast-trainer'),
-        product_rollouts.request_of(samples, 1, model, 0),
+        product_rollouts.build_request(samples, 1, model, 0),
     )
     tokens = tuple(range(20_000, 20_000 + int(rollout_model.MEAN_TOKENS)))
     for place in work.places():
@@ -193,7 +195,7 @@
     )
 
 
-def _disk() -> None:
+def _print_disk_log() -> None:
     tokens = tuple(range(20_000, 20_000 + int(rollout_model.MEAN_TOKENS)))
     spans = (sample_module.Span(WeightVersion(1), tokens),)
     print('\ndisk log, samples of 1,100 tokens')
@@ -202,9 +204,11 @@
             log = disk_log.DiskLog(pathlib.Path(folder))
             cpu, wall, size = time.process_time(), time.perf_counter(), 0
             for number in range(0, 2048, batch):
-                records = [_record(number + n, spans) for n in range(batch)]
-                size += sum(len(r.encoded) for r in records)
-                log.append(records)
+                batch_records = [
+                    _build_record(number + n, spans) for n in range(batch)
+                ]
+                size += sum(len(r.encoded) for r in batch_records)
+                log.append(batch_records)
                 log.sync()
             cpu = time.process_time() - cpu
             wall = time.perf_counter() - wall
@@ -216,14 +220,16 @@
         )
 
 
-def _record(
+def _build_record(
     number: int, spans: tuple[sample_module.Span, ...]
 ) -> segment.SampleRecord:
-    name = SampleId(f't/1/{number}/0/{product_rollouts.INCARNATION}.1')
-    made = sample_module.Sample(id=name, group=GroupNumber(0), spans=spans)
+    sample_id = SampleId(f't/1/{number}/0/{product_rollouts.INCARNATION}.1')
+    made = sample_module.Sample(
+        id=sample_id, group=GroupNumber(0), spans=spans
+    )
     encoded = sample_module.finish(made).encoded
     return segment.SampleRecord(
-        TrainerId('t'), StepNumber(1), name, WeightVersion(1), encoded
+        TrainerId('t'), StepNumber(1), sample_id, WeightVersion(1), encoded
     )
 
 
@@ -232,21 +238,23 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--scale', type=int, default=8)
     scale = parser.parse_args().scale
-    began = time.perf_counter()
-    _compare(rollout_model.Size(scale), 'no faults')
-    _compare(
-        rollout_model.Size(scale, 0.01, rollout_model.SLOW_PART),
+    started_at = time.perf_counter()
+    _print_comparison(rollout_model.Size(scale), 'no faults')
+    _print_comparison(
+        rollout_model.Size(scale, 0.01, rollout_model.SLOW_SHARE),
         '1% of engines crash an hour, 1% are slow',
     )
-    _compare(
-        rollout_model.Size(scale, 1.0, rollout_model.SLOW_PART),
+    _print_comparison(
+        rollout_model.Size(scale, 1.0, rollout_model.SLOW_SHARE),
         'every engine crashes once an hour, 1% are slow',
     )
-    _processor()
-    _memory()
-    _delivery()
-    _disk()
-    print(f'\n{time.perf_counter() - began:.0f} s at 1/{scale} of the size')
+    _print_processor_time()
+    _print_memory()
+    _print_delivery()
+    _print_disk_log()
+    print(
+        f'\n{time.perf_counter() - started_at:.0f} s at 1/{scale} of the size'
+    )
 
 
 if __name__ == '__main__':
--- a/tools/product_rollouts.py
+++ b/tools/product_rollouts.py
@@ -1,4 +1,4 @@
-"""Let the product's scheduler serve the model's trainers."""
+"""Run the product's scheduler on simulated engines and trainers."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class ProductRun:
-    """Let the product's scheduler serve the trainers."""
+    """Serve the simulated trainers with the product's scheduler."""
 
     def __init__(
         self,
@@ -46,7 +46,9 @@
         self.fleet.on_crash = self._crash
         self._size = size
         self._lengths = lengths
-        self.spare = round(spare_part * size.samples / rollout_model.MEMBERS)
+        self.spare = round(
+            spare_part * size.samples / rollout_model.GROUP_SIZE
+        )
         self._scheduler = scheduler_module.Scheduler(SLOTS)
         self._scheduler.set_engines(MODEL, self.fleet.names)
         self.trainers = [
@@ -58,20 +60,20 @@
                 id=trainer.id,
                 model=MODEL,
                 scorer=ScorerId('s'),
-                staleness_bound=rollout_model.BOUND,
+                staleness_bound=rollout_model.STALENESS_BOUND,
                 policy=policy,
             )
             for trainer in self.trainers
         ]
-        self._works: dict[tuple[int, int], work_module.StepWork] = {}
-        # Of running attempts: the engine's start and the tokens before it.
+        self._work_by_step: dict[tuple[int, int], work_module.StepWork] = {}
+        # Generation start and resumed tokens of each running attempt.
         self._running: dict[Attempt, tuple[float, float]] = {}
-        self._by_engine: dict[TargetId, set[Attempt]] = (
+        self._attempts_by_engine: dict[TargetId, set[Attempt]] = (
             collections.defaultdict(set)
         )
-        self._made: dict[tuple[Any, Any], float] = {}
-        self.seconds = 0.0
-        self.starts = self.resumed = self.warm = 0
+        self._tokens_by_place: dict[tuple[Any, Any], float] = {}
+        self.cpu_seconds = 0.0
+        self.starts = self.resumed = self.cached = 0
 
     def run(self) -> None:
         """Run all steps."""
@@ -80,20 +82,20 @@
         self.loop.run(lambda: all(t.is_done for t in self.trainers))
 
     def _submit(self, trainer: rollout_model.TrainerModel) -> None:
-        for step in trainer.due():
+        for step in trainer.due_steps():
             work = work_module.StepWork(
                 trainer.id,
-                request_of(self._size.samples, step, trainer, self.spare),
+                build_request(self._size.samples, step, trainer, self.spare),
                 self.spare,
             )
-            self._works[trainer.index, step] = work
+            self._work_by_step[trainer.index, step] = work
             self._scheduler.open_step(self._configs[trainer.index], work)
-        self._pump()
+        self._dispatch()
 
-    def _pump(self) -> None:
-        began = time.process_time()
+    def _dispatch(self) -> None:
+        started_at = time.process_time()
         orders = self._scheduler.orders(Instant(self.loop.now))
-        self.seconds += time.process_time() - began
+        self.cpu_seconds += time.process_time() - started_at
         for attempt in orders.cancel:
             self._stop(attempt)
         for attempt in orders.start:
@@ -103,59 +105,61 @@
         engine = attempt.engine
         work, place = attempt.plan.work, attempt.place
         self.starts += 1
-        repair = self.fleet.repaired_in(engine)
+        repair = self.fleet.seconds_to_repair(engine)
         if repair:
-            self.loop.after(0.01, lambda: self._fail(attempt))
+            self.loop.schedule(0.01, lambda: self._fail(attempt))
             self._running[attempt] = (self.loop.now, 0.0)
-            self._by_engine[engine].add(attempt)
+            self._attempts_by_engine[engine].add(attempt)
             return
         before = 0.0
         if attempt.spans:
-            before = self._tokens_of_twin(attempt)
+            before = self._tokens_to_resume(attempt)
             self.resumed += 1
         prompt = work.request.groups[place.group].prompt
         prefill = self.fleet.prefill(engine, prompt)
-        self.warm += not prefill
+        self.cached += not prefill
         version = self.fleet.version(work.trainer, engine)
         attempt.spans = sample_module.append(attempt.spans, version, ())
         self._running[attempt] = (self.loop.now + prefill, before)
-        self._by_engine[engine].add(attempt)
-        index = place.group * rollout_model.MEMBERS + place.member
+        self._attempts_by_engine[engine].add(attempt)
+        index = place.group * rollout_model.GROUP_SIZE + place.member
         trainer = int(work.trainer[1:])
-        left = self._lengths.of(trainer, work.step)[index] - before
-        seconds = prefill + left / self.fleet.rate(engine)
-        self.loop.after(seconds, lambda: self._generated(attempt))
+        tokens_left = self._lengths.of_step(trainer, work.step)[index] - before
+        seconds = prefill + tokens_left / self.fleet.rate(engine)
+        self.loop.schedule(seconds, lambda: self._generated(attempt))
         self._report(attempt, version)
 
     def _report(self, attempt: Attempt, version: WeightVersion) -> None:
-        """Tell the scheduler of tokens from time to time."""
+        """Report progress to the scheduler periodically."""
         if attempt not in self._running:
             return
         tokens = int(self._tokens(attempt) - self._running[attempt][1])
-        goes_on = self._scheduler.progress(
+        is_continued = self._scheduler.progress(
             attempt, version, tokens - attempt.made, Instant(self.loop.now)
         )
-        if goes_on:
-            self.loop.after(
+        if is_continued:
+            self.loop.schedule(
                 REPORT_SECONDS, lambda: self._report(attempt, version)
             )
         else:
-            self.loop.after(0.0, self._pump)
+            self.loop.schedule(0.0, self._dispatch)
 
     def _tokens(self, attempt: Attempt) -> float:
-        began, before = self._running[attempt]
-        made = max(0.0, self.loop.now - began)
-        return before + made * self.fleet.rate(attempt.engine)
+        started_at, before = self._running[attempt]
+        generated = max(0.0, self.loop.now - started_at)
+        return before + generated * self.fleet.rate(attempt.engine)
 
-    def _tokens_of_twin(self, attempt: Attempt) -> float:
-        for twin in attempt.plan.attempts_by_place[attempt.place]:
-            if twin in self._running:
-                return self._tokens(twin)
-        return self._made.pop((attempt.plan.work, attempt.place), 0.0)
+    def _tokens_to_resume(self, attempt: Attempt) -> float:
+        for other in attempt.plan.attempts_by_place[attempt.place]:
+            if other in self._running:
+                return self._tokens(other)
+        return self._tokens_by_place.pop(
+            (attempt.plan.work, attempt.place), 0.0
+        )
 
     def _stop(self, attempt: Attempt) -> None:
         if self._running.pop(attempt, None) is not None:
-            self._by_engine[attempt.engine].discard(attempt)
+            self._attempts_by_engine[attempt.engine].discard(attempt)
 
     def _generated(self, attempt: Attempt) -> None:
         if attempt not in self._running:
@@ -163,17 +167,17 @@
         before = self._running[attempt][1]
         tokens = self._tokens(attempt) - before
         self._stop(attempt)
-        began = time.process_time()
+        started_at = time.process_time()
         attempt.made += int(tokens) - attempt.made
         is_first = self._scheduler.generated(attempt, Instant(self.loop.now))
-        self.seconds += time.process_time() - began
+        self.cpu_seconds += time.process_time() - started_at
         if is_first:
-            self.loop.after(
-                rollout_model.SCORE_SECONDS, lambda: self._place(attempt)
+            self.loop.schedule(
+                rollout_model.SCORE_SECONDS, lambda: self._deliver(attempt)
             )
-        self._pump()
+        self._dispatch()
 
-    def _place(self, attempt: Attempt) -> None:
+    def _deliver(self, attempt: Attempt) -> None:
         work = attempt.plan.work
         name = sample_module.sample_id(
             work.trainer,
@@ -184,28 +188,28 @@
         )
         oldest = attempt.oldest_version
         assert oldest is not None
-        began = time.process_time()
+        started_at = time.process_time()
         work.take(sample_module.Finished(name, oldest, b''))
         if work.is_whole:
             self._scheduler.settle(work)
-        self.seconds += time.process_time() - began
-        self._fetch(self.trainers[int(work.trainer[1:])])
-        self._pump()
+        self.cpu_seconds += time.process_time() - started_at
+        self._fetch_step(self.trainers[int(work.trainer[1:])])
+        self._dispatch()
 
     def _fail(self, attempt: Attempt) -> None:
         if attempt not in self._running:
             return
         if attempt.spans:
             key = (attempt.plan.work, attempt.place)
-            self._made[key] = self._tokens(attempt)
+            self._tokens_by_place[key] = self._tokens(attempt)
         self._stop(attempt)
         self._scheduler.failed(attempt, Instant(self.loop.now))
-        self.loop.after(1.0, self._pump)
-        self._pump()
+        self.loop.schedule(1.0, self._dispatch)
+        self._dispatch()
 
-    def _crash(self, engine: TargetId, noticed_in: float) -> None:
-        for attempt in list(self._by_engine[engine]):
-            # Nothing comes after the crash, however late it is noticed.
+    def _crash(self, engine: TargetId, detected_after: float) -> None:
+        for attempt in list(self._attempts_by_engine[engine]):
+            # Counts tokens up to the crash, not up to its detection.
             tokens = self._tokens(attempt)
             key = (attempt.plan.work, attempt.place)
 
@@ -213,21 +217,21 @@
                 attempt: Attempt = attempt, tokens: float = tokens
             ) -> None:
                 self._scheduler.failed(attempt, Instant(self.loop.now))
-                self._made[key] = tokens
-                self.loop.after(1.0, self._pump)
-                self._pump()
+                self._tokens_by_place[key] = tokens
+                self.loop.schedule(1.0, self._dispatch)
+                self._dispatch()
 
             self._stop(attempt)
-            self.loop.after(noticed_in, fail)
+            self.loop.schedule(detected_after, fail)
 
-    def _fetch(self, trainer: rollout_model.TrainerModel) -> None:
-        work = self._works.get((trainer.index, trainer.step))
+    def _fetch_step(self, trainer: rollout_model.TrainerModel) -> None:
+        work = self._work_by_step.get((trainer.index, trainer.step))
         if not trainer.is_waiting or work is None or not work.is_whole:
             return
-        stale = work.drop_stale(trainer.newest, rollout_model.BOUND)
+        stale = work.drop_stale(trainer.newest, rollout_model.STALENESS_BOUND)
         if stale:
             self._scheduler.again(work, stale)
-            self._pump()
+            self._dispatch()
             return
         samples = work.in_order()
         trainer.receive(
@@ -244,26 +248,28 @@
         self.fleet.announce(trainer.id)
         self._scheduler.raise_newest(trainer.id, trainer.newest)
         self._scheduler.close_step(work)
-        del self._works[trainer.index, work.step]
-        for (owner, _), other in list(self._works.items()):
+        del self._work_by_step[trainer.index, work.step]
+        for (owner, _), other in list(self._work_by_step.items()):
             if owner == trainer.index:
-                stale = other.drop_stale(trainer.newest, rollout_model.BOUND)
+                stale = other.drop_stale(
+                    trainer.newest, rollout_model.STALENESS_BOUND
+                )
                 self._scheduler.again(other, stale)
         self._submit(trainer)
-        self._fetch(trainer)
+        self._fetch_step(trainer)
 
 
-def request_of(
+def build_request(
     samples: int, step: int, trainer: rollout_model.TrainerModel, spare: int
 ) -> step_module.StepRequest:
-    """Return a step of so many samples."""
-    groups = samples // rollout_model.MEMBERS
+    """Return a step request for a number of samples."""
+    groups = samples // rollout_model.GROUP_SIZE
     return step_module.StepRequest(
         StepNumber(step),
         trainer.newest,
         tuple(
             step_module.Group(
-                f'{trainer.id}/{step}/{n}', rollout_model.MEMBERS
+                f'{trainer.id}/{step}/{n}', rollout_model.GROUP_SIZE
             )
             for n in range(groups)
         ),
--- a/tools/rollout_model.py
+++ b/tools/rollout_model.py
@@ -1,4 +1,4 @@
-"""Engines, trainers and their faults as events on a fake clock."""
+"""Simulate engines, trainers and faults on a fake clock."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 ENGINES = 1300
 TRAINERS = 7
 SAMPLES = 8192
-MEMBERS = 8
+GROUP_SIZE = 8
 TOKENS_PER_SECOND = 160.0
 MEAN_TOKENS = 1100.0
 SIGMA = 1.0
@@ -29,11 +29,11 @@
 PREFILL_SECONDS = 0.5
 TRAIN_SECONDS = 240.0
 SWAP_SECONDS = 14.0
-BOUND = 1
+STALENESS_BOUND = 1
 REPAIR_SECONDS = 120.0
-# Half of the crashes go unnoticed until a stream makes no progress.
-SILENT_SECONDS = 5.0
-SLOW_PART = 0.01
+# Half of the crashes are detected only by a stalled stream.
+STALL_SECONDS = 5.0
+SLOW_SHARE = 0.01
 SLOWDOWN = 5.0
 SCORE_SECONDS = 0.1
 STEPS = 6
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Size:
-    """Say how much is simulated, and which faults there are."""
+    """Set the scale of the simulation and its faults."""
 
     scale: int
     crashes_per_hour: float = 0.0
@@ -58,47 +58,47 @@
 
 
 class Loop:
-    """Run events in the order of their time."""
+    """Run scheduled events in order of time."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = itertools.count()
 
-    def after(self, seconds: float, event: Callable[[], None]) -> None:
-        """Run an event later."""
+    def schedule(self, seconds: float, event: Callable[[], None]) -> None:
+        """Run an event after a delay in seconds."""
         when = self.now + seconds
         heapq.heappush(self._events, (when, next(self._numbers), event))
 
     def run(self, is_done: Callable[[], bool]) -> None:
-        """Run until the end is told."""
+        """Run events until is_done() holds."""
         while self._events and not is_done():
             self.now, _, event = heapq.heappop(self._events)
             event()
 
 
 class Lengths:
-    """Draw the tokens of each sample once, the same for every policy."""
+    """Draw the length of each sample once, the same for every policy."""
 
     def __init__(self, size: Size) -> None:
         self._size = size
-        self._known: dict[tuple[int, int], list[int]] = {}
+        self._lengths_by_step: dict[tuple[int, int], list[int]] = {}
 
-    def of(self, trainer: int, step: int) -> list[int]:
-        """Return the lengths of one step's samples."""
+    def of_step(self, trainer: int, step: int) -> list[int]:
+        """Return the tokens of each sample of a step."""
         key = (trainer, step)
-        if key not in self._known:
+        if key not in self._lengths_by_step:
             source = random.Random(f'{SEED}/{trainer}/{step}')
             mu = math.log(MEAN_TOKENS) - SIGMA**2 / 2
-            self._known[key] = [
+            self._lengths_by_step[key] = [
                 max(1, min(MAX_TOKENS, int(source.lognormvariate(mu, SIGMA))))
                 for _ in range(self._size.samples)
             ]
-        return self._known[key]
+        return self._lengths_by_step[key]
 
 
 class Fleet:
-    """Hold engines, their faults and the weights that they serve."""
+    """Simulate engines, their faults and the weights that they serve."""
 
     def __init__(self, loop: Loop, size: Size) -> None:
         self.loop = loop
@@ -108,7 +108,7 @@
         self._down_until = dict.fromkeys(self.names, 0.0)
         slow = round(size.slow_part * size.engines)
         self._slow = set(self._random.sample(self.names, slow))
-        self._delay = {
+        self._switch_delay = {
             name: self._random.uniform(0, SWAP_SECONDS) for name in self.names
         }
         self._announced: dict[TrainerId, list[float]] = {}
@@ -116,52 +116,52 @@
             name: collections.deque(maxlen=4) for name in self.names
         }
         self.crashed = 0
-        # Told the engine and the seconds until the crash is noticed.
+        # Called with the engine and the seconds until the crash is detected.
         self.on_crash: Callable[[TargetId, float], None] = lambda e, s: None
         if self._crashes:
-            self._plan_crash()
+            self._schedule_crash()
 
     def rate(self, engine: TargetId) -> float:
-        """Return an engine's tokens a second."""
+        """Return the tokens per second of an engine."""
         return TOKENS_PER_SECOND / (SLOWDOWN if engine in self._slow else 1)
 
-    def repaired_in(self, engine: TargetId) -> float:
-        """Return the seconds until an engine works again."""
+    def seconds_to_repair(self, engine: TargetId) -> float:
+        """Return the seconds until a crashed engine is repaired, or 0."""
         return max(0.0, self._down_until[engine] - self.loop.now)
 
     def announce(self, trainer: TrainerId) -> None:
-        """Let all engines switch to a trainer's next version."""
+        """Start the switch of all engines to the next weight version."""
         self._announced.setdefault(trainer, []).append(self.loop.now)
 
     def version(self, trainer: TrainerId, engine: TargetId) -> WeightVersion:
         """Return the version that an engine serves now."""
-        seen = self.loop.now - self._delay[engine]
+        cutoff = self.loop.now - self._switch_delay[engine]
         announced = self._announced.get(trainer, ())
-        return WeightVersion(1 + sum(when <= seen for when in announced))
+        return WeightVersion(1 + sum(when <= cutoff for when in announced))
 
     def prefill(self, engine: TargetId, prompt: str) -> float:
-        """Return the seconds that a prompt costs there, and cache it."""
+        """Cache a prompt on an engine and return its prefill seconds."""
         cached = self._prompts[engine]
         if prompt in cached:
             return 0.0
         cached.append(prompt)
         return PREFILL_SECONDS
 
-    def _plan_crash(self) -> None:
+    def _schedule_crash(self) -> None:
         wait = self._random.expovariate(self._crashes)
-        self.loop.after(wait, self._crash)
+        self.loop.schedule(wait, self._crash)
 
     def _crash(self) -> None:
         engine = self._random.choice(self.names)
         self.crashed += 1
         self._down_until[engine] = self.loop.now + REPAIR_SECONDS
         self._prompts[engine].clear()
-        self.on_crash(engine, self._random.choice((0.0, SILENT_SECONDS)))
-        self._plan_crash()
+        self.on_crash(engine, self._random.choice((0.0, STALL_SECONDS)))
+        self._schedule_crash()
 
 
 class TrainerModel:
-    """Submit steps ahead, wait for each in turn, train, announce."""
+    """Simulate a trainer that submits steps ahead and trains in order."""
 
     def __init__(
         self, index: int, loop: Loop, size: Size, steps_ahead: int
@@ -175,8 +175,8 @@
         self.submitted = 0
         self.step = 1
         self.is_waiting = True
-        self._waits_since = 0.0
-        # Without the first step, for which every policy waits.
+        self._waiting_since = 0.0
+        # Excludes the first step, for which every policy waits.
         self.idle = 0.0
         self._measured_from = 0.0
         self.lags: collections.Counter[int] = collections.Counter()
@@ -192,9 +192,9 @@
 
     ended_at = 0.0
 
-    def due(self) -> list[int]:
+    def due_steps(self) -> list[int]:
         """Return the steps to submit now."""
-        # Going on past the measured steps keeps the load on the engines.
+        # Includes steps after the measured ones, to keep engines loaded.
         last = self.step + self._ahead
         steps = list(range(self.submitted + 1, last + 1))
         self.submitted = max(self.submitted, last)
@@ -203,17 +203,17 @@
     def receive(
         self, lags: list[int], names: list[str], trained: Callable[[], None]
     ) -> None:
-        """Take the step waited for and train on it."""
+        """Accept the awaited step and train on it."""
         now = self._loop.now
         self.is_waiting = False
         if self.step == 1:
             self._measured_from = now
         elif not self.is_done:
-            self.idle += now - self._waits_since
+            self.idle += now - self._waiting_since
         if not self.is_done:
             self.lags.update(lags)
             self.received.update(names)
-        self._loop.after(
+        self._loop.schedule(
             self._size.train_seconds, lambda: self._trained(trained)
         )
 
@@ -221,16 +221,16 @@
         self.newest = WeightVersion(self.newest + 1)
         self.step += 1
         self.is_waiting = True
-        self._waits_since = self._loop.now
+        self._waiting_since = self._loop.now
         if self.step == STEPS + 1:
             self.ended_at = self._loop.now
         trained()
 
 
 def bound_idle(size: Size, lengths: Lengths) -> float:
-    """Return the idle share if all engines were always busy with tokens."""
+    """Return the trainers' idle share if engines are always busy."""
     tokens = sum(
-        sum(lengths.of(trainer, step))
+        sum(lengths.of_step(trainer, step))
         for trainer in range(TRAINERS)
         for step in range(2, STEPS + 1)
     )
