--- a/tools/control_fleet.py
+++ b/tools/control_fleet.py
@@ -36,7 +36,7 @@
         self._platform: dict[str, str] = {}
         self._revision = 0
         self.http_ports: list[int] = []
-        self.instance_processes: list[psutil.Process] = []
+        self.instances: list[psutil.Process] = []
 
     def start(self) -> None:
         """Start all processes and apply the first inventory."""
@@ -57,11 +57,9 @@
         self._platform = json.loads(ready.read_text())
         inventory = self._folder / 'inventory.json'
         self._document = json.loads(inventory.read_text())
-        free_ports = ports.free(2 * self._instance_count)
+        free = ports.free(2 * self._instance_count)
         for number in range(self._instance_count):
-            self._start_instance(
-                number, free_ports[2 * number : 2 * number + 2]
-            )
+            self._start_instance(number, free[2 * number : 2 * number + 2])
         for port in self.http_ports:
             wait_until(lambda port=port: self._status(port) is not None)
         self.apply_change()
@@ -130,13 +128,13 @@
         for process in self._processes:
             process.wait()
 
-    def _start_instance(self, number: int, free_ports: list[int]) -> None:
+    def _start_instance(self, number: int, free: list[int]) -> None:
         entry = {
             'id': f'entry-{number}',
             'data_centre': DATA_CENTRES[number % len(DATA_CENTRES)],
             'host': LOOPBACK,
-            'http_port': free_ports[0],
-            'peer_port': free_ports[1],
+            'http_port': free[0],
+            'peer_port': free[1],
             'state': 'live',
         }
         url = f'{self._platform["instance_list"]}/admin/instances'
@@ -147,8 +145,8 @@
         for name in ('key_value', 'instance_list', 'weight_store'):
             command += [f'--{name.replace("_", "-")}', self._platform[name]]
         process = self._spawn(str(entry['id']), command)
-        self.instance_processes.append(psutil.Process(process.pid))
-        self.http_ports.append(free_ports[0])
+        self.instances.append(psutil.Process(process.pid))
+        self.http_ports.append(free[0])
 
     def _spawn(self, name: str, command: list[str]) -> subprocess.Popen[bytes]:
         log = (self._folder / f'{name}.log').open('wb')
--- a/tools/measure_configuration_losses.py
+++ b/tools/measure_configuration_losses.py
@@ -33,7 +33,7 @@
     def freeze_one(self) -> None:
         """Freeze an instance, apply a change and resume the instance."""
         index = self._choose_index()
-        process = self._fleet.instance_processes[index]
+        process = self._fleet.instances[index]
         port = self._fleet.http_ports.pop(index)
         process.send_signal(signal.SIGSTOP)
         self.frozen.append(self._fleet.measure_change())
@@ -46,7 +46,7 @@
     def kill_one(self) -> None:
         """Kill an instance and apply a change."""
         index = self._choose_index()
-        self._fleet.instance_processes.pop(index).send_signal(signal.SIGKILL)
+        self._fleet.instances.pop(index).send_signal(signal.SIGKILL)
         self._fleet.http_ports.pop(index)
         self.killed.append(self._fleet.measure_change())
 
@@ -65,11 +65,7 @@
     binary: str, instances: int, targets: int, runs: int, freezes: int
 ) -> None:
     """Run fleets and print the seconds until changes are applied."""
-    seconds_by_kind: dict[str, list[float]] = {
-        'frozen': [],
-        'woken': [],
-        'killed': [],
-    }
+    results: dict[str, list[float]] = {'frozen': [], 'woken': [], 'killed': []}
     for seed in range(runs):
         with tempfile.TemporaryDirectory() as name:
             fleet = control_fleet.Fleet(
@@ -85,9 +81,9 @@
                 losses.kill_one()
             finally:
                 fleet.stop()
-        for kind, seconds in seconds_by_kind.items():
+        for kind, seconds in results.items():
             seconds.extend(getattr(losses, kind))
-    for kind, seconds in seconds_by_kind.items():
+    for kind, seconds in results.items():
         click.echo(
             f'{kind}: median {statistics.median(seconds):.2f} s, '
             f'worst {max(seconds):.2f} s of {len(seconds)}'
--- a/tools/measure_control.py
+++ b/tools/measure_control.py
@@ -61,9 +61,7 @@
 
 
 def _take_sample(fleet: control_fleet.Fleet) -> Sample:
-    cpu = [
-        sum(process.cpu_times()[:2]) for process in fleet.instance_processes
-    ]
+    cpu = [sum(process.cpu_times()[:2]) for process in fleet.instances]
     return Sample(
         time.monotonic(),
         cpu,
@@ -92,15 +90,13 @@
             for kind in kinds
         ) / max(seconds, 1e-9)
 
-    memory = max(
-        process.memory_info().rss for process in fleet.instance_processes
-    )
+    memory = max(process.memory_info().rss for process in fleet.instances)
     sent = [
         (late - early) / seconds
         for early, late in zip(before.sent_by_member, after.sent_by_member)
     ]
     return Row(
-        instances=len(fleet.instance_processes),
+        instances=len(fleet.instances),
         cpu_mean=statistics.fmean(shares),
         cpu_worst=max(shares),
         memory_worst=memory / 1e6,
--- a/tools/measure_prefixes.py
+++ b/tools/measure_prefixes.py
@@ -55,9 +55,9 @@
     engines = {TargetId(str(n)): Engine() for n in range(ENGINES)}
     pools = []
     for number in range(INSTANCES):
-        created = pool.Pool(pool.RoutingPolicy(), random.Random(number))
-        created.update(dict.fromkeys(engines, CENTRE), CENTRE, Instant(0.0))
-        pools.append(created)
+        new = pool.Pool(pool.RoutingPolicy(), random.Random(number))
+        new.update(dict.fromkeys(engines, CENTRE), CENTRE, Instant(0.0))
+        pools.append(new)
     weights = [1 / (n + 1) for n in range(PROMPTS)]
     prompts = iter(generator.choices(range(PROMPTS), weights, k=20_000))
     seen: set[str] = set()
--- a/tools/measure_process.py
+++ b/tools/measure_process.py
@@ -64,9 +64,7 @@
         )
         inventory = json.loads((self._folder / 'inventory.json').read_text())
         self._register_instance()
-        self.instance = self._spawn(
-            *self._command('entry-1', *self._ports[:2])
-        )
+        self.instance = self._spawn(*self._argv('entry-1', *self._ports[:2]))
         control_fleet.wait_until(self._is_ready)
         control_fleet.send(
             'PUT',
@@ -82,9 +80,7 @@
         control_fleet.wait_until(lambda: _is_listening(self.relay_port))
         # Guards against measuring another program that took a free port.
         if any(process.poll() is not None for process in self._processes):
-            raise SystemExit(
-                'A process ended during start-up. Run the tool again.'
-            )
+            raise SystemExit('A process ended at start-up; try again.')
 
     def stop(self) -> None:
         """Kill every process that was started."""
@@ -96,7 +92,7 @@
         """Return the seconds until a new instance listens."""
         free_ports = ports.free(2)
         started_at = time.monotonic()
-        process = self._spawn(*self._command('entry-2', *free_ports))
+        process = self._spawn(*self._argv('entry-2', *free_ports))
         control_fleet.wait_until(lambda: _is_listening(free_ports[0]))
         seconds = time.monotonic() - started_at
         process.kill()
@@ -120,7 +116,7 @@
             },
         )
 
-    def _command(self, name: str, http_port: int, peer_port: int) -> list[str]:
+    def _argv(self, name: str, http_port: int, peer_port: int) -> list[str]:
         flags = {
             'instance': name,
             'data-centre': 'freising',
@@ -132,13 +128,13 @@
             'weight-store': self._platform['weight_store'],
             'log-level': 'error',
         }
-        command = [str(BIN / 'yuccarilld')]
+        argv = [str(BIN / 'yuccarilld')]
         for name, value in flags.items():
-            command += [f'--{name}', str(value)]
-        return command
+            argv += [f'--{name}', str(value)]
+        return argv
 
-    def _spawn(self, *command: str) -> subprocess.Popen[bytes]:
-        process = subprocess.Popen(command, stderr=subprocess.DEVNULL)
+    def _spawn(self, *argv: str) -> subprocess.Popen[bytes]:
+        process = subprocess.Popen(argv, stderr=subprocess.DEVNULL)
         self._processes.append(process)
         return process
 
--- a/tools/measure_rollouts.py
+++ b/tools/measure_rollouts.py
@@ -102,9 +102,7 @@
         wanted = rollout_model.STEPS * (size.samples - spare)
         missing = wanted - len(trainer.received)
         if duplicates or missing:
-            sys.exit(
-                f'{name}: {len(duplicates)} samples duplicated, {missing} lost'
-            )
+            sys.exit(f'{name}: {len(duplicates)} duplicated, {missing} lost')
 
 
 def _print_memory() -> None:
@@ -204,11 +202,9 @@
             log = disk_log.DiskLog(pathlib.Path(folder))
             cpu, wall, size = time.process_time(), time.perf_counter(), 0
             for number in range(0, 2048, batch):
-                batch_records = [
-                    _build_record(number + n, spans) for n in range(batch)
-                ]
-                size += sum(len(r.encoded) for r in batch_records)
-                log.append(batch_records)
+                written = [_record(number + n, spans) for n in range(batch)]
+                size += sum(len(r.encoded) for r in written)
+                log.append(written)
                 log.sync()
             cpu = time.process_time() - cpu
             wall = time.perf_counter() - wall
@@ -220,16 +216,14 @@
         )
 
 
-def _build_record(
+def _record(
     number: int, spans: tuple[sample_module.Span, ...]
 ) -> segment.SampleRecord:
-    sample_id = SampleId(f't/1/{number}/0/{product_rollouts.INCARNATION}.1')
-    made = sample_module.Sample(
-        id=sample_id, group=GroupNumber(0), spans=spans
-    )
+    id_ = SampleId(f't/1/{number}/0/{product_rollouts.INCARNATION}.1')
+    made = sample_module.Sample(id=id_, group=GroupNumber(0), spans=spans)
     encoded = sample_module.finish(made).encoded
     return segment.SampleRecord(
-        TrainerId('t'), StepNumber(1), sample_id, WeightVersion(1), encoded
+        TrainerId('t'), StepNumber(1), id_, WeightVersion(1), encoded
     )
 
 
@@ -238,7 +232,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--scale', type=int, default=8)
     scale = parser.parse_args().scale
-    started_at = time.perf_counter()
+    start = time.perf_counter()
     _print_comparison(rollout_model.Size(scale), 'no faults')
     _print_comparison(
         rollout_model.Size(scale, 0.01, rollout_model.SLOW_SHARE),
@@ -252,9 +246,7 @@
     _print_memory()
     _print_delivery()
     _print_disk_log()
-    print(
-        f'\n{time.perf_counter() - started_at:.0f} s at 1/{scale} of the size'
-    )
+    print(f'\n{time.perf_counter() - start:.0f} s at 1/{scale} of the size')
 
 
 if __name__ == '__main__':
--- a/tools/measure_streams.py
+++ b/tools/measure_streams.py
@@ -37,7 +37,7 @@
 
 
 def _cpu_seconds(fleet: control_fleet.Fleet) -> float:
-    return float(sum(fleet.instance_processes[0].cpu_times()[:2]))
+    return float(sum(fleet.instances[0].cpu_times()[:2]))
 
 
 def _cpu_seconds_per_request(
--- a/tools/tests/test_regression.py
+++ b/tools/tests/test_regression.py
@@ -12,7 +12,7 @@
 
 import regression  # noqa: E402
 
-BASELINE_BY_SITE = {'s': 0.7}
+BASELINES = {'s': 0.7}
 
 
 def day(
@@ -46,11 +46,9 @@
     )
     def test_acceptance(self, _: str, found: dict, expected: bool) -> None:
         score = regression.read_score(found)
-        self.assertIs(expected, score.is_acceptable(BASELINE_BY_SITE))
+        self.assertIs(expected, score.is_acceptable(BASELINES))
 
     def test_row_of_a_site(self) -> None:
         scores = [regression.read_score(entry(day('trouble-1', 0.75)))]
-        row = regression.render_table(scores, BASELINE_BY_SITE).splitlines()[
-            -1
-        ]
+        row = regression.render_table(scores, BASELINES).splitlines()[-1]
         self.assertEqual('| s | passed | none | 0.750 | +0.050 |', row)
