--- a/tools/calls_policies.py
+++ b/tools/calls_policies.py
@@ -204,7 +204,7 @@
 
 
 class Naive:
-    """Call the targets in next_index, with up to three attempts."""
+    """Call the targets in turn, with up to three attempts."""
 
     max_attempts = 3
     # Share of a request's time limit after which an attempt times out.
--- a/tools/measure_configuration.py
+++ b/tools/measure_configuration.py
@@ -146,9 +146,9 @@
         fleet.clock.run(PAUSE_SECONDS)
     reads = fleet.store.calls_by_kind['read']
     fleet.heal()
-    took = fleet.seconds_until_applied(revision + changes, 30.0)
+    delay = fleet.seconds_until_applied(revision + changes, 30.0)
     reads = fleet.store.calls_by_kind['read'] - reads
-    _print(f'region cut off for {changes} changes, then', f'{took:.2f} s')
+    _print(f'region cut off for {changes} changes, then', f'{delay:.2f} s')
     _print('reads of the store then', f'{reads}')
     fleet.clock.run(PAUSE_SECONDS)
 
@@ -156,7 +156,7 @@
 def _measure_losses(
     fleet: Fleet, source: Any, revision: int, runs: int, killed: int
 ) -> None:
-    took = []
+    delays = []
     for _ in range(runs):
         lost = fleet.random.sample(fleet.instances, killed)
         fleet.apply(
@@ -167,14 +167,14 @@
         revision += 1
         for instance in lost:
             fleet.kill(instance)
-        took.append(fleet.seconds_until_applied(revision, 20.0))
+        delays.append(fleet.seconds_until_applied(revision, 20.0))
         for instance in lost:
             fleet.start(instance)
         fleet.clock.run(PAUSE_SECONDS)
-    _print(f'with {killed} killed at once, worst', f'{max(took):.2f} s')
+    _print(f'with {killed} killed at once, worst', f'{max(delays):.2f} s')
     _print(
         f'with {killed} killed at once, median',
-        f'{statistics.median(took):.2f} s',
+        f'{statistics.median(delays):.2f} s',
     )
 
 
@@ -266,9 +266,9 @@
     for _ in range(CALLS_CHANGES):
         change()
         fleet.clock.run(CALLS_PAUSE_SECONDS)
-    made = fleet.store.calls_by_kind.total() - before
+    calls = fleet.store.calls_by_kind.total() - before
     idle_calls = idle * CALLS_PAUSE_SECONDS
-    _print(name, f'{idle:.1f} | {made / CALLS_CHANGES - idle_calls:.1f}')
+    _print(name, f'{idle:.1f} | {calls / CALLS_CHANGES - idle_calls:.1f}')
 
 
 def _print(name: str, value: str) -> None:
--- a/tools/measure_crashes.py
+++ b/tools/measure_crashes.py
@@ -32,7 +32,7 @@
 @click.command()
 @click.option('--seeds', default=10, help='Runs of each load.')
 def main(seeds: int) -> None:
-    """Print the table."""
+    """Print a table with one row per load."""
     quiet = structlog.make_filtering_bound_logger(logging.CRITICAL)
     structlog.configure(wrapper_class=quiet)
     sys.path.insert(0, str(TESTS))
--- a/tools/measure_rollouts.py
+++ b/tools/measure_rollouts.py
@@ -85,9 +85,9 @@
         run.run()
         print(_render_row(name, run, _idle_share(naive), bound))
         _check_delivery(run, size, name)
-        made = sum(t.lags.total() for t in run.trainers)
+        count = sum(t.lags.total() for t in run.trainers)
         print(
-            f'  {run.cpu_seconds / made * 1e6:.0f} us a sample in decisions, '
+            f'  {run.cpu_seconds / count * 1e6:.0f} us a sample in decisions, '
             f'{run.cached / run.starts:.0%} of starts on a cached prefix, '
             f'{run.resumed} resumed, {run.fleet.crashed} crashes'
         )
@@ -168,8 +168,8 @@
             work.trainer, work.step, place, product_rollouts.INCARNATION, 1
         )
         spans = (sample_module.Span(WeightVersion(1), tokens),)
-        made = sample_module.Sample(id=name, group=place.group, spans=spans)
-        work.take(sample_module.finish(made))
+        sample = sample_module.Sample(id=name, group=place.group, spans=spans)
+        work.take(sample_module.finish(sample))
     cpu = time.process_time()
     manifest = records.Manifest(
         trainer=work.trainer,
@@ -220,8 +220,8 @@
     number: int, spans: tuple[sample_module.Span, ...]
 ) -> segment.SampleRecord:
     id_ = SampleId(f't/1/{number}/0/{product_rollouts.INCARNATION}.1')
-    made = sample_module.Sample(id=id_, group=GroupNumber(0), spans=spans)
-    encoded = sample_module.finish(made).encoded
+    sample = sample_module.Sample(id=id_, group=GroupNumber(0), spans=spans)
+    encoded = sample_module.finish(sample).encoded
     return segment.SampleRecord(
         TrainerId('t'), StepNumber(1), id_, WeightVersion(1), encoded
     )
--- a/tools/rollout_model.py
+++ b/tools/rollout_model.py
@@ -31,7 +31,7 @@
 SWAP_SECONDS = 14.0
 STALENESS_BOUND = 1
 REPAIR_SECONDS = 120.0
-# Half of the crashes are detected only by a stalled stream.
+# Detection delay of the half of crashes seen only as a stalled stream.
 STALL_SECONDS = 5.0
 SLOW_SHARE = 0.01
 SLOWDOWN = 5.0
