--- a/packages/yuccarill-cli/src/yuccarill/cli/application.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/application.py
@@ -1,4 +1,4 @@
-"""The command yuccarill."""
+"""The yuccarill command line."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 DEFAULT_ADDRESS = '127.0.0.1:8100'
 
 
-def _checked(
+def _validate_addresses(
     _context: click.Context,
     _parameter: click.Parameter,
     values: tuple[str, ...],
 ) -> tuple[str, ...]:
-    wrong = [v for v in values if not addresses_module.is_address(v)]
-    if wrong:
+    invalid = [v for v in values if not addresses_module.is_address(v)]
+    if invalid:
         raise click.BadParameter(
-            f'{", ".join(wrong)}: write an IP number and a port, as '
+            f'{", ".join(invalid)}: write an IP address and a port, such as '
             f'{DEFAULT_ADDRESS}.'
         )
     return values
@@ -42,13 +42,13 @@
     multiple=True,
     default=(DEFAULT_ADDRESS,),
     show_default=True,
-    callback=_checked,
-    help='IP:PORT of an instance; given again, the next one to try.',
+    callback=_validate_addresses,
+    help='IP:PORT of an instance; repeat the option for fallbacks.',
 )
 @click.pass_context
 def main(context: click.Context, address: tuple[str, ...]) -> None:
-    """Operate yuccarill by its inventory and rules."""
-    # Tests pass a session of their own.
+    """Manage the configuration of yuccarill and inspect its state."""
+    # Tests pass their own session.
     if context.obj is None:
         context.obj = session.connect(address)
 
--- a/packages/yuccarill-cli/src/yuccarill/cli/commands/__init__.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands, one a module."""
+"""The commands, one per module."""
--- a/packages/yuccarill-cli/src/yuccarill/cli/commands/addresses.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/commands/addresses.py
@@ -1,4 +1,4 @@
-"""Show which instances callers are told to use."""
+"""Show the instance addresses that clients receive."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 @click.command('addresses')
-@output.option
+@output.output_option
 @click.pass_obj
 def command(session: Session, form: OutputForm) -> None:
-    """Show the addresses that callers get."""
+    """Show the addresses that clients receive, and their expiry."""
     reply = session.run(session.read('addresses', operators.AddressesReply))
     if form is OutputForm.JSON:
         output.print_json(reply)
         return
     for address in reply.addresses:
         click.echo(address)
-    click.echo(f'Valid until {times.shown(reply.valid_until)}.')
+    click.echo(f'Valid until {times.format_utc(reply.valid_until)}.')
--- a/packages/yuccarill-cli/src/yuccarill/cli/commands/apply.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/commands/apply.py
@@ -21,24 +21,24 @@
 if TYPE_CHECKING:
     import pathlib
 
-    from yuccarill.cli.documents import Loaded
+    from yuccarill.cli.documents import LoadedDocument
     from yuccarill.cli.session import Session
 
 
 @click.command('apply')
-@documents.argument
+@documents.file_argument
 @click.option(
     '--base',
     type=click.IntRange(min=0),
-    help='Revision that FILE changes; the one that stands if not given.',
+    help='Revision that FILE changes; the current one if not given.',
 )
 @click.option(
-    '--author', default=getpass.getuser, help='Who the audit trail names.'
+    '--author', default=getpass.getuser, help='Author for the audit trail.'
 )
 @click.option(
     '--change-id',
     default=lambda: uuid.uuid4().hex,
-    help='Repeats a change of unknown outcome; give its --base too.',
+    help='Retry a change of unknown outcome; give its --base too.',
 )
 @click.pass_obj
 def command(
@@ -48,68 +48,68 @@
     author: str,
     change_id: str,
 ) -> None:
-    """Make FILE the next revision.
+    """Apply FILE as the next revision.
 
-    The change is refused if another one came after --base.
+    The change is refused if another one was applied after --base.
     """
-    loaded = documents.load(file)
-    session.run(_apply(session, loaded, base, author, ChangeId(change_id)))
+    document = documents.load(file)
+    session.run(_apply(session, document, base, author, ChangeId(change_id)))
 
 
 async def _apply(
     session: Session,
-    loaded: Loaded,
+    document: LoadedDocument,
     base: int | None,
     author: str,
     change_id: ChangeId,
 ) -> None:
     if base is None:
-        standing = await standing_module.read(session)
-        click.echo(standing_module.describe(standing))
+        current = await standing_module.read(session)
+        click.echo(standing_module.describe(current))
         differences.print_list(
-            differences.between(standing.inventory, loaded.inventory)
+            differences.between(current.inventory, document.inventory)
         )
-        base = standing.revision
+        base = current.revision
     request = operators.ApplyRequest(
         author=author,
         base=Revision(base),
-        document=loaded.plain,
+        document=document.raw,
         change_id=change_id,
     )
-    reply = await _send(session, loaded, request)
+    reply = await _send(session, document, request)
     click.echo(
-        f'Revision {reply.revision} stands ({reply.outcome}, change '
+        f'Revision {reply.revision} is current ({reply.outcome}, change '
         f'{reply.change_id}).'
     )
 
 
 async def _send(
-    session: Session, loaded: Loaded, request: operators.ApplyRequest
+    session: Session, document: LoadedDocument, request: operators.ApplyRequest
 ) -> operators.ApplyReply:
-    what = f'Change {request.change_id}'
+    subject = f'Change {request.change_id}'
     try:
         return await session.write(
-            'operators/configuration', request, operators.ApplyReply, what
+            'operators/configuration', request, operators.ApplyReply, subject
         )
     except failures.OutcomeUnknown as failure:
-        return await _settle(session, request, failure)
+        return await _resolve_outcome(session, request, failure)
     except failures.Refused as refusal:
         if refusal.exit_code == ExitCode.CONFLICT:
-            await _show_conflict(session, loaded)
+            await _show_conflict(session, document)
         raise
 
 
-async def _settle(
+async def _resolve_outcome(
     session: Session,
     request: operators.ApplyRequest,
     failure: failures.OutcomeUnknown,
 ) -> operators.ApplyReply:
-    """Look whether a change stands; it is not sent again.
+    """Read the audit trail to find whether a change was applied.
 
-    Raises Refused if it never will, and the failure if that is open.
+    Raises Refused if another change took the revision, else OutcomeUnknown.
     """
-    # The audit trail is read from the platform, so it does not lag as what
-    # an instance has in force does.
+    # Instances read the audit trail from the platform's store, so unlike the
+    # configuration in force at an instance, the trail does not lag.
     page = None
     try:
         page = await session.read(
@@ -117,31 +117,31 @@
         )
     except failures.CommandFailure as error:
         click.echo(error.message, err=True)
-    made = Revision(request.base + 1)
+    revision = Revision(request.base + 1)
     for change in page.changes if page else ():
-        if change.revision != made:
+        if change.revision != revision:
             continue
         if change.change_id == request.change_id:
             return operators.ApplyReply(
-                revision=made, change_id=change.change_id
+                revision=revision, change_id=change.change_id
             )
         raise failures.refused(
             errors.RevisionConflict(
-                f'Revision {made} was made by {change.author} instead; see '
-                '"yuccarill diff".'
+                f'Revision {revision} was made by {change.author} instead; '
+                'see "yuccarill diff".'
             )
         ) from failure
     raise failures.OutcomeUnknown(
-        f'{failure.message}\nLook for it with "yuccarill audit", or apply '
-        f'it again with --base {request.base} --change-id '
-        f'{request.change_id}, which makes one revision at most.'
+        f'{failure.message}\nLook for the change with "yuccarill audit", or '
+        f'apply it again with --base {request.base} --change-id '
+        f'{request.change_id}, which makes at most one revision.'
     ) from failure
 
 
-async def _show_conflict(session: Session, loaded: Loaded) -> None:
-    standing = await standing_module.read(session)
-    click.echo(standing_module.describe(standing), err=True)
-    found = differences.between(standing.inventory, loaded.inventory)
-    text = 'would change:' if found else 'would change nothing.'
-    click.echo(f'Applying the file to it {text}', err=True)
-    differences.print_list(found, to_stderr=True)
+async def _show_conflict(session: Session, document: LoadedDocument) -> None:
+    current = await standing_module.read(session)
+    click.echo(standing_module.describe(current), err=True)
+    changes_left = differences.between(current.inventory, document.inventory)
+    text = 'would change:' if changes_left else 'would change nothing.'
+    click.echo(f'Applying the file to this revision {text}', err=True)
+    differences.print_list(changes_left, to_stderr=True)
--- a/packages/yuccarill-cli/src/yuccarill/cli/commands/audit.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/commands/audit.py
@@ -1,4 +1,4 @@
-"""Show who changed what."""
+"""Show the audit trail of configuration changes."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 if TYPE_CHECKING:
     from yuccarill.cli.session import Session
 
-SHOWN_ENTRIES = 4
+MAX_SHOWN_ENTRIES = 4
 
 
 @click.command('audit')
 @click.option(
     '--last',
     type=click.IntRange(min=1),
-    help='Last revision of the page; the newest page if not given.',
+    help='Last revision to show; the newest one if not given.',
 )
-@output.option
+@output.output_option
 @click.pass_obj
 def command(session: Session, last: int | None, form: OutputForm) -> None:
-    """Show a page of the changes, and where the page before it ends."""
+    """Show one page of changes and the option for the page before it."""
     path = 'operators/audit' if last is None else f'operators/audit/{last}'
     page = session.run(session.read(path, operators.AuditReply))
     if form is OutputForm.JSON:
@@ -41,14 +41,14 @@
 
 
 def _row(change: operators.AuditEntry) -> list[object]:
-    named = ', '.join(change.entries[:SHOWN_ENTRIES])
-    hidden = len(change.entries) - SHOWN_ENTRIES
+    shown = ', '.join(change.entries[:MAX_SHOWN_ENTRIES])
+    hidden = len(change.entries) - MAX_SHOWN_ENTRIES
     return [
         change.base,
         change.revision,
         change.author,
-        times.shown(change.at),
+        times.format_utc(change.at),
         change.result,
         change.change_id,
-        f'{named} and {hidden} more' if hidden > 0 else named,
+        f'{shown} and {hidden} more' if hidden > 0 else shown,
     ]
--- a/packages/yuccarill-cli/src/yuccarill/cli/commands/capacity.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/commands/capacity.py
@@ -1,4 +1,4 @@
-"""Show who is lent what of services' capacity, who waits and why."""
+"""Show the capacity of services and its allocation to accounts."""
 
 from __future__ import annotations
 
@@ -18,19 +18,21 @@
 
 
 @click.command('capacity')
-@output.option
+@output.output_option
 @click.pass_obj
 def command(session: Session, form: OutputForm) -> None:
-    """Show services' capacity as one instance knows it.
+    """Show the capacity of services as one instance sees it.
 
-    The address is the peer address of a gateway on the users' platform. The
-    whole fleet's demand is known to the broker, whose name is shown.
+    --address is the peer address of a gateway on the users' platform. Only the
+    broker, which is shown by name, knows the demand of all instances.
     """
-    shown = session.run(
-        session.ask(session.addresses[0], 'GET', PATH, list[ServiceOverview])
+    services = session.run(
+        session.request(
+            session.addresses[0], 'GET', PATH, list[ServiceOverview]
+        )
     )
     if form is OutputForm.JSON:
-        output.print_json(shown)
+        output.print_json(services)
         return
     output.print_table(
         ['SERVICE', 'CONGESTED', 'BROKER', 'PLACES', 'IN FLIGHT', 'SECONDS']
@@ -42,43 +44,43 @@
                 each.broker or 'none',
                 each.places,
                 each.in_flight,
-                _number(each.service_seconds),
-                _number(each.capacity),
-                _number(each.lent),
+                _format_number(each.service_seconds),
+                _format_number(each.capacity),
+                _format_number(each.lent),
             )
-            for each in shown
+            for each in services
         ],
     )
     output.print_table(
         ['SERVICE', 'SEEN BY', 'PRIORITY', 'ACCOUNT', 'ASKED/S', 'LENT/S']
         + ['REFUSED/S', 'WAITING', 'WAIT'],
         [
-            _row(each, seen_by, known)
-            for each in shown
+            _row(each, seen_by, demand)
+            for each in services
             for seen_by, classes in (
                 ('instance', each.classes),
                 ('broker', each.fleet),
             )
-            for known in classes
+            for demand in classes
         ],
     )
 
 
 def _row(
-    service: ServiceOverview, seen_by: str, known: ClassOverview
+    service: ServiceOverview, seen_by: str, demand: ClassOverview
 ) -> tuple[object, ...]:
     return (
         service.service,
         seen_by,
-        known.priority,
-        known.account or 'the others',
-        _number(known.offered),
-        'all' if known.lent is None else _number(known.lent),
-        _number(known.refused),
-        known.waiting,
-        _number(known.predicted_wait),
+        demand.priority,
+        demand.account or 'the others',
+        _format_number(demand.offered),
+        'all' if demand.lent is None else _format_number(demand.lent),
+        _format_number(demand.refused),
+        demand.waiting,
+        _format_number(demand.predicted_wait),
     )
 
 
-def _number(value: float | None) -> str:
+def _format_number(value: float | None) -> str:
     return '-' if value is None else f'{value:.3g}'
--- a/packages/yuccarill-cli/src/yuccarill/cli/commands/check.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/commands/check.py
@@ -1,4 +1,4 @@
-"""Check an inventory document."""
+"""Validate an inventory document."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 
 @click.command('check')
-@documents.argument
+@documents.file_argument
 def command(file: pathlib.Path) -> None:
-    """Check FILE and name every fault in it."""
+    """Validate FILE and list every fault in it."""
     documents.load(file)
     click.echo(f'{file}: valid.')
--- a/packages/yuccarill-cli/src/yuccarill/cli/commands/diff.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/commands/diff.py
@@ -1,4 +1,4 @@
-"""Compare an inventory document with what stands."""
+"""Compare an inventory document with the current configuration."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 
 @click.command('diff')
-@documents.argument
-@output.option
+@documents.file_argument
+@output.output_option
 @click.pass_obj
 def command(session: Session, file: pathlib.Path, form: OutputForm) -> None:
-    """Show what applying FILE would change."""
-    loaded = documents.load(file)
-    standing = session.run(standing_module.read(session))
-    found = differences.between(standing.inventory, loaded.inventory)
+    """Show the changes that applying FILE would make."""
+    document = documents.load(file)
+    current = session.run(standing_module.read(session))
+    found = differences.between(current.inventory, document.inventory)
     if form is OutputForm.JSON:
-        output.print_json({'base': standing.revision, 'differences': found})
+        output.print_json({'base': current.revision, 'differences': found})
         return
-    click.echo(standing_module.describe(standing))
+    click.echo(standing_module.describe(current))
     differences.print_list(found)
     if found:
-        click.echo(f'Apply it with --base {standing.revision}.')
+        click.echo(f'Apply it with --base {current.revision}.')
     else:
         click.echo('Nothing differs.')
--- a/packages/yuccarill-cli/src/yuccarill/cli/commands/explain.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/commands/explain.py
@@ -13,9 +13,9 @@
 
 @click.command('explain')
 @click.argument('code', type=int)
-@output.option
+@output.output_option
 def command(code: int, form: OutputForm) -> None:
-    """Explain the result code CODE."""
+    """Explain the numeric result code CODE."""
     try:
         explanation = explanations.explain(code)
     except errors.UnknownCode as error:
@@ -23,11 +23,11 @@
     if form is OutputForm.JSON:
         output.print_json(explanation)
         return
-    promise = 'has not run and will not' if explanation.not_run else 'may run'
+    state = 'has not run and will not' if explanation.not_run else 'may run'
     click.echo(
         f'{explanation.code} {explanation.name} '
         f'(HTTP {explanation.http_status})\n'
         f'Meaning:    {explanation.meaning}\n'
-        f'Request:    {promise}\n'
+        f'Request:    {state}\n'
         f'What to do: {explanation.remedy}'
     )
--- a/packages/yuccarill-cli/src/yuccarill/cli/commands/explain_steps.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/commands/explain_steps.py
@@ -1,4 +1,4 @@
-"""Tell where the time of batch jobs' steps went."""
+"""Show how long each phase of a step took."""
 
 from __future__ import annotations
 
@@ -16,39 +16,39 @@
 
 @click.command('explain-steps')
 @click.argument('logs', nargs=-1, required=True, type=click.File())
-@click.option('--model', help='Only steps of one model.')
-@output.option
+@click.option('--model', help='Show only steps of this model.')
+@output.output_option
 def command(
     logs: tuple[TextIO, ...], model: str | None, form: OutputForm
 ) -> None:
-    """Tell from LOGS of instances where each step's time went.
+    """Show from LOGS of instances how long each phase of a step took.
 
-    A step lasts as long as the text that ends last: how long that one waited
-    for a place, was generated, changed engines, was scored, listed and read.
+    The phases are those of the step's last item: waiting for a place at an
+    engine, generation, moves between engines, scoring, listing and reading.
     """
-    found = step_times.StepLog()
+    parsed = step_times.StepLog()
     for log in logs:
-        found.read(log)
+        parsed.read(log)
     steps = [
-        step for step in found.steps() if model is None or step.model == model
+        step for step in parsed.steps() if model is None or step.model == model
     ]
     if form is OutputForm.JSON:
         output.print_json(
             {
-                'steps': [_fields(step) for step in steps],
-                'lines_left_out': found.lines_left_out,
+                'steps': [_json_fields(step) for step in steps],
+                'lines_left_out': parsed.lines_left_out,
             }
         )
         return
     _print_table(steps)
-    if found.lines_left_out:
+    if parsed.lines_left_out:
         click.echo(
-            f'{found.lines_left_out} lines that are no log lines left out.',
+            f'{parsed.lines_left_out} lines are no log lines; skipped.',
             err=True,
         )
 
 
-def _fields(step: StepTime) -> dict[str, object]:
+def _json_fields(step: StepTime) -> dict[str, object]:
     return {
         'job': step.job,
         'step': step.step,
@@ -68,12 +68,12 @@
 
 
 def _print_table(steps: list[StepTime]) -> None:
-    heads = ['STEP', 'MODEL', 'SECONDS', *(c.name for c in Cause)]
-    heads += ['EVENTS', 'RUNS', 'LAST ITEM']
+    headers = ['STEP', 'MODEL', 'SECONDS', *(c.name for c in Cause)]
+    headers += ['EVENTS', 'RUNS', 'LAST ITEM']
     rows = [_row(step) for step in steps]
     if steps:
-        rows.append(_mean(steps))
-    output.print_table(heads, rows)
+        rows.append(_mean_row(steps))
+    output.print_table(headers, rows)
 
 
 def _row(step: StepTime) -> list[object]:
@@ -90,7 +90,7 @@
     ]
 
 
-def _mean(steps: list[StepTime]) -> list[object]:
+def _mean_row(steps: list[StepTime]) -> list[object]:
     seconds = statistics.fmean(step.seconds for step in steps)
     spent = [
         statistics.fmean(step.seconds_by_cause[cause] for step in steps)
--- a/packages/yuccarill-cli/src/yuccarill/cli/commands/quarantine.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/commands/quarantine.py
@@ -1,4 +1,4 @@
-"""Show and release requests that are kept from targets."""
+"""Show and release quarantined requests."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
 @click.option(
     '--release',
     metavar='CONTENT',
-    help='Let the requests of this content be sent on again, everywhere.',
+    help='Release requests with this content at all instances.',
 )
-@output.option
+@output.output_option
 @click.pass_obj
 def command(session: Session, release: str | None, form: OutputForm) -> None:
-    """Show the requests that are refused since targets ended under them.
+    """Show requests that are refused because targets exited running them.
 
-    The address is the peer address of a gateway on the users' platform.
+    --address is the peer address of a gateway on the users' platform.
     """
     method = 'GET' if release is None else 'DELETE'
     path = PATH if release is None else f'{PATH}/{release}'
-    # Instances tell each other: whichever is asked knows all.
-    shown = session.run(
-        session.ask(
+    # Instances share quarantine entries, so any instance knows all of them.
+    quarantined = session.run(
+        session.request(
             session.addresses[0], method, path, list[QuarantinedContent]
         )
     )
     if form is OutputForm.JSON:
-        output.print_json(shown)
+        output.print_json(quarantined)
         return
     output.print_table(
         ['CONTENT', 'REQUEST', 'SECONDS LEFT', 'ENDED TARGETS'],
@@ -49,6 +49,6 @@
                 round(each.seconds_left),
                 ', '.join(each.targets),
             )
-            for each in shown
+            for each in quarantined
         ],
     )
--- a/packages/yuccarill-cli/src/yuccarill/cli/commands/show.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/commands/show.py
@@ -1,4 +1,4 @@
-"""Show the configuration that stands."""
+"""Show the configuration in force."""
 
 from __future__ import annotations
 
@@ -16,33 +16,36 @@
 
 
 @click.command('show')
-@output.option
+@output.output_option
 @click.pass_obj
 def command(session: Session, form: OutputForm) -> None:
     """Show the configuration in force at an instance.
 
-    The inventory of the JSON form can be saved, changed and applied.
+    The inventory in the JSON output can be saved, edited and applied.
     """
-    standing = session.run(
+    current = session.run(
         session.read('operators/configuration', operators.Configuration)
     )
     if form is OutputForm.JSON:
-        output.print_json(standing)
+        output.print_json(current)
         return
     click.echo(
-        f'Revision {standing.revision} by {standing.author} at '
-        f'{times.shown(standing.applied_at)}, change {standing.change_id}.'
+        f'Revision {current.revision} by {current.author} at '
+        f'{times.format_utc(current.applied_at)}, change {current.change_id}.'
     )
     for section in operators.Inventory.__struct_fields__:
-        entries = getattr(standing.inventory, section)
+        entries = getattr(current.inventory, section)
         if entries:
             click.echo(f'\n{section}')
-            _print_entries([output.plain(entry) for entry in entries])
+            _print_entries([output.to_plain_dict(entry) for entry in entries])
 
 
 def _print_entries(entries: list[dict[str, object]]) -> None:
     keys = list(dict.fromkeys(key for entry in entries for key in entry))
     output.print_table(
         [key.upper() for key in keys],
-        [[output.short(entry.get(key)) for key in keys] for entry in entries],
+        [
+            [output.format_value(entry.get(key)) for key in keys]
+            for entry in entries
+        ],
     )
--- a/packages/yuccarill-cli/src/yuccarill/cli/commands/status.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/commands/status.py
@@ -1,4 +1,4 @@
-"""Show the state of the instances and of what they serve."""
+"""Show the state of instances, targets and trainers."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 
 @click.command('status')
-@output.option
+@output.output_option
 @click.pass_obj
 def command(session: Session, form: OutputForm) -> None:
-    """Show instances, targets and trainers, as all instances see them."""
-    found = session.run(survey.take(session))
+    """Show instances, targets and trainers, merged from all instances."""
+    state = session.run(survey.collect(session))
     if form is OutputForm.JSON:
-        output.print_json(found)
+        output.print_json(state)
         return
-    _print_instances(found)
-    _print_targets(found)
-    _print_trainers(found)
+    _print_instances(state)
+    _print_targets(state)
+    _print_trainers(state)
 
 
-def _print_instances(found: survey.Survey) -> None:
+def _print_instances(state: survey.Survey) -> None:
     output.print_table(
         [
             'INSTANCE',
@@ -39,30 +39,30 @@
             'REVISION',
             'INCARNATION',
         ],
-        map(msgspec.structs.astuple, found.instances),
+        map(msgspec.structs.astuple, state.instances),
     )
-    newest = max((seen.revision or 0 for seen in found.instances), default=0)
-    behind = [s.id for s in found.instances if s.revision != newest]
+    newest = max((i.revision or 0 for i in state.instances), default=0)
+    behind = [i.id for i in state.instances if i.revision != newest]
     if behind:
         click.echo(f'Revision {newest} is not known at {", ".join(behind)}.')
     else:
-        click.echo(f'Revision {newest} is in force at all.')
+        click.echo(f'Revision {newest} is in force at all instances.')
 
 
-def _print_targets(found: survey.Survey) -> None:
+def _print_targets(state: survey.Survey) -> None:
     click.echo()
     output.print_table(
         ['TARGET', 'RUNS', 'DATA CENTRE', 'WEIGHTS', 'STAGED', 'IN FLIGHT'],
-        map(msgspec.structs.astuple, found.targets),
+        map(msgspec.structs.astuple, state.targets),
     )
 
 
-def _print_trainers(found: survey.Survey) -> None:
+def _print_trainers(state: survey.Survey) -> None:
     click.echo()
     output.print_table(
         ['TRAINER', 'HOLDER', 'OPEN STEPS'],
         [
             [t.id, t.holder, ', '.join(map(str, t.open_steps))]
-            for t in found.trainers
+            for t in state.trainers
         ],
     )
--- a/packages/yuccarill-cli/src/yuccarill/cli/commands/usage.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/commands/usage.py
@@ -1,4 +1,4 @@
-"""Show what was reported of client accounts' usage, and by whom."""
+"""Show the usage reports of client accounts."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 
 
 @click.command('usage')
-@output.option
+@output.output_option
 @click.pass_obj
 def command(session: Session, form: OutputForm) -> None:
-    """Show the last reports of usage, and which instance makes them.
+    """Show the latest usage reports and the instance that makes them.
 
-    The address is the peer address of a gateway on the users' platform; only
-    the instance that it names as holder knows the reports.
+    --address is the peer address of a gateway on the users' platform. Only the
+    instance that is shown as holder knows the reports.
     """
-    shown = session.run(
-        session.ask(session.addresses[0], 'GET', PATH, ShownUsage)
+    usage = session.run(
+        session.request(session.addresses[0], 'GET', PATH, ShownUsage)
     )
     if form is OutputForm.JSON:
-        output.print_json(shown)
+        output.print_json(usage)
         return
-    click.echo(f'holder: {shown.holder or "nobody"}')
-    if not shown.is_here:
+    click.echo(f'holder: {usage.holder or "nobody"}')
+    if not usage.is_here:
         return
     output.print_table(
         ['WINDOW', 'REQUESTS', 'SENT'],
@@ -40,8 +40,8 @@
             (
                 report.window,
                 report.requests,
-                'yes' if report.window <= shown.sent_through else 'no',
+                'yes' if report.window <= usage.sent_through else 'no',
             )
-            for report in shown.reports
+            for report in usage.reports
         ],
     )
--- a/packages/yuccarill-cli/src/yuccarill/cli/differences.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/differences.py
@@ -1,4 +1,4 @@
-"""Compare two inventories entry by entry, key by key."""
+"""Compare two inventories by entry and key."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ChangeKind(enum.Enum):
-    """Say what happened to an entry; the value is its mark."""
+    """Kind of change of an entry; the value is its mark in the output."""
 
     ADDED = '+'
     CHANGED = '~'
@@ -26,7 +26,7 @@
 
 
 class KeyChange(msgspec.Struct, frozen=True):
-    """Hold what a key was and is."""
+    """Old and new value of a key."""
 
     key: str
     before: Any
@@ -34,7 +34,7 @@
 
 
 class Difference(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what differs in one entry."""
+    """Changed keys of one entry."""
 
     section: str
     entry: str
@@ -43,8 +43,8 @@
 
 
 def between(old: Inventory, new: Inventory) -> list[Difference]:
-    """Return what leads from one inventory to another."""
-    found = []
+    """Return the differences between two inventories."""
+    differences = []
     for section in Inventory.__struct_fields__:
         before_by_name = _by_name(getattr(old, section))
         after_by_name = _by_name(getattr(new, section))
@@ -52,12 +52,12 @@
             before = before_by_name.get(name)
             after = after_by_name.get(name)
             if before != after:
-                found.append(_difference(section, name, before, after))
-    return found
+                differences.append(_difference(section, name, before, after))
+    return differences
 
 
 def print_list(differences: list[Difference], to_stderr: bool = False) -> None:
-    """Print differences, one an entry, by section."""
+    """Print differences, grouped by section."""
     for section, group in itertools.groupby(
         differences, key=lambda difference: difference.section
     ):
@@ -69,7 +69,7 @@
 def _lines(difference: Difference) -> Iterator[str]:
     yield f'  {difference.kind.value} {difference.entry}'
     for change in difference.keys:
-        before, after = map(output.short, (change.before, change.after))
+        before, after = map(output.format_value, (change.before, change.after))
         match difference.kind:
             case ChangeKind.ADDED:
                 yield f'      {change.key}: {after}'
@@ -100,11 +100,11 @@
 
 def _by_name(entries: Any) -> dict[str, dict[str, Any]]:
     if not isinstance(entries, tuple):
-        # Rules that are no list of entries count as one entry.
+        # A section that is not a list counts as one entry.
         return {'rules': msgspec.to_builtins(entries)} if entries else {}
     return {
         str(getattr(entry, 'id', None) or getattr(entry, 'name', '')): (
-            output.plain(entry)
+            output.to_plain_dict(entry)
         )
         for entry in entries
     }
--- a/packages/yuccarill-cli/src/yuccarill/cli/documents.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/documents.py
@@ -1,4 +1,4 @@
-"""Read inventory documents from files."""
+"""Load inventory documents from files."""
 
 from __future__ import annotations
 
@@ -16,37 +16,41 @@
 from yuccarill.core.config import reader
 from yuccarill.core import errors
 
-argument = click.argument(
+file_argument = click.argument(
     'file',
     type=click.Path(exists=True, dir_okay=False, path_type=pathlib.Path),
 )
 
 
-class Loaded(msgspec.Struct, frozen=True):
-    """Hold a file's document, checked and as it was written."""
+class LoadedDocument(msgspec.Struct, frozen=True):
+    """A validated inventory and the document that it was read from."""
 
     inventory: Inventory
-    plain: Any
+    raw: Any
 
 
-def load(path: pathlib.Path) -> Loaded:
-    """Read and check a file.
+def load(path: pathlib.Path) -> LoadedDocument:
+    """Read and validate an inventory file.
 
-    Raises CommandFailure with every fault that was found.
+    Raises CommandFailure with every fault found.
     """
-    form = 'json' if path.suffix == '.json' else 'toml'
+    file_format = 'json' if path.suffix == '.json' else 'toml'
     try:
         text = path.read_text()
-        inventory = reader.read(text, form)
+        inventory = reader.read(text, file_format)
     except errors.InventoryInvalid as error:
-        raise _invalid(path, error.message.splitlines()) from error
+        raise _invalid_document(path, error.message.splitlines()) from error
     except (OSError, UnicodeDecodeError) as error:
-        raise _invalid(path, [f'{error}; write UTF-8 text']) from error
-    plain = json.loads(text) if form == 'json' else tomllib.loads(text)
-    return Loaded(inventory, plain)
+        raise _invalid_document(
+            path, [f'{error}; the file must be UTF-8 text']
+        ) from error
+    raw = json.loads(text) if file_format == 'json' else tomllib.loads(text)
+    return LoadedDocument(inventory, raw)
 
 
-def _invalid(path: pathlib.Path, faults: list[str]) -> failures.CommandFailure:
+def _invalid_document(
+    path: pathlib.Path, faults: list[str]
+) -> failures.CommandFailure:
     lines = [f'{path}: {fault}' for fault in faults]
     lines.insert(0, f'{len(faults)} faults.')
     return failures.CommandFailure('\n'.join(lines), ExitCode.INVALID)
--- a/packages/yuccarill-cli/src/yuccarill/cli/exit_codes.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of the command line, as docs/OPERATIONS.md lists them."""
+"""Exit codes of the command line; docs/OPERATIONS.md lists them too."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class ExitCode(enum.IntEnum):
-    """Say how a command ended."""
+    """Exit code of a command."""
 
     OK = 0
-    # The system refused; the numbered code stands on stderr.
+    # An instance refused the request; stderr names the result code.
     REFUSED = 1
-    # Wrong flags or arguments; click's own code.
+    # Wrong options or arguments; click uses this code too.
     USAGE = 2
-    # No address could be reached.
+    # No instance answered.
     UNREACHABLE = 3
-    # The document has faults.
+    # The inventory document is invalid.
     INVALID = 4
-    # Another operator's change stands.
+    # Another change was applied to the same base revision.
     CONFLICT = 5
-    # The change may or may not stand.
+    # Whether the change was applied is unknown.
     OUTCOME_UNKNOWN = 6
--- a/packages/yuccarill-cli/src/yuccarill/cli/failures.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/failures.py
@@ -24,7 +24,7 @@
 
 
 class Refused(CommandFailure):
-    """Show a refusal of the system."""
+    """An instance refused the request."""
 
     def __init__(self, code: int, name: str, message: str) -> None:
         super().__init__(
@@ -35,21 +35,21 @@
 
 
 class Unreachable(CommandFailure):
-    """Show that no instance could be asked."""
+    """No instance answered."""
 
     def __init__(self, message: str) -> None:
         super().__init__(message, ExitCode.UNREACHABLE)
 
 
 class OutcomeUnknown(CommandFailure):
-    """Show that a write was sent and no reply came."""
+    """A write was sent and no reply arrived."""
 
     def __init__(self, message: str, address: str = '') -> None:
         super().__init__(message, ExitCode.OUTCOME_UNKNOWN)
-        # The address that fell silent, the last one to ask again.
+        # The address that did not reply; later reads ask this address last.
         self.address = address
 
 
 def refused(error: errors.YuccarillError) -> Refused:
-    """Return the failure that shows an error of the core."""
+    """Return the command failure for an error of yuccarill.core."""
     return Refused(error.code, error.code.name, error.message)
--- a/packages/yuccarill-cli/src/yuccarill/cli/http_transport.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/http_transport.py
@@ -1,4 +1,4 @@
-"""Carry requests to instances over HTTP."""
+"""Send requests to instances over HTTP."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     from collections.abc import Awaitable
 
 CONNECT_SECONDS = 2.0
-# Raised while the connection is being made, before any byte is sent.
+# Raised while connecting, before any byte of a request is sent.
 _NOT_CONNECTED = (
     internet_error.ConnectError,
     internet_error.ConnectionRefusedError,
@@ -29,7 +29,7 @@
 
 
 class HttpTransport:
-    """Carry requests over HTTP, each on a connection of its own."""
+    """Send each request over HTTP on a new connection."""
 
     def __init__(self) -> None:
         agent: Any = client.Agent(reactor, connectTimeout=CONNECT_SECONDS)
@@ -43,7 +43,7 @@
         body: bytes | None,
         seconds: float,
     ) -> Reply:
-        """Send one request."""
+        """Send one request; raises NotSent or NoReply."""
         try:
             response = await self._client.request(
                 method,
@@ -62,24 +62,24 @@
 
 
 def _cause(error: Exception) -> str:
-    """Return why no reply came, in a form for people."""
+    """Return a readable reason for a missing reply."""
     reasons = getattr(error, 'reasons', None)
     inner = reasons[0].value if reasons else error
     if isinstance(inner, defer.CancelledError | defer.TimeoutError):
-        return 'no reply in time'
+        return 'the request timed out'
     return str(inner) or type(inner).__name__
 
 
-def run(work: Awaitable[Any]) -> Any:
-    """Run the reactor until some work is done, and return its result."""
+def run(awaitable: Awaitable[Any]) -> Any:
+    """Run the reactor until an awaitable completes and return its result."""
     results: list[Any] = []
 
-    def begin() -> None:
-        done = defer.ensureDeferred(work)  # type: ignore[arg-type]
+    def start() -> None:
+        done = defer.ensureDeferred(awaitable)  # type: ignore[arg-type]
         done.addBoth(results.append)
         done.addBoth(lambda _: reactor.stop())
 
-    reactor.callWhenRunning(begin)
+    reactor.callWhenRunning(start)
     reactor.run()
     if not results:
         raise click.Abort
--- a/packages/yuccarill-cli/src/yuccarill/cli/output.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/output.py
@@ -1,4 +1,4 @@
-"""Print results as tables or as JSON."""
+"""Print results as a table or as JSON."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
     from collections.abc import Iterable
     from collections.abc import Sequence
 
-_GAP = '  '
-_EMPTY = '-'
+_COLUMN_GAP = '  '
+_EMPTY_CELL = '-'
 
 
 class OutputForm(enum.Enum):
-    """Say how a command prints what it read."""
+    """Output format of a command."""
 
     TABLE = 'table'
     JSON = 'json'
 
 
-def option(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Add --output to a command."""
+def output_option(command: Callable[..., Any]) -> Callable[..., Any]:
+    """Add the --output option to a command."""
     return click.option(
         '--output',
         'form',
         type=click.Choice([form.value for form in OutputForm]),
         default=OutputForm.TABLE.value,
         callback=lambda _context, _parameter, value: OutputForm(value),
-        help='How to print the result.',
+        help='Output format.',
     )(command)
 
 
@@ -44,26 +44,28 @@
 
 
 def print_table(
-    heads: Sequence[str], rows: Iterable[Sequence[object]]
+    headers: Sequence[str], rows: Iterable[Sequence[object]]
 ) -> None:
-    """Print rows in columns that are as wide as they need to be."""
-    lines = [list(heads)]
+    """Print rows as columns, each as wide as its widest cell."""
+    lines = [list(headers)]
     lines += [[_cell(value) for value in row] for row in rows]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     for line in lines:
         cells = map(str.ljust, line, widths)
-        click.echo(_GAP.join(cells).rstrip())
+        click.echo(_COLUMN_GAP.join(cells).rstrip())
 
 
-def short(value: object) -> str:
-    """Return a plain value on one line, as JSON but for bare text."""
+def format_value(value: object) -> str:
+    """Return a value on one line: text unquoted, anything else as JSON."""
     if isinstance(value, str):
         return value
-    return _EMPTY if value is None else msgspec.json.encode(value).decode()
+    return (
+        _EMPTY_CELL if value is None else msgspec.json.encode(value).decode()
+    )
 
 
-def plain(entry: msgspec.Struct) -> dict[str, Any]:
-    """Return an entry's keys with plain values, defaults among them."""
+def to_plain_dict(entry: msgspec.Struct) -> dict[str, Any]:
+    """Return an entry's fields as builtin types, defaults included."""
     return {
         key: msgspec.to_builtins(getattr(entry, key))
         for key in entry.__struct_fields__
@@ -73,4 +75,4 @@
 def _cell(value: object) -> str:
     if isinstance(value, enum.Enum):
         value = value.value
-    return _EMPTY if value is None or value == '' else str(value)
+    return _EMPTY_CELL if value is None or value == '' else str(value)
--- a/packages/yuccarill-cli/src/yuccarill/cli/session.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/session.py
@@ -1,4 +1,4 @@
-"""Ask the instances whose addresses an operator gave."""
+"""Send requests to the instances that the operator named."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 _BASE = '/v1/'
 _OK = 200
 
-Kind = TypeVar('Kind')
+T = TypeVar('T')
 
 
 class Session:
-    """Read from the first instance that answers, write at most once."""
+    """Read from the first instance that answers; write at most once."""
 
     def __init__(
         self,
@@ -40,35 +40,35 @@
         self._transport = transport
         self._run = run
 
-    def run(self, work: Awaitable[Kind]) -> Kind:
-        """Do a command's work and return its result."""
-        result: Kind = self._run(work)
+    def run(self, awaitable: Awaitable[T]) -> T:
+        """Run a command's awaitable and return its result."""
+        result: T = self._run(awaitable)
         return result
 
-    async def read(self, path: str, kind: type[Kind], last: str = '') -> Kind:
-        """Read from the first address that answers, one being asked last.
+    async def read(self, path: str, reply_type: type[T], last: str = '') -> T:
+        """Read from the first address that answers, trying one address last.
 
         Raises Unreachable or Refused.
         """
         causes = []
         for address in sorted(self.addresses, key=lambda a: a == last):
             try:
-                return await self.read_at(address, path, kind)
+                return await self.read_at(address, path, reply_type)
             except failures.Unreachable as failure:
                 causes.append(failure.message)
         raise failures.Unreachable('\n'.join(causes))
 
-    async def read_at(self, address: str, path: str, kind: type[Kind]) -> Kind:
+    async def read_at(self, address: str, path: str, reply_type: type[T]) -> T:
         """Read from one address.
 
         Raises Unreachable or Refused.
         """
-        return await self.ask(address, 'GET', _BASE + path, kind)
+        return await self.request(address, 'GET', _BASE + path, reply_type)
 
-    async def ask(
-        self, address: str, method: str, path: str, kind: type[Kind]
-    ) -> Kind:
-        """Send one address a request that may be repeated.
+    async def request(
+        self, address: str, method: str, path: str, reply_type: type[T]
+    ) -> T:
+        """Send an idempotent request to one address.
 
         Raises Unreachable or Refused.
         """
@@ -82,14 +82,18 @@
         ) as error:
             raise failures.Unreachable(
                 f'Instance {address} did not answer ({error}); name another '
-                'with --address.'
+                'one with --address.'
             ) from error
-        return _decode(address, reply, kind)
+        return _decode(address, reply, reply_type)
 
     async def write(
-        self, path: str, value: msgspec.Struct, kind: type[Kind], what: str
-    ) -> Kind:
-        """Write once, at the first address that can be reached.
+        self,
+        path: str,
+        value: msgspec.Struct,
+        reply_type: type[T],
+        subject: str,
+    ) -> T:
+        """Send a write once, to the first address that accepts a connection.
 
         Raises Unreachable, Refused or OutcomeUnknown.
         """
@@ -100,28 +104,27 @@
                 reply = await self._transport.send(
                     address, 'PUT', _BASE + path, body, CALL_SECONDS
                 )
-                return _decode(address, reply, kind)
+                return _decode(address, reply, reply_type)
             except transport_module.NotSent as error:
                 causes.append(f'Instance {address}: {error}')
             except transport_module.NoReply as error:
-                # The next address would not know of a change that this one
-                # is still writing, and the operator would be told of a
-                # conflict with the own change.
+                # The instance may still be writing the change. Sent again to
+                # the next address, the change would conflict with itself.
                 raise failures.OutcomeUnknown(
-                    f'Instance {address} did not answer ({error}). {what} '
-                    'may or may not stand.',
+                    f'Instance {address} did not answer ({error}). {subject} '
+                    'may or may not have been applied.',
                     address,
                 ) from error
         raise failures.Unreachable(
-            '\n'.join([*causes, f'{what} was not sent; try again.'])
+            '\n'.join([*causes, f'{subject} was not sent; try again.'])
         )
 
 
 def connect(addresses: Sequence[str]) -> Session:
     """Return a session over HTTP.
 
-    The reactor and the HTTP client are imported here, since commands that
-    ask no instance would wait half a second for them.
+    The reactor and the HTTP client are imported here because the import is
+    slow and some commands contact no instance.
     """
     from yuccarill.cli import http_transport
 
@@ -130,14 +133,14 @@
     )
 
 
-def _decode(address: str, reply: Reply, kind: type[Kind]) -> Kind:
+def _decode(address: str, reply: Reply, reply_type: type[T]) -> T:
     try:
         if reply.status == _OK:
-            return msgspec.json.decode(reply.body, type=kind)
+            return msgspec.json.decode(reply.body, type=reply_type)
         refusal = msgspec.json.decode(reply.body, type=operators.ErrorReply)
     except msgspec.MsgspecError as error:
         raise failures.Unreachable(
-            f'What answers at {address} is no instance of this version '
+            f'The server at {address} is no instance of this version '
             f'({error}); check --address.'
         ) from error
     raise failures.Refused(refusal.code, refusal.name, refusal.message)
--- a/packages/yuccarill-cli/src/yuccarill/cli/standing.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/standing.py
@@ -1,4 +1,4 @@
-"""Read the configuration that stands."""
+"""Read the current configuration."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 async def read(session: Session) -> operators.Configuration:
-    """Return what stands, revision 0 if nothing was applied yet."""
+    """Return the current configuration; revision 0 if there is none."""
     try:
         return await session.read(
             'operators/configuration', operators.Configuration
@@ -25,11 +25,11 @@
         return operators.Configuration()
 
 
-def describe(standing: operators.Configuration) -> str:
-    """Return one line about what stands."""
-    if not standing.revision:
-        return 'No revision stands yet.'
+def describe(current: operators.Configuration) -> str:
+    """Return a line that describes the current configuration."""
+    if not current.revision:
+        return 'No revision was applied yet.'
     return (
-        f'Revision {standing.revision} by {standing.author} stands since '
-        f'{times.shown(standing.applied_at)}.'
+        f'Revision {current.revision} by {current.author} is current since '
+        f'{times.format_utc(current.applied_at)}.'
     )
--- a/packages/yuccarill-cli/src/yuccarill/cli/step_times.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/step_times.py
@@ -1,4 +1,4 @@
-"""Tell from log lines where the time of batch jobs' steps went."""
+"""Compute from log lines the time that steps, as batch jobs, spend."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Cause(enum.Enum):
-    """Name what a step's last text spent its time on."""
+    """Phase in which the last item of a step spent time."""
 
     PLACE = 'place'
     GENERATION = 'generation'
@@ -26,28 +26,28 @@
 
 @dataclasses.dataclass(frozen=True)
 class StepTime:
-    """Hold where one step's time went, by the text that ended last."""
+    """Time of one step by phase, measured on the item that ended last."""
 
     job: str
     step: int
     model: str
     asked_at: datetime.datetime
     items: int
-    # Until the trainer ended the step.
+    # From the request to the end of the job.
     seconds: float
     item: str
     events: int
     runs: int
-    # Events that the text had from an earlier step or holder.
+    # Events that the item had before its first logged run.
     resumed: int
     seconds_by_cause: dict[Cause, float]
 
 
 @dataclasses.dataclass
 class _Job:
-    """Collect what the log says of one job."""
+    """Log lines of one job."""
 
-    taken: dict[str, Any]
+    start_fields: dict[str, Any]
     asked_at: datetime.datetime
     listed_at: list[datetime.datetime] = dataclasses.field(
         default_factory=list
@@ -62,14 +62,14 @@
 
 
 class StepLog:
-    """Read log lines of any number of instances."""
+    """Log lines of any number of instances, grouped by job."""
 
     def __init__(self) -> None:
         self._jobs_by_id: dict[str, _Job] = {}
         self.lines_left_out = 0
 
     def read(self, lines: Iterable[str]) -> None:
-        """Take log lines; whatever stands before a line's JSON is skipped."""
+        """Parse log lines; a prefix before a line's JSON is ignored."""
         for line in lines:
             brace = line.find('{')
             if brace < 0:
@@ -80,24 +80,24 @@
             except (ValueError, KeyError, TypeError):
                 self.lines_left_out += 1
                 continue
-            self._take(event, fields)
+            self._process_event(event, fields)
 
     def steps(self) -> list[StepTime]:
-        """Return the steps that were ended, the first asked for first."""
-        found = [
+        """Return the steps that have ended, in order of request time."""
+        steps = [
             step
             for job in self._jobs_by_id.values()
-            if (step := _explained(job)) is not None
+            if (step := _step_time(job)) is not None
         ]
-        return sorted(found, key=lambda step: step.asked_at)
+        return sorted(steps, key=lambda step: step.asked_at)
 
-    def _take(self, event: str, fields: dict[str, Any]) -> None:
+    def _process_event(self, event: str, fields: dict[str, Any]) -> None:
         if event == 'runner: Job taken.':
-            self._begin(fields)
+            self._start_job(fields)
         job = self._jobs_by_id.get(fields.get('job', ''))
         if job is None:
             return
-        at = _time(fields)
+        at = _timestamp(fields)
         match event:
             case 'generation: Run ended.':
                 runs = job.runs_by_item.setdefault(fields['item'], [])
@@ -109,66 +109,66 @@
             case 'runner: Job ended.':
                 job.ended_at = job.ended_at or at
 
-    def _begin(self, fields: dict[str, Any]) -> None:
-        # A job is taken again by the next holder of its service.
+    def _start_job(self, fields: dict[str, Any]) -> None:
+        # After a failover, the next holder logs the same job again.
         if fields['job'] not in self._jobs_by_id:
             age = datetime.timedelta(seconds=fields['age'])
-            job = _Job(taken=fields, asked_at=_time(fields) - age)
+            job = _Job(start_fields=fields, asked_at=_timestamp(fields) - age)
             self._jobs_by_id[fields['job']] = job
 
 
-def _explained(job: _Job) -> StepTime | None:
+def _step_time(job: _Job) -> StepTime | None:
     runs_by_item = {
         item: runs
         for item, runs in job.runs_by_item.items()
         if item in job.ends_by_item
-        and any(_time(run) <= job.ends_by_item[item] for run in runs)
+        and any(_timestamp(run) <= job.ends_by_item[item] for run in runs)
     }
     if job.ended_at is None or not runs_by_item:
         return None
     item = max(runs_by_item, key=lambda each: job.ends_by_item[each])
     ended_at = job.ends_by_item[item]
-    # A holder that was replaced may go on with a text for a while.
+    # A replaced holder can log runs of an item after the item has ended.
     runs = sorted(
-        (run for run in runs_by_item[item] if _time(run) <= ended_at),
-        key=_time,
+        (run for run in runs_by_item[item] if _timestamp(run) <= ended_at),
+        key=_timestamp,
     )
     listed_at = min(
         (at for at in job.listed_at if at >= ended_at), default=job.ended_at
     )
-    generated = sum(run.get('seconds', 0.0) for run in runs)
-    begun_at = _time(runs[0]) - _length(runs[0])
-    last_at = _time(runs[-1])
-    spent = {
-        Cause.PLACE: _seconds(begun_at - job.asked_at),
-        Cause.GENERATION: generated,
-        Cause.MOVES: _seconds(last_at - begun_at) - generated,
-        Cause.SCORE: _seconds(ended_at - last_at),
+    generation_seconds = sum(run.get('seconds', 0.0) for run in runs)
+    started_at = _timestamp(runs[0]) - _duration(runs[0])
+    last_run_at = _timestamp(runs[-1])
+    seconds_by_cause = {
+        Cause.PLACE: _seconds(started_at - job.asked_at),
+        Cause.GENERATION: generation_seconds,
+        Cause.MOVES: _seconds(last_run_at - started_at) - generation_seconds,
+        Cause.SCORE: _seconds(ended_at - last_run_at),
         Cause.LISTING: _seconds(listed_at - ended_at),
         Cause.READING: _seconds(job.ended_at - listed_at),
     }
     return StepTime(
-        job=job.taken['job'],
-        step=job.taken['step'],
-        model=job.taken['model'],
+        job=job.start_fields['job'],
+        step=job.start_fields['step'],
+        model=job.start_fields['model'],
         asked_at=job.asked_at,
-        items=job.taken['items'],
+        items=job.start_fields['items'],
         seconds=_seconds(job.ended_at - job.asked_at),
         item=item,
         events=runs[-1]['events'],
         runs=len(runs),
         resumed=runs[0]['first'],
-        seconds_by_cause=spent,
+        seconds_by_cause=seconds_by_cause,
     )
 
 
-def _time(fields: dict[str, Any]) -> datetime.datetime:
+def _timestamp(fields: dict[str, Any]) -> datetime.datetime:
     return datetime.datetime.fromisoformat(fields['timestamp'])
 
 
-def _length(run: dict[str, Any]) -> datetime.timedelta:
+def _duration(run: dict[str, Any]) -> datetime.timedelta:
     return datetime.timedelta(seconds=run.get('seconds', 0.0))
 
 
-def _seconds(span: datetime.timedelta) -> float:
-    return span.total_seconds()
+def _seconds(duration: datetime.timedelta) -> float:
+    return duration.total_seconds()
--- a/packages/yuccarill-cli/src/yuccarill/cli/survey.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/survey.py
@@ -1,4 +1,4 @@
-"""Ask every instance for its state."""
+"""Collect the status of all instances."""
 
 from __future__ import annotations
 
@@ -25,13 +25,12 @@
     from yuccarill.cli.session import Session
     from yuccarill.core.config.inventory import Inventory
 
-# Instances asked at the same time.
-AT_ONCE = 16
+MAX_CONCURRENT_REQUESTS = 16
 _PATH = 'operators/status'
 
 
 class InstanceCondition(enum.Enum):
-    """Say what an instance told of itself, or that it told nothing."""
+    """State that an instance reported, or that it did not answer."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
@@ -39,7 +38,7 @@
 
 
 class InstanceSeen(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what one instance told of itself."""
+    """Status of one instance."""
 
     id: InstanceId
     data_centre: DataCentreId
@@ -50,7 +49,7 @@
 
 
 class TargetSeen(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what all instances know of one target."""
+    """Status of one target, merged from all instances."""
 
     id: TargetId
     runs: str
@@ -61,40 +60,40 @@
 
 
 class Survey(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what all instances told."""
+    """Status of the system, merged from all instances."""
 
     instances: tuple[InstanceSeen, ...]
     targets: tuple[TargetSeen, ...]
     trainers: tuple[operators.TrainerStatus, ...]
 
 
-async def take(session: Session) -> Survey:
-    """Ask one instance for the others, then each of them.
+async def collect(session: Session) -> Survey:
+    """Read the instance list from one instance and the status from each.
 
-    Raises Unreachable or Refused if none of the session's answers.
+    Raises Unreachable or Refused if no address of the session answers.
     """
     first = await session.read(_PATH, operators.StatusReply)
     listed = sorted(first.instances, key=lambda i: (i.data_centre, i.id))
-    tokens = defer.DeferredSemaphore(AT_ONCE)
+    semaphore = defer.DeferredSemaphore(MAX_CONCURRENT_REQUESTS)
     replies = await defer.gatherResults(
-        [tokens.run(_ask, session, instance) for instance in listed]
+        [semaphore.run(_start_read, session, instance) for instance in listed]
     )
-    known = [t for reply in replies if reply for t in reply.targets]
-    standing = await standing_module.read(session)
+    reported = [t for reply in replies if reply for t in reply.targets]
+    current = await standing_module.read(session)
     return Survey(
-        instances=tuple(map(_seen, listed, replies)),
-        targets=tuple(_targets(standing.inventory, known)),
-        trainers=tuple(_trainers(first, replies)),
+        instances=tuple(map(_instance_status, listed, replies)),
+        targets=tuple(_target_statuses(current.inventory, reported)),
+        trainers=tuple(_trainer_statuses(first, replies)),
     )
 
 
-def _ask(
+def _start_read(
     session: Session, instance: Instance
 ) -> defer.Deferred[operators.StatusReply | None]:
-    return defer.ensureDeferred(_ask_one(session, instance))
+    return defer.ensureDeferred(_read_status(session, instance))
 
 
-async def _ask_one(
+async def _read_status(
     session: Session, instance: Instance
 ) -> operators.StatusReply | None:
     try:
@@ -105,7 +104,7 @@
         return None
 
 
-def _seen(
+def _instance_status(
     instance: Instance, reply: operators.StatusReply | None
 ) -> InstanceSeen:
     state = InstanceCondition.SILENT
@@ -123,37 +122,37 @@
     )
 
 
-def _targets(
-    inventory: Inventory, known: list[operators.TargetStatus]
+def _target_statuses(
+    inventory: Inventory, reported: list[operators.TargetStatus]
 ) -> Iterator[TargetSeen]:
-    known_by_id = collections.defaultdict(list)
-    for status in known:
-        known_by_id[status.id].append(status)
-    described = [(engine, engine.model) for engine in inventory.engines]
-    described += [(target, target.service) for target in inventory.targets]
-    for entry, runs in described:
-        statuses = known_by_id[entry.id]
-        ordered = [s for s in statuses if s.weight_version is not None]
+    statuses_by_id = collections.defaultdict(list)
+    for status in reported:
+        statuses_by_id[status.id].append(status)
+    entries = [(engine, engine.model) for engine in inventory.engines]
+    entries += [(target, target.service) for target in inventory.targets]
+    for entry, runs in entries:
+        statuses = statuses_by_id[entry.id]
+        loaded = [s for s in statuses if s.weight_version is not None]
         yield TargetSeen(
             id=entry.id,
             runs=runs,
             data_centre=entry.data_centre,
-            weight_version=ordered[0].weight_version if ordered else None,
-            staged_version=ordered[0].staged_version if ordered else None,
+            weight_version=loaded[0].weight_version if loaded else None,
+            staged_version=loaded[0].staged_version if loaded else None,
             in_flight=sum(status.in_flight for status in statuses),
         )
 
 
-def _trainers(
+def _trainer_statuses(
     first: operators.StatusReply,
     replies: list[operators.StatusReply | None],
 ) -> Iterator[operators.TrainerStatus]:
-    """Return the trainers with the steps that any instance works on."""
-    told = [t for reply in replies if reply for t in reply.trainers]
+    """Yield the trainers, each with the open steps of all instances."""
+    reported = [t for reply in replies if reply for t in reply.trainers]
     for trainer in first.trainers:
         steps = {
             step
-            for status in told
+            for status in reported
             if status.id == trainer.id
             for step in status.open_steps
         }
--- a/packages/yuccarill-cli/src/yuccarill/cli/times.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/times.py
@@ -1,4 +1,4 @@
-"""Show instants to operators."""
+"""Format times for operators."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
     from yuccarill.core.ids import WallTime
 
 
-def shown(at: WallTime) -> str:
-    """Return an instant in UTC, to the second."""
-    moment = datetime.datetime.fromtimestamp(at, datetime.UTC)
+def format_utc(wall_time: WallTime) -> str:
+    """Return a time in UTC, to the second."""
+    moment = datetime.datetime.fromtimestamp(wall_time, datetime.UTC)
     return moment.strftime('%Y-%m-%d %H:%M:%S UTC')
--- a/packages/yuccarill-cli/src/yuccarill/cli/transport.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/transport.py
@@ -1,4 +1,4 @@
-"""The port through which commands reach instances."""
+"""Interface through which commands send requests to instances."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """Hold an instance's reply."""
+    """An HTTP reply of an instance."""
 
     status: int
     body: bytes
 
 
 class NotSent(Exception):
-    """Tell that no byte of a request was sent."""
+    """No byte of the request was sent, so a retry is safe."""
 
 
 class NoReply(Exception):
-    """Tell that a request was sent and no whole reply came."""
+    """The request was sent and no complete reply arrived."""
 
 
 class Transport(Protocol):
-    """Carry one request; commands are tested with another one."""
+    """Send requests to instances; tests replace the implementation."""
 
     def send(
         self,
--- a/packages/yuccarill-cli/tests/commands/test_apply.py
+++ b/packages/yuccarill-cli/tests/commands/test_apply.py
@@ -1,4 +1,4 @@
-"""Test applying a document."""
+"""Test the apply command."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from yuccarill.cli import transport
 from yuccarill.core import errors
 
-STANDING = {
+CURRENT = {
     'revision': 4,
     'change_id': 'earlier',
     'author': 'amina',
@@ -38,46 +38,41 @@
         self.file = pathlib.Path(folder.name) / 'inventory.toml'
         self.file.write_text('[[models]]\nname = "m"\nserving_part = 0.6\n')
 
-    def test_shows_the_base_and_names_it(self) -> None:
-        fake = fakes.FakeTransport(STANDING, APPLIED)
+    def test_current_revision_is_the_default_base(self) -> None:
+        fake = fakes.FakeTransport(CURRENT, APPLIED)
         result = fakes.invoke(fake, 'apply', str(self.file))
         self.assertEqual(ExitCode.OK, result.exit_code, result.output)
-        self.assertIn('Revision 4 by amina stands', result.output)
+        self.assertIn('Revision 4 by amina is current', result.output)
         self.assertIn('serving_part: 0.5 -> 0.6', result.output)
         self.assertEqual(4, fake.bodies[1]['base'])
 
-    # Two operators change revision 4. The other one's write came first, so
-    # the system refuses this one. The operator is told whose change stands
-    # and what the own file would still change in it; nothing is overwritten.
-    def test_a_lost_race_shows_what_stands(self) -> None:
+    # After a conflict, the operator sees the current revision and what the
+    # file would change in it; the other change is not overwritten.
+    def test_conflict_shows_current_revision(self) -> None:
         fake = fakes.FakeTransport(
-            STANDING, fakes.refusal(CONFLICT), {**STANDING, 'revision': 5}
+            CURRENT, fakes.refusal(CONFLICT), {**CURRENT, 'revision': 5}
         )
         result = fakes.invoke(fake, 'apply', str(self.file))
         self.assertEqual(ExitCode.CONFLICT, result.exit_code)
         self.assertIn('2002 REVISION_CONFLICT: Revision 5', result.stderr)
         self.assertIn('serving_part: 0.5 -> 0.6', result.stderr)
 
-    # The first address can't be reached, so nothing was sent there and the
-    # second one may be tried.
-    def test_an_address_that_got_nothing_is_passed_over(self) -> None:
+    def test_unreachable_address_is_skipped(self) -> None:
         fake = fakes.FakeTransport(transport.NotSent('refused'), APPLIED)
         result = fakes.invoke(fake, 'apply', str(self.file), '--base', '4')
         self.assertEqual(ExitCode.OK, result.exit_code, result.output)
         self.assertEqual(fakes.OTHER, fake.sent[1][0])
 
-    # The instance takes the change and falls silent. Sent again, the change
-    # could run into itself and be reported as a conflict. So the command
-    # only reads, from the other address first: the audit trail tells
-    # whether this change or another one made the next revision.
+    # Guards against a change that conflicts with itself after a lost reply:
+    # the command reads the audit trail instead of sending the change again.
     @params(
-        ('own', ExitCode.OK, 'Revision 5 stands'),
+        ('own', ExitCode.OK, 'Revision 5 is current'),
         ('other', ExitCode.CONFLICT, 'Revision 5 was made by amina instead'),
         ('none', ExitCode.OUTCOME_UNKNOWN, '--base 4 --change-id'),
         ('down', ExitCode.OUTCOME_UNKNOWN, '--base 4 --change-id'),
     )
-    def test_a_change_whose_reply_is_lost_is_not_sent_again(
-        self, made: str, expected: ExitCode, shown: str
+    def test_change_is_not_sent_again_after_a_lost_reply(
+        self, audit: str, expected_code: ExitCode, expected_text: str
     ) -> None:
         def page(_body: object) -> object:
             change_ids = {
@@ -85,14 +80,14 @@
                 'other': ['other'],
                 'none': [],
             }
-            if made == 'down':
+            if audit == 'down':
                 return fakes.refusal(errors.StoreUnavailable('Down.'))
-            entries = [{**CHANGE, 'change_id': c} for c in change_ids[made]]
+            entries = [{**CHANGE, 'change_id': c} for c in change_ids[audit]]
             return {'changes': entries}
 
         fake = fakes.FakeTransport(transport.NoReply('timeout'), page)
         result = fakes.invoke(fake, 'apply', str(self.file), '--base', '4')
-        self.assertEqual(expected, result.exit_code, result.output)
+        self.assertEqual(expected_code, result.exit_code, result.output)
         sent = [(method, address) for address, method, _ in fake.sent]
         self.assertEqual([('PUT', fakes.ADDRESS), ('GET', fakes.OTHER)], sent)
-        self.assertIn(shown, result.output)
+        self.assertIn(expected_text, result.output)
--- a/packages/yuccarill-cli/tests/commands/test_capacity.py
+++ b/packages/yuccarill-cli/tests/commands/test_capacity.py
@@ -1,4 +1,4 @@
-"""Test the command that shows services' capacity."""
+"""Test the capacity command."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import fakes
 
 PATH = '/capacity/services'
-SHOWN = [
+SERVICES = [
     {
         'service': 'shop',
         'is_congested': True,
@@ -34,11 +34,11 @@
 
 
 class CapacityTest(unittest.TestCase):
-    def test_it_is_shown_with_who_waits(self) -> None:
-        fake = fakes.FakeTransport(SHOWN)
-        found = fakes.invoke(fake, 'capacity')
+    def test_capacity_and_accounts_are_shown(self) -> None:
+        fake = fakes.FakeTransport(SERVICES)
+        result = fakes.invoke(fake, 'capacity')
         self.assertEqual([(fakes.ADDRESS, 'GET', PATH)], fake.sent)
         for text in ('shop', 'node-7', '144', '131', 'mill', '6.75'):
-            self.assertIn(text, found.output)
+            self.assertIn(text, result.output)
         for text in ('the others', '77.5', 'all'):
-            self.assertIn(text, found.output)
+            self.assertIn(text, result.output)
--- a/packages/yuccarill-cli/tests/commands/test_quarantine.py
+++ b/packages/yuccarill-cli/tests/commands/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Test the command that shows and releases what is in quarantine."""
+"""Test the quarantine command."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from yuccarill.cli.exit_codes import ExitCode
 from yuccarill.core import errors
 
-SHOWN = [
+QUARANTINED = [
     {
         'content': 'ab12',
         'request': 'site.example/ask',
@@ -21,27 +21,27 @@
 
 
 class QuarantineTest(unittest.TestCase):
-    def test_it_is_listed(self) -> None:
-        fake = fakes.FakeTransport(SHOWN)
-        found = fakes.invoke(fake, 'quarantine')
+    def test_contents_are_listed(self) -> None:
+        fake = fakes.FakeTransport(QUARANTINED)
+        result = fakes.invoke(fake, 'quarantine')
         self.assertEqual([(fakes.ADDRESS, 'GET', PATH)], fake.sent)
         for text in ('ab12', 'site.example/ask', '3600', 't1, t2, t3'):
-            self.assertIn(text, found.output)
+            self.assertIn(text, result.output)
 
-    def test_it_is_released(self) -> None:
+    def test_content_is_released(self) -> None:
         fake = fakes.FakeTransport([])
-        found = fakes.invoke(
+        result = fakes.invoke(
             fake, 'quarantine', '--release', 'ab12', '--output', 'json'
         )
         self.assertEqual(
             [(fakes.ADDRESS, 'DELETE', f'{PATH}/ab12')], fake.sent
         )
-        self.assertEqual([], json.loads(found.output))
+        self.assertEqual([], json.loads(result.output))
 
-    def test_what_is_not_there_is_told(self) -> None:
+    def test_unknown_content_is_refused(self) -> None:
         refused = fakes.refusal(errors.UnknownPath('No such content.'))
-        found = fakes.invoke(
+        result = fakes.invoke(
             fakes.FakeTransport(refused), 'quarantine', '--release', 'x'
         )
-        self.assertEqual(ExitCode.REFUSED, found.exit_code)
-        self.assertIn('No such content.', found.output)
+        self.assertEqual(ExitCode.REFUSED, result.exit_code)
+        self.assertIn('No such content.', result.output)
--- a/packages/yuccarill-cli/tests/commands/test_reads.py
+++ b/packages/yuccarill-cli/tests/commands/test_reads.py
@@ -1,4 +1,4 @@
-"""Test the commands that read."""
+"""Test the commands that only read."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     'targets': [{'id': 'e', 'in_flight': 2, 'weight_version': 7}],
     'trainers': [{'id': 't', 'holder': 'entry-2', 'open_steps': [4]}],
 }
-STANDING = {
+CURRENT = {
     'revision': 2,
     'change_id': 'c',
     'author': 'amina',
@@ -62,13 +62,13 @@
     ],
     'previous': 1,
 }
-SURVEY = (STATUS, STATUS, transport.NotSent('refused'), STANDING)
+SURVEY = (STATUS, STATUS, transport.NotSent('refused'), CURRENT)
 
 
 class ReadTest(unittest.TestCase):
     @params(
         (['addresses'], [ADDRESSES], f'{fakes.OTHER}\nValid until 1970'),
-        (['show'], [STANDING], 'Revision 2 by amina at 1970-01-01 00:00:00'),
+        (['show'], [CURRENT], 'Revision 2 by amina at 1970-01-01 00:00:00'),
         (['status'], SURVEY, 'Revision 2 is not known at entry-2.'),
         (['audit'], [AUDIT], 'applied  c       models m, models n'),
         (['audit', '--last', '2'], [AUDIT], 'Earlier changes: --last 1'),
@@ -79,35 +79,39 @@
         ),
         (['explain', '1003'], [], 'What to do: Correct the name'),
     )
-    def test_prints_for_people(
-        self, words: list[str], answers: list[object], expected: str
+    def test_prints_text(
+        self, arguments: list[str], answers: list[object], expected: str
     ) -> None:
-        result = fakes.invoke(fakes.FakeTransport(*answers), *words)
+        result = fakes.invoke(fakes.FakeTransport(*answers), *arguments)
         self.assertEqual(ExitCode.OK, result.exit_code, result.output)
         self.assertIn(expected, result.stdout)
 
     @params(
         (['addresses'], [ADDRESSES], 'valid_until', 5.0),
-        (['show'], [STANDING], 'author', 'amina'),
+        (['show'], [CURRENT], 'author', 'amina'),
         (['status'], SURVEY, 'trainers', STATUS['trainers']),
         (['audit'], [AUDIT], 'previous', 1),
         (['explain', '1003'], [], 'name', 'UNKNOWN_SERVICE'),
     )
     def test_prints_json(
-        self, words: list[str], answers: list[object], key: str, value: object
+        self,
+        arguments: list[str],
+        answers: list[object],
+        key: str,
+        value: object,
     ) -> None:
         fake = fakes.FakeTransport(*answers)
-        result = fakes.invoke(fake, *words, '--output', 'json')
+        result = fakes.invoke(fake, *arguments, '--output', 'json')
         self.assertEqual(value, json.loads(result.stdout)[key])
 
-    def test_status_joins_what_the_instances_tell(self) -> None:
-        fake = fakes.FakeTransport(STATUS, STATUS, STATUS, STANDING)
+    def test_status_merges_the_replies_of_instances(self) -> None:
+        fake = fakes.FakeTransport(STATUS, STATUS, STATUS, CURRENT)
         result = fakes.invoke(fake, 'status', '--output', 'json')
         (target,) = json.loads(result.stdout)['targets']
         self.assertEqual(4, target['in_flight'])
         self.assertEqual(7, target['weight_version'])
 
-    def test_the_next_address_is_asked(self) -> None:
+    def test_next_address_is_tried(self) -> None:
         fake = fakes.FakeTransport(transport.NoReply('silent'), ADDRESSES)
         result = fakes.invoke(fake, 'addresses')
         self.assertEqual(ExitCode.OK, result.exit_code)
@@ -135,7 +139,7 @@
         self.assertIn(expected, result.stderr)
         self.assertEqual('', result.stdout)
 
-    def test_explains_no_unknown_code(self) -> None:
+    def test_unknown_code_is_refused(self) -> None:
         result = fakes.invoke(fakes.FakeTransport(), 'explain', '7')
         self.assertEqual(ExitCode.REFUSED, result.exit_code)
 
@@ -157,7 +161,7 @@
         with tempfile.TemporaryDirectory() as folder:
             file = pathlib.Path(folder) / 'inventory.toml'
             file.write_text('[[models]]\nname = "n"')
-            fake = fakes.FakeTransport(STANDING)
+            fake = fakes.FakeTransport(CURRENT)
             result = fakes.invoke(fake, 'diff', str(file))
         marks = [line.strip() for line in result.output.splitlines()]
         for expected in ('- m', '+ n', '- e', 'Apply it with --base 2.'):
--- a/packages/yuccarill-cli/tests/commands/test_usage.py
+++ b/packages/yuccarill-cli/tests/commands/test_usage.py
@@ -1,4 +1,4 @@
-"""Test the command that shows reports of usage."""
+"""Test the usage command."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import fakes
 
-SHOWN = {
+USAGE = {
     'holder': 'n1',
     'is_here': True,
     'following': 9,
@@ -18,20 +18,20 @@
 
 class UsageTest(unittest.TestCase):
     def test_reports_are_listed(self) -> None:
-        fake = fakes.FakeTransport(SHOWN)
-        found = fakes.invoke(fake, 'usage')
+        fake = fakes.FakeTransport(USAGE)
+        result = fakes.invoke(fake, 'usage')
         self.assertEqual([(fakes.ADDRESS, 'GET', '/usage')], fake.sent)
-        lines = found.output.splitlines()
+        lines = result.output.splitlines()
         self.assertEqual('holder: n1', lines[0])
         self.assertEqual(['7', '35', 'yes'], lines[2].split())
         self.assertEqual(['8', '36', 'no'], lines[3].split())
 
-    def test_another_instance_only_names_the_holder(self) -> None:
-        fake = fakes.FakeTransport({**SHOWN, 'is_here': False})
-        found = fakes.invoke(fake, 'usage')
-        self.assertEqual('holder: n1\n', found.output)
+    def test_other_instance_names_only_the_holder(self) -> None:
+        fake = fakes.FakeTransport({**USAGE, 'is_here': False})
+        result = fakes.invoke(fake, 'usage')
+        self.assertEqual('holder: n1\n', result.output)
 
-    def test_it_is_had_as_json(self) -> None:
-        fake = fakes.FakeTransport(SHOWN)
-        found = fakes.invoke(fake, 'usage', '--output', 'json')
-        self.assertEqual(SHOWN, json.loads(found.output))
+    def test_json_output(self) -> None:
+        fake = fakes.FakeTransport(USAGE)
+        result = fakes.invoke(fake, 'usage', '--output', 'json')
+        self.assertEqual(USAGE, json.loads(result.output))
--- a/packages/yuccarill-cli/tests/fakes.py
+++ b/packages/yuccarill-cli/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A transport that answers from tables, and a way to run commands on it."""
+"""Fake transport and a helper that runs commands on it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class FakeTransport:
-    """Answer each request from a list, and remember what was sent."""
+    """Answer requests from a list and record them."""
 
     def __init__(self, *answers: Any) -> None:
         self.answers = list(answers)
@@ -47,7 +47,7 @@
 
 
 def refusal(error: errors.YuccarillError) -> transport.Reply:
-    """Return an error as an instance replies with it."""
+    """Return the reply with which an instance reports an error."""
     body = {
         'code': error.code,
         'name': error.code.name,
@@ -59,16 +59,16 @@
 
 
 def invoke(fake: FakeTransport, *arguments: str) -> testing.Result:
-    """Run a command against two addresses."""
-    used = session.Session([ADDRESS, OTHER], fake, _run)
+    """Run a command with two addresses."""
+    test_session = session.Session([ADDRESS, OTHER], fake, _run)
     return testing.CliRunner().invoke(
-        application.main, arguments, obj=used, catch_exceptions=False
+        application.main, arguments, obj=test_session, catch_exceptions=False
     )
 
 
-def _run(work: Any) -> Any:
+def _run(awaitable: Any) -> Any:
     results: list[Any] = []
-    defer.ensureDeferred(work).addBoth(results.append)
+    defer.ensureDeferred(awaitable).addBoth(results.append)
     if hasattr(results[0], 'raiseException'):
         results[0].raiseException()
     return results[0]
--- a/packages/yuccarill-cli/tests/test_exit_codes.py
+++ b/packages/yuccarill-cli/tests/test_exit_codes.py
@@ -1,4 +1,4 @@
-"""Test the page that lists the exit codes."""
+"""Test that the operations page lists the exit codes."""
 
 from __future__ import annotations
 
--- a/packages/yuccarill-cli/tests/test_http_transport.py
+++ b/packages/yuccarill-cli/tests/test_http_transport.py
@@ -19,7 +19,7 @@
 
 
 class _Instance(http.server.BaseHTTPRequestHandler):
-    """Answer reads, and close on writes without a reply."""
+    """Answer reads; close the connection of a write without a reply."""
 
     def do_GET(self) -> None:  # noqa: N802
         body = json.dumps(ADDRESSES).encode()
@@ -32,7 +32,7 @@
         self.server.writes += 1  # type: ignore[attr-defined]
 
     def log_message(self, *_: object) -> None:
-        """Keep the test's output clean."""
+        """Suppress request logs."""
 
 
 class HttpTransportTest(unittest.TestCase):
@@ -46,14 +46,14 @@
         self.addCleanup(thread.join)
         self.addCleanup(self.server.server_close)
         self.addCleanup(self.server.shutdown)
-        # A port that was free a moment ago refuses connections.
+        # A port that was just released refuses connections.
         with socket.create_server(('127.0.0.1', 0)) as closed:
             self.dead = f'127.0.0.1:{closed.getsockname()[1]}'
         self.live = f'127.0.0.1:{self.server.server_port}'
 
-    def _run(self, *words: str) -> subprocess.CompletedProcess[str]:
+    def _run(self, *arguments: str) -> subprocess.CompletedProcess[str]:
         return subprocess.run(
-            [sys.executable, '-c', _SCRIPT, *words],
+            [sys.executable, '-c', _SCRIPT, *arguments],
             capture_output=True,
             text=True,
         )
@@ -65,20 +65,20 @@
         self.assertEqual(ExitCode.OK, done.returncode, done.stderr)
         self.assertIn('127.0.0.1:1\n', done.stdout)
 
-    def test_tells_that_nothing_could_be_reached(self) -> None:
+    def test_reports_that_no_address_is_reachable(self) -> None:
         done = self._run('--address', self.dead, 'addresses')
         self.assertEqual(ExitCode.UNREACHABLE, done.returncode)
         self.assertIn('Connection refused', done.stderr)
 
-    # The first address refuses the connection, the second takes the change
-    # and closes without a reply. A third one is live but is not sent it.
-    def test_sends_a_change_once(self) -> None:
+    # Guards against a change that is sent again after a lost reply. The first
+    # address refuses connections; the second closes without a reply.
+    def test_change_is_sent_once(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             file = pathlib.Path(folder) / 'inventory.toml'
             file.write_text('')
             addresses = (self.dead, self.live, self.live)
-            words = [w for a in addresses for w in ('--address', a)]
-            done = self._run(*words, 'apply', str(file), '--base', '0')
+            arguments = [w for a in addresses for w in ('--address', a)]
+            done = self._run(*arguments, 'apply', str(file), '--base', '0')
         self.assertEqual(ExitCode.OUTCOME_UNKNOWN, done.returncode)
         self.assertEqual(1, self.server.writes)  # type: ignore[attr-defined]
         self.assertIn('--base 0 --change-id', done.stderr)
