--- a/packages/yuccarill-cli/src/yuccarill/cli/commands/usage.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/commands/usage.py
@@ -31,7 +31,7 @@
     if form is OutputForm.JSON:
         output.print_json(usage)
         return
-    click.echo(f'holder: {usage.holder or "nobody"}')
+    click.echo(f'holder: {usage.holder or "none"}')
     if not usage.is_here:
         return
     output.print_table(
--- a/packages/yuccarill-standins/src/yuccarill/standins/__init__.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the systems around yuccarill."""
+"""Stand-ins for the systems that yuccarill depends on."""
--- a/packages/yuccarill-standins/src/yuccarill/standins/__main__.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Run the stand-ins of one deployment in one process."""
+"""Run the stand-ins for one inventory in one process."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 @click.argument('example', type=click.Path(path_type=pathlib.Path))
 @click.argument('folder', type=click.Path(path_type=pathlib.Path))
 def main(example: pathlib.Path, folder: pathlib.Path) -> None:
-    """Serve the parts of EXAMPLE and write their addresses to FOLDER."""
+    """Serve the stand-ins of EXAMPLE; write their addresses to FOLDER."""
 
-    def begin() -> None:
-        started = defer.Deferred.fromCoroutine(site.start(example, folder))
-        started.addErrback(stop)
+    def start() -> None:
+        starting = defer.Deferred.fromCoroutine(site.start(example, folder))
+        starting.addErrback(stop)
 
     def stop(failure: object) -> None:
-        click.echo(f'stand-ins: {failure}', err=True)
+        click.echo(f'The stand-ins did not start: {failure}', err=True)
         reactor.stop()
 
-    reactor.callWhenRunning(begin)
+    reactor.callWhenRunning(start)
     reactor.run()
 
 
--- a/packages/yuccarill-standins/src/yuccarill/standins/batch.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/batch.py
@@ -1,4 +1,4 @@
-"""Share an engine's slots by priority, as continuous batching does."""
+"""Assign an engine's slots by priority, as continuous batching does."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class Batch:
-    """Admit requests to a bounded number of slots."""
+    """Priority queue in front of a bounded number of slots."""
 
     def __init__(self) -> None:
         self._queue: list[tuple[int, int, defer.Deferred[None]]] = []
-        self._arrivals = itertools.count()
+        self._numbers = itertools.count()
         self.in_flight = 0
-        # Loads with when each came to be, the newest last.
+        # Loads with their start times, the latest last.
         self._loads: collections.deque[tuple[float, str]] = collections.deque(
             [(0.0, '0,0')]
         )
@@ -26,34 +26,34 @@
     def queued(self) -> int:
         return len(self._queue)
 
-    async def enter(self, priority: int, slots: int) -> None:
-        """Wait for a slot; the lowest priority value goes first."""
+    async def acquire(self, priority: int, slots: int) -> None:
+        """Wait for a slot; the lowest priority value is served first."""
         if self.in_flight < slots:
             self.in_flight += 1
-            self._note()
+            self._record_load()
             return
-        turn: defer.Deferred[None] = defer.Deferred()
-        heapq.heappush(self._queue, (priority, next(self._arrivals), turn))
-        self._note()
-        await turn
+        granted: defer.Deferred[None] = defer.Deferred()
+        heapq.heappush(self._queue, (priority, next(self._numbers), granted))
+        self._record_load()
+        await granted
 
-    def leave(self) -> None:
-        """Give a slot to the next in the queue."""
+    def release(self) -> None:
+        """Release a slot to the next queued request."""
         if self._queue:
-            _, _, turn = heapq.heappop(self._queue)
-            self._note()
-            turn.callback(None)
+            _, _, granted = heapq.heappop(self._queue)
+            self._record_load()
+            granted.callback(None)
             return
         self.in_flight -= 1
-        self._note()
+        self._record_load()
 
-    def load_before(self, lag_seconds: float) -> str:
-        """Return in_flight,queued as they were some seconds ago."""
-        shown_until = time.monotonic() - lag_seconds
-        while len(self._loads) > 1 and self._loads[1][0] <= shown_until:
+    def load_at_lag(self, lag_seconds: float) -> str:
+        """Return "in_flight,queued" as of lag_seconds ago."""
+        visible_until = time.monotonic() - lag_seconds
+        while len(self._loads) > 1 and self._loads[1][0] <= visible_until:
             self._loads.popleft()
         return self._loads[0][1]
 
-    def _note(self) -> None:
+    def _record_load(self) -> None:
         load = f'{self.in_flight},{self.queued}'
         self._loads.append((time.monotonic(), load))
--- a/packages/yuccarill-standins/src/yuccarill/standins/client.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/client.py
@@ -1,4 +1,4 @@
-"""Speak HTTP as callers, trainers and the platform's operators do."""
+"""HTTP client for callers, trainers and operators of the demonstration."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 
 class Unreachable(Exception):
-    """Report that no connection was made, so no byte was sent."""
+    """No connection was made, so no byte was sent."""
 
 
-class Cut(Exception):
-    """Report a connection that ended before the whole reply had come."""
+class ConnectionCut(Exception):
+    """The connection ended before the complete reply arrived."""
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """Hold one whole reply."""
+    """A complete HTTP reply."""
 
     status: int
     body: bytes
@@ -43,11 +43,11 @@
     headers: dict[str, str] | None = None,
     seconds: float = CALL_SECONDS,
 ) -> Reply:
-    """Send one request and read its whole reply.
+    """Send one request and return its complete reply.
 
-    Raises Unreachable or Cut.
+    Raises Unreachable or ConnectionCut.
     """
-    agent = client.Agent.usingEndpointFactory(reactor, _Opener())
+    agent = client.Agent.usingEndpointFactory(reactor, _EndpointFactory())
     try:
         response = await treq.client.HTTPClient(agent).request(
             method,
@@ -61,12 +61,12 @@
     except internet_error.ConnectError as error:
         raise Unreachable(f'{url}: {error}') from error
     except Exception as error:
-        raise Cut(f'{url}: {error!r}') from error
+        raise ConnectionCut(f'{url}: {error!r}') from error
 
 
 @implementer(iweb.IAgentEndpointFactory)
-class _Opener:
-    # The agent's own way notices a refused connection only after 0.3 s.
+class _EndpointFactory:
+    # The default endpoint of the agent reports a refused connection late.
     def endpointForURI(self, uri: Any) -> Any:  # noqa: N802
         return endpoints.TCP4ClientEndpoint(
             reactor, uri.host.decode(), uri.port, timeout=CONNECT_SECONDS
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/__init__.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The demonstration: the main job on stand-ins, and what was counted."""
+"""Demonstration: run yuccarill on stand-ins and check its guarantees."""
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/__main__.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/__main__.py
@@ -24,25 +24,25 @@
 @main.command()
 @click.argument('folder', type=click.Path(path_type=pathlib.Path))
 def prepare(folder: pathlib.Path) -> None:
-    """Choose ports and write the instances' flags."""
+    """Reserve ports and write the instances' command lines."""
     prepare_module.prepare(folder)
 
 
 @main.command()
 @click.argument('folder', type=click.Path(path_type=pathlib.Path))
 def wait(folder: pathlib.Path) -> None:
-    """Enter the instances in the list and wait until they answer."""
-    _run(readiness.enter_all(places.Places(folder)))
+    """Register the instances and wait until they answer."""
+    _run(readiness.register_all(places.Layout(folder)))
 
 
 @main.command()
 @click.argument('folder', type=click.Path(path_type=pathlib.Path))
 def run(folder: pathlib.Path) -> None:
-    """Call, train, let things fail and print what was counted."""
-    _run(show.run(places.Places(folder)))
+    """Run callers and a trainer under faults; print the results."""
+    _run(show.run(places.Layout(folder)))
 
 
-def _run(work: Any) -> None:
+def _run(awaitable: Any) -> None:
     code = 0
 
     def fail(failure: Any) -> None:
@@ -51,12 +51,12 @@
         if not failure.check(SystemExit) or failure.value.code != 1:
             click.echo(failure.getTraceback(), err=True)
 
-    def begin() -> None:
-        done = defer.ensureDeferred(work)
+    def start() -> None:
+        done = defer.ensureDeferred(awaitable)
         done.addErrback(fail)
         done.addBoth(lambda _: reactor.stop())
 
-    reactor.callWhenRunning(begin)
+    reactor.callWhenRunning(start)
     reactor.run()
     sys.exit(code)
 
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/address_book.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/address_book.py
@@ -1,4 +1,4 @@
-"""Keep which instances to use, as callers do."""
+"""Cache of instance addresses, as clients keep one."""
 
 from __future__ import annotations
 
@@ -10,47 +10,46 @@
 from yuccarill.standins import server
 
 RETRY_SECONDS = 0.1
-# An answer is renewed this long before it ends, so that no request is begun
-# on one that lapses meanwhile.
+# Renewal before expiry, so that no request starts with addresses that expire.
 RENEW_SECONDS = 0.5
 
 
 class AddressBook:
-    """Ask for addresses, keep the answer while it is valid."""
+    """Request addresses and cache the reply until it expires."""
 
-    def __init__(self, seeds: list[str], source: random.Random) -> None:
-        self._seeds = seeds
-        self._known = list(seeds)
-        self._source = source
+    def __init__(self, initial: list[str], randomness: random.Random) -> None:
+        self._initial = initial
+        self._addresses = list(initial)
+        self._random = randomness
         self._valid_until = 0.0
         self._ticket = ''
 
     async def addresses(self) -> list[str]:
-        """Return the addresses to use now, in random order."""
+        """Return valid addresses in random order."""
         while time.time() >= self._valid_until - RENEW_SECONDS:
             await self._renew()
-        return self._source.sample(self._known, len(self._known))
+        return self._random.sample(self._addresses, len(self._addresses))
 
     async def ticket(self) -> str:
-        """Return the ticket that came with the addresses."""
+        """Return the ticket issued with the addresses."""
         await self.addresses()
         return self._ticket
 
     async def _renew(self) -> None:
-        # All addresses of the last answer may be gone by now.
-        address = self._source.choice(self._known + self._seeds)
-        answer = await self._ask(address)
-        if answer is None or not answer['addresses']:
+        # Initial addresses are included in case all known ones are gone.
+        address = self._random.choice(self._addresses + self._initial)
+        reply = await self._request_addresses(address)
+        if reply is None or not reply['addresses']:
             await server.sleep(RETRY_SECONDS)
             return
-        self._known = answer['addresses']
-        self._valid_until = answer['valid_until']
-        self._ticket = answer['ticket']
+        self._addresses = reply['addresses']
+        self._valid_until = reply['valid_until']
+        self._ticket = reply['ticket']
 
-    async def _ask(self, address: str) -> Any:
+    async def _request_addresses(self, address: str) -> Any:
         url = f'http://{address}/v1/addresses'
         try:
             reply = await client.send('GET', url, seconds=2.0)
-        except (client.Unreachable, client.Cut):
+        except (client.Unreachable, client.ConnectionCut):
             return None
         return reply.json() if reply.status == 200 else None
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/answers.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/answers.py
@@ -1,4 +1,4 @@
-"""Tell whether an answer is whole and belongs to its own request."""
+"""Check that an answer is complete and belongs to its request."""
 
 from __future__ import annotations
 
@@ -16,39 +16,41 @@
 
 
 def is_own_call(ask: Ask, body: Any, reply: Reply) -> bool:
-    """Check a plain service's answer, and say in the record what is wrong."""
-    told = _loaded(reply.body)
+    """Check the answer of a plain service; record what is wrong."""
+    payload = _parse_json(reply.body)
     is_own = (
-        isinstance(told, dict)
-        and told.get('request_id') == ask.request_id
-        and json.loads(told.get('body') or 'null') == body
+        isinstance(payload, dict)
+        and payload.get('request_id') == ask.request_id
+        and json.loads(payload.get('body') or 'null') == body
     )
     if not is_own:
-        ask.detail = f'not its own: {reply.body[:200]!r}'
+        ask.detail = f'answer to another request: {reply.body[:200]!r}'
     return is_own
 
 
 def is_own_stream(ask: Ask, count: int, reply: Reply) -> bool:
-    """Check a streamed answer, and say in the record what is wrong."""
-    lines = [_loaded(line) for line in reply.body.splitlines()]
+    """Check a streamed answer; record what is wrong."""
+    lines = [_parse_json(line) for line in reply.body.splitlines()]
     if not lines or lines[-1] != {'done': True}:
-        ask.detail = f'no end: {reply.body[-200:]!r}'
+        ask.detail = f'incomplete stream: {reply.body[-200:]!r}'
         return False
     position = 0
     for chunk in lines[:-1]:
         end = position + len(chunk['tokens'])
         version = chunk['weight_version']
-        made = tokens.make(ask.request_id, SEED, version, range(position, end))
-        if made != chunk['tokens']:
+        expected = tokens.generate(
+            ask.request_id, SEED, version, range(position, end)
+        )
+        if expected != chunk['tokens']:
             ask.detail = f'wrong tokens at {position}'
             return False
         position = end
     if position != count:
-        ask.detail = f'{position} tokens for {count}'
+        ask.detail = f'{position} tokens instead of {count}'
     return position == count
 
 
-def _loaded(data: bytes) -> Any:
+def _parse_json(data: bytes) -> Any:
     try:
         return json.loads(data)
     except ValueError:
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/caller.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/caller.py
@@ -1,4 +1,4 @@
-"""One caller: ask, try again where that is safe, and record it all."""
+"""Caller that sends requests, retries where safe, and records them."""
 
 from __future__ import annotations
 
@@ -22,81 +22,80 @@
     from yuccarill.standins.demo.records import Attempt
     from yuccarill.standins.demo.records import CallerRecords
 
-# Seconds after which a caller takes a request for lost.
-PATIENCE = 20.0
+GIVE_UP_SECONDS = 20.0
 RETRY_SECONDS = 0.1
 MAX_REPEATS = 6
 STREAM_TOKENS = 64
-# Result codes that promise nothing about whether the request ran.
+# Result codes for which it is unknown whether the request ran.
 UNKNOWN_CODES = (1101, 1102, 1301, 1302)
 
 
 class Caller:
-    """Ask through addresses that the system gave."""
+    """Send requests to the addresses that instances return."""
 
     def __init__(
-        self, name: str, seeds: list[str], kept: CallerRecords, seed: int
+        self, name: str, addresses: list[str], asks: CallerRecords, seed: int
     ) -> None:
         self._name = name
-        self._source = random.Random(seed)
-        self._book = address_book.AddressBook(seeds, self._source)
-        self._records = kept
+        self._random = random.Random(seed)
+        self._book = address_book.AddressBook(addresses, self._random)
+        self._records = asks
         self._numbers = itertools.count(1)
 
     async def ask_repeatable(self, url_path: str) -> Ask:
-        """Call a plain service until it answers or refuses."""
-        ask = self._begin(records.Kind.REPEATABLE)
+        """Call a plain service until it replies or refuses."""
+        ask = self._start_ask(records.Kind.REPEATABLE)
         body = {'of': ask.request_id}
-        await self._until_settled(
+        await self._retry_until_settled(
             ask,
-            lambda address: self._try(ask, address, url_path, body),
+            lambda address: self._attempt(ask, address, url_path, body),
             lambda reply: answers.is_own_call(ask, body, reply),
         )
         return ask
 
     async def ask_stream(self, url_path: str) -> Ask:
-        """Let a model answer until the answer is whole."""
-        ask = self._begin(records.Kind.STREAM)
+        """Request a stream from a model until an answer is complete."""
+        ask = self._start_ask(records.Kind.STREAM)
         body = {'prompt': ask.request_id, 'max_tokens': STREAM_TOKENS}
-        await self._until_settled(
+        await self._retry_until_settled(
             ask,
-            lambda address: self._try(ask, address, url_path, body),
+            lambda address: self._attempt(ask, address, url_path, body),
             lambda reply: answers.is_own_stream(ask, STREAM_TOKENS, reply),
         )
         return ask
 
     async def ask_once(self, url_path: str) -> Ask:
-        """Call what must run at most once, each time through two instances.
+        """Send a non-repeatable call through two instances at a time.
 
-        Repeats carry the same number and ticket, until an answer comes.
+        Repeats carry the same request id and ticket until a reply arrives.
         """
         ticket = await self._book.ticket()
-        ask = self._begin(records.Kind.ONCE)
+        ask = self._start_ask(records.Kind.ONCE)
         body = {'of': ask.request_id}
         for _ in range(MAX_REPEATS):
             addresses = await self._book.addresses()
-            doubled = [
+            attempts = [
                 defer.ensureDeferred(
-                    self._try(ask, address, url_path, body, ticket)
+                    self._attempt(ask, address, url_path, body, ticket)
                 )
                 for address in (addresses * 2)[:2]
             ]
-            replies = await defer.gatherResults(doubled)
-            if self._settle_once(ask, body, replies):
+            replies = await defer.gatherResults(attempts)
+            if self._settle(ask, body, replies):
                 break
             await server.sleep(RETRY_SECONDS)
         return ask
 
-    def _settle_once(
+    def _settle(
         self, ask: Ask, body: Any, replies: list[client.Reply | None]
     ) -> bool:
         bodies = {r.body for r in replies if r is not None and r.status == 200}
         if bodies:
-            own = all(
+            are_own = all(
                 answers.is_own_call(ask, body, client.Reply(200, one))
                 for one in bodies
             )
-            is_right = own and len(bodies) == 1
+            is_right = are_own and len(bodies) == 1
             ask.outcome = (
                 records.Outcome.ANSWERED if is_right else records.Outcome.WRONG
             )
@@ -108,11 +107,11 @@
             ask.outcome = records.Outcome.UNKNOWN
         return False
 
-    async def _until_settled(
+    async def _retry_until_settled(
         self, ask: Ask, attempt: Any, is_right: Any
     ) -> None:
-        given_up_at = time.time() + PATIENCE
-        while time.time() < given_up_at:
+        deadline = time.time() + GIVE_UP_SECONDS
+        while time.time() < deadline:
             address = (await self._book.addresses())[0]
             reply = await attempt(address)
             last = ask.attempts[-1]
@@ -132,7 +131,7 @@
                 return
             await server.sleep(RETRY_SECONDS)
 
-    def _begin(self, kind: records.Kind) -> Ask:
+    def _start_ask(self, kind: records.Kind) -> Ask:
         number = next(self._numbers)
         ask = records.Ask(
             request_id=f'{self._name}-{number}',
@@ -143,7 +142,7 @@
         self._records.asks.append(ask)
         return ask
 
-    async def _try(
+    async def _attempt(
         self,
         ask: Ask,
         address: str,
@@ -166,25 +165,25 @@
         except client.Unreachable:
             attempt.is_unreachable = True
             return None
-        except client.Cut:
+        except client.ConnectionCut:
             attempt.is_cut = True
             return None
         finally:
             attempt.ended_at = time.time()
-        _note(attempt, reply)
+        _record_reply(attempt, reply)
         return reply
 
 
-def _note(attempt: Attempt, reply: client.Reply) -> None:
+def _record_reply(attempt: Attempt, reply: client.Reply) -> None:
     attempt.status = reply.status
     last_line = reply.body.strip().rpartition(b'\n')[2]
     try:
-        told = json.loads(last_line)
+        payload = json.loads(last_line)
     except ValueError:
         return
-    if not isinstance(told, dict):
+    if not isinstance(payload, dict):
         return
-    # A streamed answer that was cut says so in its last line.
-    attempt.code = told.get('code') or told.get('error') or 0
-    attempt.is_not_run = bool(told.get('not_run', False))
+    # The last line of a stream that was cut holds an error code.
+    attempt.code = payload.get('code') or payload.get('error') or 0
+    attempt.is_not_run = bool(payload.get('not_run', False))
     attempt.is_cut = reply.status == 200 and attempt.code in UNKNOWN_CODES
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/callers.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/callers.py
@@ -1,4 +1,4 @@
-"""Let several callers ask at once until they are told to end."""
+"""Run concurrent callers until they are stopped."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from yuccarill.standins import server
 
 if TYPE_CHECKING:
-    from yuccarill.standins.demo.places import Places
+    from yuccarill.standins.demo.places import Layout
 
 WORKERS_PER_CALLER = 3
 ONCE_WORKERS = 3
@@ -21,17 +21,17 @@
 
 
 class Callers:
-    """Run the callers of an inventory."""
+    """Concurrent callers of an inventory."""
 
-    def __init__(self, places: Places) -> None:
+    def __init__(self, layout: Layout) -> None:
         self.records = records.CallerRecords()
-        self._places = places
+        self._layout = layout
         self._is_ending = False
         self._seed = 0
 
     async def run(self) -> None:
-        """Ask until end() is called and every request is settled."""
-        inventory = self._places.inventory
+        """Send requests until end() is called and every request is settled."""
+        inventory = self._layout.inventory
         service = inventory['services'][0]
         repeatable = f'services/{service["name"]}/look-up'
         once = f'services/{service["name"]}/{service["not_repeatable"][0]}'
@@ -50,18 +50,18 @@
         await defer.gatherResults([defer.ensureDeferred(x) for x in loops])
 
     def end(self) -> None:
-        """Begin no more requests."""
+        """Start no further requests."""
         self._is_ending = True
 
     async def _loop(self, name: str, method: str, url_path: str) -> None:
         self._seed += 1
-        one = caller_module.Caller(
+        caller = caller_module.Caller(
             f'{name}-{self._seed}',
-            self._places.addresses,
+            self._layout.addresses,
             self.records,
             self._seed,
         )
-        ask: Any = getattr(one, method)
+        ask: Any = getattr(caller, method)
         while not self._is_ending:
             await ask(url_path)
             await server.sleep(THINK_SECONDS)
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/places.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/places.py
@@ -1,4 +1,4 @@
-"""Know where the demonstration's processes and records are."""
+"""Layout of a run: its folder, inventory, services and instances."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
     import pathlib
 
 
-class Places:
-    """Read the run's folder."""
+class Layout:
+    """Files of a run's folder, parsed."""
 
     def __init__(self, folder: pathlib.Path) -> None:
         self.folder = folder
         self.inventory_file = folder / 'inventory.json'
-        self.inventory: dict[str, Any] = _read(self.inventory_file)
-        self.platform: dict[str, str] = _read(folder / 'platform.json')
+        self.inventory: dict[str, Any] = _read_json(self.inventory_file)
+        self.platform: dict[str, str] = _read_json(folder / 'platform.json')
         self.instances: list[dict[str, Any]] = []
         if (folder / 'instances.json').exists():
-            self.instances = _read(folder / 'instances.json')
+            self.instances = _read_json(folder / 'instances.json')
 
     @property
     def addresses(self) -> list[str]:
@@ -36,5 +36,5 @@
     return f'{instance["host"]}:{instance["http_port"]}'
 
 
-def _read(path: pathlib.Path) -> Any:
+def _read_json(path: pathlib.Path) -> Any:
     return json.loads(path.read_text())
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/prepare.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/prepare.py
@@ -1,4 +1,4 @@
-"""Choose ports and write the flags of the instances."""
+"""Reserve ports and write the command lines of the instances."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
     import pathlib
 
 INSTANCES = 6
-# The first instances have a disk, each in a data centre of its own.
+# The first instances have a disk, each in another data centre.
 DISK_INSTANCES = 3
 
 
 def prepare(folder: pathlib.Path, count: int = INSTANCES) -> None:
     """Write instances.json, instances.txt and first-address.txt."""
-    known = places.Places(folder)
-    centres = sorted({e['data_centre'] for e in known.inventory['engines']})
-    free = ports.free(2 * count)
+    layout = places.Layout(folder)
+    centres = sorted({e['data_centre'] for e in layout.inventory['engines']})
+    free_ports = ports.free(2 * count)
     instances = [
         {
             'id': f'entry-{number + 1}',
             'data_centre': centres[number % len(centres)],
             'host': server.LOOPBACK,
-            'http_port': free[2 * number],
-            'peer_port': free[2 * number + 1],
+            'http_port': free_ports[2 * number],
+            'peer_port': free_ports[2 * number + 1],
             'state': 'live',
         }
         for number in range(count)
     ]
-    lines = [_line(instance, known.platform) for instance in instances]
+    lines = [_arguments(instance, layout.platform) for instance in instances]
     for number in range(min(count, DISK_INSTANCES)):
         data = (folder / 'data' / instances[number]['id']).resolve()
         data.mkdir(parents=True, exist_ok=True)
@@ -45,7 +45,7 @@
     (folder / 'first-address.txt').write_text(first)
 
 
-def _line(instance: dict[str, Any], platform: dict[str, str]) -> str:
+def _arguments(instance: dict[str, Any], platform: dict[str, str]) -> str:
     flags = {
         'instance': instance['id'],
         'data-centre': instance['data_centre'],
@@ -56,5 +56,5 @@
         'instance-list': platform['instance_list'],
         'weight-store': platform['weight_store'],
     }
-    words = ' '.join(f'--{name} {value}' for name, value in flags.items())
-    return f'{instance["id"]} {words}\n'
+    arguments = ' '.join(f'--{name} {value}' for name, value in flags.items())
+    return f'{instance["id"]} {arguments}\n'
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/readiness.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/readiness.py
@@ -1,4 +1,4 @@
-"""Wait until instances serve and act on a revision."""
+"""Wait until instances are ready and have a revision in force."""
 
 from __future__ import annotations
 
@@ -10,45 +10,45 @@
 from yuccarill.standins import server
 
 if TYPE_CHECKING:
-    from yuccarill.standins.demo.places import Places
+    from yuccarill.standins.demo.places import Layout
 
 START_SECONDS = 30.0
 POLL_SECONDS = 0.1
 
 
-async def enter_all(places: Places) -> None:
-    """Enter the instances in the list and wait until each answers."""
-    base = f'http://{places.platform["instance_list"]}/admin/instances'
-    for instance in places.instances:
+async def register_all(layout: Layout) -> None:
+    """Register the instances and wait until each answers."""
+    base = f'http://{layout.platform["instance_list"]}/admin/instances'
+    for instance in layout.instances:
         await client.send('PUT', f'{base}/{instance["id"]}', instance)
-    for address in places.addresses:
-        await _until(lambda status: True, address)
+    for address in layout.addresses:
+        await _wait_until(lambda status: True, address)
 
 
-async def in_force(places: Places) -> None:
-    """Wait until each instance has a revision and knows all others."""
-    count = len(places.instances)
+async def wait_until_in_force(layout: Layout) -> None:
+    """Wait until each instance has a revision and knows all instances."""
+    count = len(layout.instances)
 
     def is_ready(status: dict[str, Any]) -> bool:
         return status['revision'] > 0 and len(status['instances']) == count
 
-    for address in places.addresses:
-        await _until(is_ready, address)
+    for address in layout.addresses:
+        await _wait_until(is_ready, address)
 
 
 async def status_of(address: str) -> dict[str, Any] | None:
-    """Return an instance's status, or nothing if it does not answer."""
+    """Return the status of an instance, or None without an answer."""
     url = f'http://{address}/v1/operators/status'
     try:
         reply = await client.send('GET', url, seconds=1.0)
-    except (client.Unreachable, client.Cut):
+    except (client.Unreachable, client.ConnectionCut):
         return None
     return reply.json() if reply.status == 200 else None
 
 
-async def _until(condition: Any, address: str) -> None:
-    given_up_at = time.monotonic() + START_SECONDS
-    while time.monotonic() < given_up_at:
+async def _wait_until(condition: Any, address: str) -> None:
+    deadline = time.monotonic() + START_SECONDS
+    while time.monotonic() < deadline:
         status = await status_of(address)
         if status is not None and condition(status):
             return
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/records.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/records.py
@@ -1,4 +1,4 @@
-"""Records of callers: what they asked and what became of it."""
+"""Records of the requests of callers and their outcomes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Kind(enum.Enum):
-    """Say what a caller asks for."""
+    """Kind of a request."""
 
     REPEATABLE = 'repeatable'
     ONCE = 'non-repeatable'
@@ -16,7 +16,7 @@
 
 
 class Outcome(enum.Enum):
-    """Say what a caller knows of a request in the end."""
+    """Outcome of a request as its caller sees it."""
 
     ANSWERED = 'answered'
     NOT_RUN = 'refused as not run'
@@ -26,12 +26,12 @@
     LOST = 'lost'
 
     @property
-    def is_trouble(self) -> bool:
+    def is_failure(self) -> bool:
         return self in (Outcome.WRONG, Outcome.LOST, Outcome.REFUSED)
 
 
 class Attempt(msgspec.Struct):
-    """Record one try of a request at one instance, in wall clock time."""
+    """One attempt to send a request to an instance; times are wall clock."""
 
     address: str
     begun_at: float
@@ -39,14 +39,14 @@
     status: int = 0
     code: int = 0
     is_not_run: bool = False
-    # No connection was made.
+    # No connection was made, so nothing was sent.
     is_unreachable: bool = False
-    # The connection ended before the whole reply had come.
+    # The connection ended before the complete reply arrived.
     is_cut: bool = False
 
 
 class Ask(msgspec.Struct):
-    """Record one request with all its tries."""
+    """One request with all its attempts."""
 
     request_id: str
     kind: Kind
@@ -58,19 +58,19 @@
 
 
 class CallerRecords(msgspec.Struct):
-    """Hold what all callers asked."""
+    """Requests of all callers."""
 
     asks: list[Ask] = []
 
     def of_kind(self, *kinds: Kind) -> list[Ask]:
-        """Return the requests of some kinds."""
+        """Return the requests of the given kinds."""
         return [ask for ask in self.asks if ask.kind in kinds]
 
     def count(self, outcome: Outcome, *kinds: Kind) -> int:
-        """Count the requests of some kinds that ended in one way."""
+        """Count requests by outcome; no kinds means all kinds."""
         asks = self.of_kind(*(kinds or tuple(Kind)))
         return sum(ask.outcome is outcome for ask in asks)
 
     def attempts(self) -> list[Attempt]:
-        """Return all tries."""
+        """Return the attempts of all requests."""
         return [attempt for ask in self.asks for attempt in ask.attempts]
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/trainer.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/trainer.py
@@ -1,4 +1,4 @@
-"""A trainer: ask for steps, check them, take weights forward."""
+"""Trainer that requests steps, checks them and publishes weights."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from yuccarill.standins import server
 
 if TYPE_CHECKING:
-    from yuccarill.standins.demo.places import Places
+    from yuccarill.standins.demo.places import Layout
 
 GROUPS = 6
 SAMPLES_PER_GROUP = 4
@@ -23,13 +23,13 @@
 STEP_SECONDS = 30.0
 POLL_SECONDS = 0.05
 TRAIN_SECONDS = 0.5
-# Offsets into a step at which new weights are published.
+# Offsets into a step at which weights are published.
 PUBLISH_AFTER_SECONDS = (0.2, 0.5)
 SEED = 99
 
 
 class StepRecord(msgspec.Struct):
-    """Record one step as its trainer saw it."""
+    """One step as its trainer sees it."""
 
     step: int
     submitted_at: float
@@ -44,56 +44,55 @@
 
 
 class Trainer:
-    """Work through steps one after another."""
+    """Run steps one after another."""
 
-    def __init__(self, places: Places) -> None:
-        entry = places.inventory['trainers'][0]
+    def __init__(self, layout: Layout) -> None:
+        entry = layout.inventory['trainers'][0]
         self.id = entry['id']
         self.staleness_bound: int = entry['staleness_bound']
         self.steps: list[StepRecord] = []
         self.idle_seconds = 0.0
         self.seconds = 0.0
         self._model = entry['model']
-        self._weight_store = places.platform['weight_store']
+        self._weight_store = layout.platform['weight_store']
         self._book = address_book.AddressBook(
-            places.addresses, random.Random(SEED)
+            layout.addresses, random.Random(SEED)
         )
         self._newest = 1
         self._is_ending = False
 
     async def run(self) -> None:
-        """Work until end() is called and the last step is settled."""
+        """Run steps until end() is called and the last step has ended."""
         number = 0
-        begun_at = time.time()
+        started_at = time.time()
         while not self._is_ending:
             number += 1
             await self._step(number)
             await server.sleep(TRAIN_SECONDS)
-        self.seconds = time.time() - begun_at
+        self.seconds = time.time() - started_at
 
     def end(self) -> None:
-        """Begin no more steps."""
+        """Start no further steps."""
         self._is_ending = True
 
     async def _step(self, number: int) -> None:
         record = StepRecord(number, time.time())
         self.steps.append(record)
         request = self._request(number)
-        if not await self._insist('POST', 'steps', request):
+        if not await self._retry_until_accepted('POST', 'steps', request):
             record.detail = 'not submitted'
             return
-        # Weights change in the middle of every second step, and twice in
-        # the middle of every fourth.
-        changes = {0: 2, 2: 1}.get(number % 4, 0)
+        # Weights change once in every second step, twice in every fourth.
+        publish_count = {0: 2, 2: 1}.get(number % 4, 0)
         publishing = [
             defer.ensureDeferred(self._publish(record, seconds))
-            for seconds in PUBLISH_AFTER_SECONDS[:changes]
+            for seconds in PUBLISH_AFTER_SECONDS[:publish_count]
         ]
-        await self._take(record, request)
+        await self._complete_step(record, request)
         self.idle_seconds += time.time() - record.submitted_at
         await defer.gatherResults(publishing)
 
-    async def _take(self, record: StepRecord, request: Any) -> None:
+    async def _complete_step(self, record: StepRecord, request: Any) -> None:
         body = await self._fetch(record, request)
         if body is None:
             return
@@ -101,12 +100,12 @@
         record.samples = msgspec.json.decode(body)['samples']
         again = await self._fetch(record, request)
         record.is_refetch_same = again == body
-        place = f'steps/{record.step}/acknowledgement'
-        record.is_acknowledged = await self._insist('PUT', place)
+        path = f'steps/{record.step}/acknowledgement'
+        record.is_acknowledged = await self._retry_until_accepted('PUT', path)
 
     async def _fetch(self, record: StepRecord, request: Any) -> bytes | None:
-        given_up_at = time.time() + STEP_SECONDS
-        while time.time() < given_up_at:
+        deadline = time.time() + STEP_SECONDS
+        while time.time() < deadline:
             newest = self._newest
             reply = await self._send('GET', f'steps/{record.step}')
             if reply is not None and reply.status == 200:
@@ -115,8 +114,8 @@
             if reply is not None:
                 record.detail = f'{reply.status} {reply.body[:300]!r}'
             if reply is not None and reply.status == 404:
-                # The instance that worked on the step is gone, or the
-                # system never took it; the number makes this safe.
+                # The step was lost or never accepted. Submitting it again
+                # is idempotent, since its number stays the same.
                 await self._send('POST', 'steps', request)
             await server.sleep(POLL_SECONDS)
         return None
@@ -130,7 +129,9 @@
         await client.send('PUT', url, version)
         self._newest = version
         record.published_within += 1
-        await self._insist('PUT', 'newest', {'newest_version': version}, 5.0)
+        await self._retry_until_accepted(
+            'PUT', 'newest', {'newest_version': version}, 5.0
+        )
 
     def _request(self, number: int) -> dict[str, Any]:
         groups = [
@@ -147,25 +148,25 @@
             'groups': groups,
         }
 
-    async def _insist(
-        self, method: str, place: str, value: Any = None, seconds: float = 20.0
+    async def _retry_until_accepted(
+        self, method: str, path: str, value: Any = None, seconds: float = 20.0
     ) -> bool:
-        given_up_at = time.time() + seconds
-        while time.time() < given_up_at:
-            reply = await self._send(method, place, value)
+        deadline = time.time() + seconds
+        while time.time() < deadline:
+            reply = await self._send(method, path, value)
             if reply is not None and reply.status < 300:
                 return True
             await server.sleep(POLL_SECONDS)
         return False
 
     async def _send(
-        self, method: str, place: str, value: Any = None
+        self, method: str, path: str, value: Any = None
     ) -> client.Reply | None:
         address = (await self._book.addresses())[0]
         base = f'http://{address}/v1/trainers/{self.id}'
         try:
             return await client.send(
-                method, f'{base}/{place}', value, seconds=5.0
+                method, f'{base}/{path}', value, seconds=5.0
             )
-        except (client.Unreachable, client.Cut):
+        except (client.Unreachable, client.ConnectionCut):
             return None
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/watch.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/watch.py
@@ -1,4 +1,4 @@
-"""Watch which revision each instance acts on."""
+"""Watch which revision is in force at each instance."""
 
 from __future__ import annotations
 
@@ -12,61 +12,63 @@
 from yuccarill.standins import server
 
 if TYPE_CHECKING:
-    from yuccarill.standins.demo.places import Places
+    from yuccarill.standins.demo.places import Layout
 
 POLL_SECONDS = 0.05
 
 
 class RevisionWatch:
-    """Poll all instances for as long as they answer."""
+    """Poll the revision of all instances."""
 
-    def __init__(self, places: Places) -> None:
-        self._places = places
+    def __init__(self, layout: Layout) -> None:
+        self._layout = layout
         self._is_ending = False
         self.reverts = 0
-        self.looks = 0
+        self.polls = 0
         self.revision_by_id: dict[str, int] = {}
-        # When each instance was first seen with a revision.
+        # Time of the first poll that found a revision at an instance.
         self.first_seen: dict[tuple[str, int], float] = {}
 
     async def run(self) -> None:
-        """Watch until end() is called."""
-        watching = [
-            defer.ensureDeferred(self._follow(instance))
-            for instance in self._places.instances
+        """Poll until end() is called."""
+        polling = [
+            defer.ensureDeferred(self._poll(instance))
+            for instance in self._layout.instances
         ]
-        await defer.gatherResults(watching)
+        await defer.gatherResults(polling)
 
     def end(self) -> None:
-        """Look no more."""
+        """Stop polling."""
         self._is_ending = True
 
     def seconds_until(
         self, revision: int, since: float, names: set[str]
     ) -> float | None:
-        """Return how long the last of some instances took to act on it."""
-        seen = [self.first_seen.get((name, revision)) for name in names]
-        found = [at for at in seen if at is not None]
-        if not names or len(found) < len(seen):
+        """Return the seconds until all named instances had a revision."""
+        seen_at = [self.first_seen.get((name, revision)) for name in names]
+        known = [at for at in seen_at if at is not None]
+        if not names or len(known) < len(seen_at):
             return None
-        return max(found) - since
+        return max(known) - since
 
     def address_of(self, name: str) -> str:
-        """Return an instance's address."""
-        by_id = {entry['id']: entry for entry in self._places.instances}
-        return places_module.address_of(by_id[name])
+        """Return the address of an instance."""
+        instances_by_id = {
+            entry['id']: entry for entry in self._layout.instances
+        }
+        return places_module.address_of(instances_by_id[name])
 
-    async def _follow(self, instance: dict[str, str]) -> None:
+    async def _poll(self, instance: dict[str, str]) -> None:
         name = instance['id']
         address = places_module.address_of(instance)
         while not self._is_ending:
             status = await readiness.status_of(address)
             if status is not None:
-                self._note(name, status['revision'])
+                self._record(name, status['revision'])
             await server.sleep(POLL_SECONDS)
 
-    def _note(self, name: str, revision: int) -> None:
-        self.looks += 1
+    def _record(self, name: str, revision: int) -> None:
+        self.polls += 1
         if revision < self.revision_by_id.get(name, 0):
             self.reverts += 1
         self.revision_by_id[name] = revision
--- a/packages/yuccarill-standins/src/yuccarill/standins/engine_weights.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/engine_weights.py
@@ -1,4 +1,4 @@
-"""Load weight versions into an engine stand-in by order."""
+"""Execute the weight orders of an engine stand-in."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Outcome(enum.Enum):
-    """Say how an order ended, by the status of its reply."""
+    """Result of an order; the value is the HTTP status of the reply."""
 
     DONE = 200
     OLD_EPOCH = 409
@@ -26,27 +26,27 @@
 
 
 class WeightFaults(msgspec.Struct):
-    """Name the faults of loading weights."""
+    """Faults and delays of loading weights."""
 
     stage_seconds: float = 0.02
-    # Seconds for which no token is made while versions are swapped.
+    # No tokens are generated during a swap.
     swap_seconds: float = 0.05
     fail_stages: int = 0
-    # The next switches fail, and the old version serves on.
+    # Number of next swaps that fail; the old version stays active.
     fail_swaps: int = 0
 
 
 class EngineWeights:
-    """Hold the version that serves and the one that is staged."""
+    """Active and staged weight version of an engine."""
 
     def __init__(
         self,
         checks_fencing: bool,
-        switch: faults.FaultSwitch[Any],
+        fault_control: faults.FaultControl[Any],
         on_swapped: Callable[[], None],
     ) -> None:
         self._checks_fencing = checks_fencing
-        self._faults = switch
+        self._faults = fault_control
         self._on_swapped = on_swapped
         self._is_swapping = False
         self.version = 1
@@ -54,13 +54,15 @@
         self.epoch = 0
         self.orders: list[dict[str, Any]] = []
 
-    async def order(self, kind: str, version: int, epoch: int) -> Outcome:
-        """Stage or switch to a version; the old one serves till then."""
+    async def execute_order(
+        self, kind: str, version: int, epoch: int
+    ) -> Outcome:
+        """Stage a version or switch to it; record the result."""
         if self._checks_fencing and epoch < self.epoch:
             outcome = Outcome.OLD_EPOCH
         else:
             self.epoch = max(self.epoch, epoch)
-            is_done = await self._carry_out(kind, version)
+            is_done = await self._stage_or_switch(kind, version)
             outcome = Outcome.DONE if is_done else Outcome.FAILED
         self.orders.append(
             {
@@ -73,11 +75,11 @@
         )
         return outcome
 
-    async def ready(self) -> None:
-        """Wait while versions are swapped."""
-        await server.until(lambda: not self._is_swapping)
+    async def wait_for_swap(self) -> None:
+        """Wait until no swap is in progress."""
+        await server.wait_until(lambda: not self._is_swapping)
 
-    async def _carry_out(self, kind: str, version: int) -> bool:
+    async def _stage_or_switch(self, kind: str, version: int) -> bool:
         if version == self.version:
             return True
         if version != self.staged_version and not await self._stage(version):
@@ -85,18 +87,18 @@
         return kind == 'stage' or await self._switch(version)
 
     async def _stage(self, version: int) -> bool:
-        await server.sleep(self._faults.now.stage_seconds)
-        if self._faults.take('fail_stages'):
+        await server.sleep(self._faults.current.stage_seconds)
+        if self._faults.consume('fail_stages'):
             return False
         self.staged_version = version
         return True
 
     async def _switch(self, version: int) -> bool:
-        await self.ready()
+        await self.wait_for_swap()
         self._is_swapping = True
-        await server.sleep(self._faults.now.swap_seconds)
+        await server.sleep(self._faults.current.swap_seconds)
         self._is_swapping = False
-        if self._faults.take('fail_swaps'):
+        if self._faults.consume('fail_swaps'):
             return False
         self.version = version
         self.staged_version = None
--- a/packages/yuccarill-standins/src/yuccarill/standins/faults.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/faults.py
@@ -1,4 +1,4 @@
-"""Order faults of a stand-in while it runs."""
+"""Change the faults of a running stand-in over HTTP."""
 
 from __future__ import annotations
 
@@ -16,36 +16,36 @@
 Faults = TypeVar('Faults', bound=msgspec.Struct)
 
 
-class FaultSwitch(Generic[Faults]):
-    """Hold the faults now in force."""
+class FaultControl(Generic[Faults]):
+    """Faults that are in force."""
 
     def __init__(self, faults: Faults) -> None:
-        self.now = faults
+        self.current = faults
 
-    def answer(self, request: IRequest) -> bytes:
-        """Show the faults, and on PUT change the named ones first."""
+    def handle_request(self, request: IRequest) -> bytes:
+        """Reply with the faults; a PUT changes the named ones first."""
         if request.method == b'PUT':
-            asked = server.read_json(request)
+            changes = server.read_json(request)
             try:
-                self.order(asked)
+                self.update(changes)
             except msgspec.ValidationError as error:
                 return server.reply_json(request, {'error': str(error)}, 400)
-        return server.reply_json(request, msgspec.to_builtins(self.now))
+        return server.reply_json(request, msgspec.to_builtins(self.current))
 
-    def order(self, asked: dict[str, object]) -> None:
+    def update(self, changes: dict[str, object]) -> None:
         """Change the named faults.
 
         Raises msgspec.ValidationError for an unknown name or a wrong type.
         """
-        standing = msgspec.to_builtins(self.now)
-        # Changed in place: waiting requests watch this very object.
-        changed = msgspec.convert(standing | asked, type(self.now))
-        for name in standing:
-            setattr(self.now, name, getattr(changed, name))
-
-    def take(self, name: str) -> bool:
-        """Tell whether a counted fault strikes now, and count it down."""
-        left = getattr(self.now, name)
+        fields = msgspec.to_builtins(self.current)
+        # Changed in place: waiting requests poll this object.
+        changed = msgspec.convert(fields | changes, type(self.current))
+        for name in fields:
+            setattr(self.current, name, getattr(changed, name))
+
+    def consume(self, name: str) -> bool:
+        """Return whether a counted fault is due, and count it down."""
+        left = getattr(self.current, name)
         if left > 0:
-            setattr(self.now, name, left - 1)
+            setattr(self.current, name, left - 1)
         return bool(left > 0)
--- a/packages/yuccarill-standins/src/yuccarill/standins/key_space.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/key_space.py
@@ -1,4 +1,4 @@
-"""Keep versioned keys in memory and wake those who wait for them."""
+"""Versioned keys in memory, with watches and leases."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class KeySpace:
-    """Hold values by key; an absent key has version 0."""
+    """Values by key; an absent key has version 0."""
 
     def __init__(self) -> None:
         self._values_by_key: dict[str, tuple[int, bytes]] = {}
@@ -46,12 +46,12 @@
         else:
             self._values_by_key[key] = (version, value)
         if lease_seconds is not None:
-            reactor.callLater(lease_seconds, self._lapse, key, version)
+            reactor.callLater(lease_seconds, self._expire, key, version)
         self._wake(key)
         return version
 
-    async def changed(self, key: str, seconds: float) -> None:
-        """Wait for a change of a key, at most some seconds."""
+    async def wait_for_change(self, key: str, seconds: float) -> None:
+        """Wait for a change of a key or a timeout."""
         watcher: defer.Deferred[None] = defer.Deferred()
         self._watchers_by_key[key].add(watcher)
         timer = reactor.callLater(seconds, watcher.callback, None)
@@ -72,6 +72,6 @@
             if not watcher.called:
                 watcher.callback(None)
 
-    def _lapse(self, key: str, version: int) -> None:
+    def _expire(self, key: str, version: int) -> None:
         if self.version(key) == version:
             self.put(key, None)
--- a/packages/yuccarill-standins/src/yuccarill/standins/key_value.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/key_value.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's key-value service."""
+"""Stand-in for the platform's key-value service."""
 
 from __future__ import annotations
 
@@ -22,63 +22,63 @@
 
 
 class KeyValueFaults(msgspec.Struct, forbid_unknown_fields=True):
-    """Name the faults of the key-value service."""
+    """Faults and delays of the key-value service."""
 
     seconds_per_call: float = 0.001
     # Every call is answered with status 503.
     is_down: bool = False
-    # Calls are taken and never answered; writes have no effect.
+    # Calls are never answered; writes have no effect.
     is_silent: bool = False
-    # The next writes take effect, and their connection closes unanswered.
+    # Number of next writes that take effect and whose reply is lost.
     lose_replies: int = 0
-    # Reads that are answered with status 503 after each lost reply.
+    # Number of reads that fail with status 503 after each lost reply.
     fail_reads_after: int = 0
-    # Seconds after which a write is carried out, whoever still waits.
+    # Seconds until a write takes effect, even if its client has gone.
     delay_writes: float = 0.0
-    # The next writes are held back until they are released, whoever waits.
+    # Number of next writes that wait until they are released.
     hold_writes: int = 0
-    # Counted faults strike writes of keys that begin with this.
+    # Counted faults apply only to keys with this prefix.
     only_keys: str = ''
 
 
 class KeyValueStandIn:
-    """Offer compare-and-swap, watches, leases and listing over HTTP."""
+    """Serve compare-and-swap, watches, leases and listing over HTTP."""
 
     app = klein.Klein()
 
     def __init__(self) -> None:
-        self._faults = faults.FaultSwitch(KeyValueFaults())
+        self._faults = faults.FaultControl(KeyValueFaults())
         self._space = key_space.KeySpace()
         self._calls_by_kind: collections.Counter[str] = collections.Counter()
-        self._record = writes.WriteRecord()
-        self._waiting = 0
-        self._failing_reads = 0
+        self._write_log = writes.WriteLog()
+        self._open_watches = 0
+        self._reads_to_fail = 0
 
     @app.route('/admin/faults', methods=['GET', 'PUT'])
-    def order_faults(self, request: IRequest) -> bytes:
-        answer = self._faults.answer(request)
-        if self._faults.now.is_down or self._faults.now.is_silent:
-            # An outage reaches those who wait as well.
+    def configure_faults(self, request: IRequest) -> bytes:
+        answer = self._faults.handle_request(request)
+        if self._faults.current.is_down or self._faults.current.is_silent:
+            # An outage also ends open watches.
             self._space.wake_all()
         return answer
 
     @app.route('/admin/calls', methods=['GET'])
-    def calls(self, request: IRequest) -> bytes:
-        counted = {**self._calls_by_kind, 'waiting_watches': self._waiting}
-        return server.reply_json(request, counted)
+    def show_calls(self, request: IRequest) -> bytes:
+        counts = {**self._calls_by_kind, 'waiting_watches': self._open_watches}
+        return server.reply_json(request, counts)
 
     @app.route('/admin/writes', methods=['GET'])
     def show_writes(self, request: IRequest) -> bytes:
         prefix = request.args.get(b'prefix', [b''])[0].decode()
-        recorded = msgspec.to_builtins(self._record.of(prefix))
+        recorded = msgspec.to_builtins(self._write_log.with_prefix(prefix))
         return server.reply_json(request, recorded)
 
     @app.route('/admin/held', methods=['GET', 'PUT'])
     def release_held(self, request: IRequest) -> bytes:
-        """Return the keys of held writes, and on PUT release them."""
-        held = self._record.held()
+        """Reply with the keys of held writes; a PUT releases them."""
+        held = self._write_log.held_keys()
         if request.method == b'PUT':
-            self._record.release()
+            self._write_log.release()
         return server.reply_json(request, held)
 
     @app.route('/v1/keys', methods=['GET'])
@@ -96,10 +96,10 @@
         refusal = await self._refusal(request, kind)
         if refusal is not None:
             return refusal
-        if kind == 'read' and self._fails_read(key):
+        if kind == 'read' and self._consume_read_failure(key):
             return server.reply_json(request, {'error': 'down'}, 503)
         if after is not None and self._space.version(key) <= int(after[0]):
-            await self._wait(request, key)
+            await self._wait_for_change(request, key)
             refusal = await self._outage(request)
             if refusal is not None:
                 return refusal
@@ -110,7 +110,7 @@
 
     @app.route('/v1/keys/<path:key>', methods=['PUT'])
     async def put(self, request: IRequest, key: str) -> bytes:
-        """Write a key; X-Lease-Seconds removes it unless written again."""
+        """Write a key, with a lease if X-Lease-Seconds is set."""
         value = request.content.read()
         if len(value) > MAX_VALUE_BYTES:
             return server.reply_json(request, {'error': 'too long'}, 413)
@@ -133,83 +133,83 @@
         refusal = await self._refusal(request, 'write')
         if refusal is not None:
             return refusal
-        # A request is cancelled when its client goes. Chained, the answer is
-        # cancelled alone, and the write still takes effect, only late.
+        # A client that disconnects cancels its request. The chained deferred
+        # keeps that from cancelling the write, which takes effect later.
         answer: defer.Deferred[bytes] = defer.Deferred()
-        carried_out = defer.ensureDeferred(
-            self._carry_out(request, key, value, lease_seconds)
+        writing = defer.ensureDeferred(
+            self._execute_write(request, key, value, lease_seconds)
         )
-        carried_out.chainDeferred(answer)
+        writing.chainDeferred(answer)
         return await answer
 
-    async def _carry_out(
+    async def _execute_write(
         self,
         request: IRequest,
         key: str,
         value: bytes | None,
         lease_seconds: float | None,
     ) -> bytes:
-        await server.sleep(self._faults.now.delay_writes)
-        if self._strikes('hold_writes', key):
-            await self._record.hold(key)
+        await server.sleep(self._faults.current.delay_writes)
+        if self._consume_fault('hold_writes', key):
+            await self._write_log.hold(key)
         header = request.getHeader('X-Expected-Version')
         expected = None if header is None else int(header)
-        standing = self._space.version(key)
-        if expected is not None and expected != standing:
+        current = self._space.version(key)
+        if expected is not None and expected != current:
             outcome = writes.WriteOutcome.REFUSED
-            self._note(key, expected, standing, outcome)
-            return server.reply_json(request, {'version': standing}, 412)
+            self._log_write(key, expected, current, outcome)
+            return server.reply_json(request, {'version': current}, 412)
         version = self._space.put(key, value, lease_seconds)
-        if self._strikes('lose_replies', key):
+        if self._consume_fault('lose_replies', key):
             outcome = writes.WriteOutcome.REPLY_LOST
-            self._note(key, expected, version, outcome)
-            self._failing_reads = self._faults.now.fail_reads_after
-            server.cut(request)
+            self._log_write(key, expected, version, outcome)
+            self._reads_to_fail = self._faults.current.fail_reads_after
+            server.abort_connection(request)
             return b''
-        self._note(key, expected, version, writes.WriteOutcome.WRITTEN)
+        self._log_write(key, expected, version, writes.WriteOutcome.WRITTEN)
         return server.reply_json(request, {'version': version})
 
-    def _fails_read(self, key: str) -> bool:
-        if not self._failing_reads or not self._is_meant(key):
+    def _consume_read_failure(self, key: str) -> bool:
+        if not self._reads_to_fail or not self._is_fault_key(key):
             return False
-        self._failing_reads -= 1
+        self._reads_to_fail -= 1
         return True
 
-    def _is_meant(self, key: str) -> bool:
-        return key.startswith(self._faults.now.only_keys)
+    def _is_fault_key(self, key: str) -> bool:
+        return key.startswith(self._faults.current.only_keys)
 
-    def _strikes(self, fault: str, key: str) -> bool:
-        return self._is_meant(key) and self._faults.take(fault)
+    def _consume_fault(self, fault: str, key: str) -> bool:
+        return self._is_fault_key(key) and self._faults.consume(fault)
 
-    def _note(
+    def _log_write(
         self,
         key: str,
         expected: int | None,
         version: int,
         outcome: writes.WriteOutcome,
     ) -> None:
-        self._record.note(
+        self._write_log.add(
             writes.Write(
                 key=key, expected=expected, version=version, outcome=outcome
             )
         )
 
-    async def _wait(self, request: IRequest, key: str) -> None:
+    async def _wait_for_change(self, request: IRequest, key: str) -> None:
         wait = float(request.args.get(b'wait', [b'10'])[0])
-        self._waiting += 1
+        self._open_watches += 1
         try:
-            await self._space.changed(key, min(wait, MAX_WAIT_SECONDS))
+            await self._space.wait_for_change(key, min(wait, MAX_WAIT_SECONDS))
         finally:
-            self._waiting -= 1
+            self._open_watches -= 1
 
     async def _refusal(self, request: IRequest, kind: str) -> bytes | None:
         self._calls_by_kind[kind] += 1
-        await server.sleep(self._faults.now.seconds_per_call)
+        await server.sleep(self._faults.current.seconds_per_call)
         return await self._outage(request)
 
     async def _outage(self, request: IRequest) -> bytes | None:
-        if self._faults.now.is_silent:
-            return await server.never()
-        if self._faults.now.is_down:
+        if self._faults.current.is_silent:
+            return await server.reply_never()
+        if self._faults.current.is_down:
             return server.reply_json(request, {'error': 'down'}, 503)
         return None
--- a/packages/yuccarill-standins/src/yuccarill/standins/memory.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/memory.py
@@ -1,6 +1,6 @@
-"""Stand in for the key-value service and the network on a given clock.
+"""In-memory key-value service and network that run on a given clock.
 
-For tests and measures of controllers in one process, with no sockets.
+For tests and measurements of controllers in one process, without sockets.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class WriteFault(enum.Enum):
-    """Say what happens to one write."""
+    """Fault of one write."""
 
     DROPPED = 'dropped'
     REPLY_LOST = 'reply lost'
@@ -38,12 +38,12 @@
     DOWN_AFTER = 'confirmed, then the store is down'
 
 
-_DELAYING = (WriteFault.DELAYED, WriteFault.DELAYED_THEN_DOWN)
-_DOWNING = (WriteFault.DELAYED_THEN_DOWN, WriteFault.DOWN_AFTER)
+_DELAYED_FAULTS = (WriteFault.DELAYED, WriteFault.DELAYED_THEN_DOWN)
+_FAULTS_THEN_DOWN = (WriteFault.DELAYED_THEN_DOWN, WriteFault.DOWN_AFTER)
 
 
 class MemoryKeyValue:
-    """Offer compare-and-swap and watches in memory."""
+    """Key-value service with compare-and-swap and watches."""
 
     def __init__(self, clock: Any, delay: float = 0.0) -> None:
         self._clock = clock
@@ -61,12 +61,12 @@
 
     async def get(self, key: str) -> Entry:
         """Read a key."""
-        await self._travel('read')
-        return self._found(key, 'read')
+        await self._start_call('read')
+        return self._read_entry(key, 'read')
 
     async def watch(self, key: str, after: int) -> Entry:
-        """Read a key once its version passes the given one."""
-        await self._travel('watch')
+        """Read a key once its version exceeds the given one."""
+        await self._start_call('watch')
         if self.peek(key).version <= after:
             watcher: defer.Deferred[None] = defer.Deferred()
             watcher.addTimeout(
@@ -75,31 +75,31 @@
             self._watchers_by_key[key].append(watcher)
             await watcher
             await self._sleep()
-        self._check()
-        return self._found(key, 'watch')
+        self._check_available()
+        return self._read_entry(key, 'watch')
 
     async def swap(self, key: str, value: bytes, expected: int) -> int:
-        """Write a key whose version is the expected one."""
+        """Write a key if its version is the expected one."""
         fault, self.fault = self.fault, None
-        await self._travel('write')
+        await self._start_call('write')
         self.bytes_by_kind['write'] += len(value)
-        self.is_down = fault in _DOWNING
-        if fault in _DELAYING:
+        self.is_down = fault in _FAULTS_THEN_DOWN
+        if fault in _DELAYED_FAULTS:
             self._delayed.append((key, value, expected))
-        if fault in _DELAYING or fault is WriteFault.DROPPED:
-            raise errors.StoreUnavailable('no reply')
+        if fault in _DELAYED_FAULTS or fault is WriteFault.DROPPED:
+            raise errors.StoreUnavailable('The store did not reply.')
         version = self._write(key, value, expected)
         await self._sleep()
         if fault is WriteFault.REPLY_LOST:
-            raise errors.StoreUnavailable('no reply')
+            raise errors.StoreUnavailable('The store did not reply.')
         return version
 
     def peek(self, key: str) -> Entry:
-        """Return what stands, at no cost."""
+        """Return an entry without a delay, fault or count."""
         return self._entries_by_key.get(key, Entry(0, b''))
 
     def land_delayed(self) -> None:
-        """Let writes arrive that were held up in the network."""
+        """Execute the delayed writes."""
         delayed, self._delayed = self._delayed, []
         for key, value, expected in delayed:
             try:
@@ -117,26 +117,26 @@
                 watcher.callback(None)
         return self._version
 
-    async def _travel(self, kind: str) -> None:
+    async def _start_call(self, kind: str) -> None:
         self.calls_by_kind[kind] += 1
         await self._sleep()
-        self._check()
+        self._check_available()
 
-    def _found(self, key: str, kind: str) -> Entry:
+    def _read_entry(self, key: str, kind: str) -> Entry:
         entry = self.peek(key)
         self.bytes_by_kind[kind] += len(entry.value)
         return entry
 
-    def _check(self) -> None:
+    def _check_available(self) -> None:
         if self.is_down:
-            raise errors.StoreUnavailable('down')
+            raise errors.StoreUnavailable('The store is down.')
 
     def _sleep(self) -> defer.Deferred[None]:
         return task.deferLater(self._clock, self._delay, lambda: None)
 
 
 class MemoryNetwork:
-    """Carry messages between instances in memory."""
+    """Network that carries messages between instances."""
 
     def __init__(
         self,
@@ -148,7 +148,7 @@
         self.handlers_by_id: dict[
             InstanceId, Callable[[messages.Body], Awaitable[messages.Body]]
         ] = {}
-        # Pairs of which the second hears nothing of the first.
+        # Pairs (sender, receiver) whose messages are dropped.
         self.silent: set[tuple[InstanceId, InstanceId]] = set()
         self.sent_bytes_by_id: collections.Counter[InstanceId] = (
             collections.Counter()
@@ -158,14 +158,14 @@
         )
         self.sent_by_kind: collections.Counter[str] = collections.Counter()
 
-    def peers_of(self, me: Instance) -> MemoryPeers:
-        """Return what an instance reaches its peers through."""
-        return MemoryPeers(self, me)
+    def peers_of(self, instance: Instance) -> MemoryPeers:
+        """Return the peer client of an instance."""
+        return MemoryPeers(self, instance)
 
     async def carry(
         self, sender: Instance, receiver: Instance, body: messages.Body
     ) -> messages.Body:
-        """Bring one message over, whole and decoded anew."""
+        """Encode, delay and decode one message."""
         data = frames.encode(messages.Envelope(1, False, body))
         self.sent_bytes_by_id[sender.id] += len(data)
         self.sent_by_kind[type(body).__name__] += 1
@@ -179,17 +179,17 @@
 
 
 class MemoryPeers:
-    """Send one instance's requests."""
+    """Peer client of one instance."""
 
-    def __init__(self, network: MemoryNetwork, me: Instance) -> None:
+    def __init__(self, network: MemoryNetwork, instance: Instance) -> None:
         self._network = network
-        self._me = me
+        self._instance = instance
 
     async def request(
         self, peer: Instance, body: messages.Body, seconds: float
     ) -> Any:
         """Send a request to a peer and return its reply."""
-        # A request that was given up on still arrives, and late.
+        # A request that timed out still arrives later.
         reply: defer.Deferred[Any] = defer.Deferred()
         exchange = defer.ensureDeferred(self._exchange(peer, body))
         exchange.addBoth(lambda result: reply.called or reply.callback(result))
@@ -197,15 +197,15 @@
         try:
             return await reply
         except defer.TimeoutError as error:
-            raise errors.PeerUnavailable('no reply') from error
+            raise errors.PeerUnavailable('The peer did not reply.') from error
 
     async def _exchange(
         self, peer: Instance, body: messages.Body
     ) -> messages.Body:
         network = self._network
-        asked = await network.carry(self._me, peer, body)
+        request = await network.carry(self._instance, peer, body)
         handle = network.handlers_by_id.get(peer.id)
         if handle is None:
-            raise errors.NotRun('refused')
-        reply = await handle(asked)
-        return await network.carry(peer, self._me, reply)
+            raise errors.NotRun('The peer refused the connection.')
+        reply = await handle(request)
+        return await network.carry(peer, self._instance, reply)
--- a/packages/yuccarill-standins/src/yuccarill/standins/plain_target.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/plain_target.py
@@ -1,4 +1,4 @@
-"""Stand in for a plain service's target."""
+"""Stand-in for a target of a plain service."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class TargetFaults(msgspec.Struct, forbid_unknown_fields=True):
-    """Name the faults of a plain target."""
+    """Faults and delays of a plain target."""
 
     seconds_per_call: float = 0.002
-    # The next calls run and are answered with status 500.
+    # Number of next calls that run and are answered with status 500.
     fail_calls: int = 0
-    # The next calls run and their connection closes with no reply.
+    # Number of next calls that run and whose reply is lost.
     lose_replies: int = 0
-    # Calls are taken but run only once this ends, as in a stopped process.
+    # Calls are accepted and run only after this is cleared.
     is_frozen: bool = False
 
 
@@ -36,20 +36,20 @@
 
     def __init__(self, name: str) -> None:
         self._name = name
-        self._faults = faults.FaultSwitch(TargetFaults())
-        # Set once the target serves; its port can then be closed for a time.
+        self._faults = faults.FaultControl(TargetFaults())
+        # Listening port; set once the target serves.
         self.listening: Any = None
         self._runs: list[dict[str, Any]] = []
 
     @app.route('/admin/faults', methods=['GET', 'PUT'])
-    def order_faults(self, request: IRequest) -> bytes:
-        return self._faults.answer(request)
+    def configure_faults(self, request: IRequest) -> bytes:
+        return self._faults.handle_request(request)
 
     @app.route('/admin/close', methods=['PUT'])
     def close(self, request: IRequest) -> bytes:
-        """Refuse connections for the given number of seconds."""
+        """Refuse connections for the seconds in the body."""
         seconds = server.read_json(request)
-        closing = server.close_for(self.listening, seconds)
+        closing = server.refuse_connections(self.listening, seconds)
         defer.ensureDeferred(closing)
         return server.reply_json(request, seconds)
 
@@ -63,7 +63,7 @@
         received_at = time.time()
         request_id = request.getHeader('Yuccarill-Request-Id') or ''
         body = request.content.read().decode()
-        await server.until(lambda: not self._faults.now.is_frozen)
+        await server.wait_until(lambda: not self._faults.current.is_frozen)
         self._runs.append(
             {
                 'request_id': request_id,
@@ -72,9 +72,9 @@
                 'run_at': time.time(),
             }
         )
-        await server.sleep(self._faults.now.seconds_per_call)
-        if self._faults.take('lose_replies'):
-            server.cut(request)
+        await server.sleep(self._faults.current.seconds_per_call)
+        if self._faults.consume('lose_replies'):
+            server.abort_connection(request)
             return b''
         answer = {
             'target': self._name,
@@ -82,5 +82,5 @@
             'request_id': request_id,
             'body': body,
         }
-        status = 500 if self._faults.take('fail_calls') else 200
+        status = 500 if self._faults.consume('fail_calls') else 200
         return server.reply_json(request, answer, status)
--- a/packages/yuccarill-standins/src/yuccarill/standins/ports.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/ports.py
@@ -1,4 +1,4 @@
-"""Choose free ports."""
+"""Reserve free ports."""
 
 from __future__ import annotations
 
@@ -6,27 +6,25 @@
 import socket
 
 LOOPBACK = '127.0.0.1'
-# Below the ports that the kernel gives to outgoing connections: one of those
-# could take a chosen port before the process it was chosen for listens, which
-# then does not start.
+# Below the kernel's ephemeral ports: an outgoing connection could otherwise
+# take a reserved port before the process meant for it listens.
 FIRST_PORT = 12_000
 LAST_PORT = 32_000
 
-_source = random.SystemRandom()
-# Two that choose at the same time may choose the same port, and the later one
-# does not start. A socket that is bound here and never listens keeps a port
-# from whoever else chooses, and lets in the process that it is meant for.
+_random = random.SystemRandom()
+# Sockets that are bound and never listen, so that concurrent processes can't
+# reserve the same port. SO_REUSEADDR lets the intended process listen on it.
 _reservations: list[socket.socket] = []
 
 
 def free(count: int) -> list[int]:
     """Return distinct ports, reserved until this process ends."""
-    found: list[int] = []
-    while len(found) < count:
-        port = _source.randint(FIRST_PORT, LAST_PORT)
+    reserved: list[int] = []
+    while len(reserved) < count:
+        port = _random.randint(FIRST_PORT, LAST_PORT)
         if _reserve(port):
-            found.append(port)
-    return found
+            reserved.append(port)
+    return reserved
 
 
 def _reserve(port: int) -> bool:
@@ -36,7 +34,7 @@
     except OSError:
         reservation.close()
         return False
-    # Set after the bind, which must fail beside another's reservation.
+    # Set after the bind, which must fail if another process has the port.
     reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     _reservations.append(reservation)
     return True
--- a/packages/yuccarill-standins/src/yuccarill/standins/prefix_cache.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/prefix_cache.py
@@ -1,4 +1,4 @@
-"""Cache prompt prefixes in bounded memory and publish what changes."""
+"""Cache prompt prefixes in bounded memory and publish cache events."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class PrefixCache:
-    """Keep the prompts used last, and events that come late."""
+    """LRU cache of prompts whose events become visible after a lag."""
 
     def __init__(self) -> None:
         self._prompts: collections.OrderedDict[str, None] = (
@@ -17,8 +17,8 @@
         self._events: list[tuple[float, dict[str, Any]]] = []
         self._next_number = 1
 
-    def use(self, prompt: str, size: int, gap_every: int) -> bool:
-        """Tell whether a prompt was cached, and cache it."""
+    def look_up(self, prompt: str, size: int, gap_every: int) -> bool:
+        """Return whether a prompt was cached, and cache it."""
         is_hit = prompt in self._prompts
         self._prompts[prompt] = None
         self._prompts.move_to_end(prompt)
@@ -30,17 +30,17 @@
         return is_hit
 
     def clear(self) -> None:
-        """Drop all prompts, as new weights make their entries wrong."""
+        """Drop all prompts; new weights invalidate them."""
         self._prompts.clear()
         self._publish('cleared', '', 0)
 
     def events(self, after: int, lag_seconds: float) -> list[dict[str, Any]]:
-        """Return the events past a number that are old enough to show."""
-        shown_until = time.monotonic() - lag_seconds
+        """Return the visible events with a number above the given one."""
+        visible_until = time.monotonic() - lag_seconds
         return [
             event
             for published_at, event in self._events
-            if event['number'] > after and published_at <= shown_until
+            if event['number'] > after and published_at <= visible_until
         ]
 
     def _publish(self, kind: str, prompt: str, gap_every: int) -> None:
--- a/packages/yuccarill-standins/src/yuccarill/standins/relay.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/relay.py
@@ -1,4 +1,4 @@
-"""Relay TCP connections, and cut or silence them by order."""
+"""Relay TCP connections, and cut or silence them on demand."""
 
 from __future__ import annotations
 
@@ -18,48 +18,48 @@
 
 
 class Mode(enum.Enum):
-    """Say what a relay does with its connections."""
+    """What a relay does with its connections."""
 
     FORWARD = 'forward'
-    # Closes what is open and whatever is opened later.
+    # Closes open connections and all later ones.
     CUT = 'cut'
-    # Takes bytes and forwards none, also on connections opened later.
+    # Accepts bytes and forwards none, also on later connections.
     SILENT = 'silent'
-    # Forwards nothing on what is open now, for good; later ones work.
+    # Never forwards on connections open now; later connections work.
     SILENCE_OPEN = 'silence open'
-    # Forwards what clients send, and nothing that servers answer.
+    # Forwards bytes from clients, and none from servers.
     ONE_WAY = 'one way'
 
 
 class RelayFaults(msgspec.Struct, forbid_unknown_fields=True):
-    """Name the faults of a relay."""
+    """Faults of a relay."""
 
     mode: Mode = Mode.FORWARD
 
 
 class Relay(protocol.Factory):
-    """Relay connections of one port to one address."""
+    """Relay connections from one port to one address."""
 
     def __init__(self, host: str, port: int) -> None:
         self._endpoint = endpoints.TCP4ClientEndpoint(
             reactor, host, port, timeout=CONNECT_SECONDS
         )
-        self.switch = faults.FaultSwitch(RelayFaults())
-        self.connections: set[ClientSide] = set()
+        self.fault_control = faults.FaultControl(RelayFaults())
+        self.connections: set[ClientConnection] = set()
         self.accepted = 0
 
-    def buildProtocol(self, addr: Any) -> ClientSide:  # noqa: N802
+    def buildProtocol(self, addr: Any) -> ClientConnection:  # noqa: N802
         self.accepted += 1
-        return ClientSide(self)
+        return ClientConnection(self)
 
-    def connect(self, client: ClientSide) -> Any:
-        """Open the server's side of a connection."""
-        side = ServerSide(client)
-        return endpoints.connectProtocol(self._endpoint, side)
+    def connect(self, client: ClientConnection) -> Any:
+        """Open the connection to the server."""
+        connection = ServerConnection(client)
+        return endpoints.connectProtocol(self._endpoint, connection)
 
-    def apply(self) -> None:
-        """Do to open connections what the mode asks."""
-        match self.switch.now.mode:
+    def apply_mode(self) -> None:
+        """Apply the mode to the open connections."""
+        match self.fault_control.current.mode:
             case Mode.CUT:
                 for connection in list(self.connections):
                     connection.abort()
@@ -67,11 +67,13 @@
                 for connection in self.connections:
                     connection.is_silenced = True
 
-    def forwards(self, connection: ClientSide, to_server: bool) -> bool:
-        """Tell whether bytes pass."""
+    def is_forwarding(
+        self, connection: ClientConnection, to_server: bool
+    ) -> bool:
+        """Return whether bytes in one direction are forwarded."""
         if connection.is_silenced:
             return False
-        match self.switch.now.mode:
+        match self.fault_control.current.mode:
             case Mode.CUT | Mode.SILENT:
                 return False
             case Mode.ONE_WAY:
@@ -80,72 +82,72 @@
                 return True
 
 
-class ClientSide(protocol.Protocol):
-    """Be the side that the relay's client has opened."""
+class ClientConnection(protocol.Protocol):
+    """Connection that a client opened to the relay."""
 
     def __init__(self, relay: Relay) -> None:
         self.relay = relay
         self.is_silenced = False
-        self.server: ServerSide | None = None
-        self._early: list[bytes] = []
+        self.server: ServerConnection | None = None
+        self._buffered: list[bytes] = []
 
     def connectionMade(self) -> None:  # noqa: N802
         self.relay.connections.add(self)
-        if self.relay.switch.now.mode is Mode.CUT:
+        if self.relay.fault_control.current.mode is Mode.CUT:
             self.abort()
             return
         opened = self.relay.connect(self)
         opened.addErrback(lambda _: self.abort())
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        if not self.relay.forwards(self, to_server=True):
+        if not self.relay.is_forwarding(self, to_server=True):
             return
         if self.server is None:
-            self._early.append(data)
+            self._buffered.append(data)
             return
         self.server.transport.write(data)
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
         self.relay.connections.discard(self)
-        # What lost track of a connection does not tell the far end either.
-        if self.server is not None and self.relay.forwards(self, True):
+        # A silent relay does not report the close to the server either.
+        if self.server is not None and self.relay.is_forwarding(self, True):
             self.server.transport.loseConnection()
 
-    def attach(self, side: ServerSide) -> None:
-        """Forward to the server's side from now on."""
-        self.server = side
-        for data in self._early:
-            side.transport.write(data)
+    def attach(self, connection: ServerConnection) -> None:
+        """Forward to the server, starting with buffered data."""
+        self.server = connection
+        for data in self._buffered:
+            connection.transport.write(data)
         if not self.connected:
-            side.transport.loseConnection()
+            connection.transport.loseConnection()
 
     def abort(self) -> None:
-        """Close both sides at once."""
+        """Abort both connections."""
         self.transport.abortConnection()
         if self.server is not None:
             self.server.transport.abortConnection()
 
 
-class ServerSide(protocol.Protocol):
-    """Be the side that the relay has opened."""
+class ServerConnection(protocol.Protocol):
+    """Connection that the relay opened to the server."""
 
-    def __init__(self, client: ClientSide) -> None:
+    def __init__(self, client: ClientConnection) -> None:
         self._client = client
 
     def connectionMade(self) -> None:  # noqa: N802
         self._client.attach(self)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        if self._client.relay.forwards(self._client, to_server=False):
+        if self._client.relay.is_forwarding(self._client, to_server=False):
             self._client.transport.write(data)
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
-        if self._client.relay.forwards(self._client, to_server=False):
+        if self._client.relay.is_forwarding(self._client, to_server=False):
             self._client.transport.loseConnection()
 
 
 class RelayAdmin:
-    """Open relays and order their faults over HTTP."""
+    """Open relays and configure their faults over HTTP."""
 
     app = klein.Klein()
 
@@ -154,7 +156,7 @@
 
     @app.route('/admin/relays/<name>', methods=['PUT'])
     async def open(self, request: Any, name: str) -> bytes:
-        """Take {"to": "IP:PORT"} and return the relay's address."""
+        """Open a relay to {"to": "IP:PORT"}; reply with its address."""
         host, _, port = server.read_json(request)['to'].rpartition(':')
         relay = Relay(host, int(port))
         endpoint = endpoints.TCP4ServerEndpoint(
@@ -172,8 +174,8 @@
         return server.reply_json(request, shown)
 
     @app.route('/admin/relays/<name>/faults', methods=['GET', 'PUT'])
-    def order_faults(self, request: Any, name: str) -> bytes:
+    def configure_faults(self, request: Any, name: str) -> bytes:
         relay = self._relays_by_name[name]
-        answer = relay.switch.answer(request)
-        relay.apply()
+        answer = relay.fault_control.handle_request(request)
+        relay.apply_mode()
         return answer
--- a/packages/yuccarill-standins/src/yuccarill/standins/scorer.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/scorer.py
@@ -1,4 +1,4 @@
-"""Stand in for a scoring service."""
+"""Stand-in for a scoring service."""
 
 from __future__ import annotations
 
@@ -17,29 +17,29 @@
 
 
 class ScorerFaults(msgspec.Struct, forbid_unknown_fields=True):
-    """Name the faults of a scorer."""
+    """Faults and delays of a scorer."""
 
     seconds_per_call: float = 0.0
-    # The next calls are answered with status 500.
+    # Number of next calls that are answered with status 500.
     fail_calls: int = 0
-    # The next replies are sent twice on their connection.
+    # Number of next replies that are sent twice on their connection.
     answer_twice: int = 0
-    # The next replies carry the score of another sample.
+    # Number of next replies that name another sample.
     answer_another: int = 0
 
 
 class ScorerStandIn:
-    """Score a sample by its tokens alone."""
+    """Score samples by their tokens only."""
 
     app = klein.Klein()
 
     def __init__(self) -> None:
-        self._faults = faults.FaultSwitch(ScorerFaults())
+        self._faults = faults.FaultControl(ScorerFaults())
         self._scored_ids: list[str] = []
 
     @app.route('/admin/faults', methods=['GET', 'PUT'])
-    def order_faults(self, request: IRequest) -> bytes:
-        return self._faults.answer(request)
+    def configure_faults(self, request: IRequest) -> bytes:
+        return self._faults.handle_request(request)
 
     @app.route('/admin/scored', methods=['GET'])
     def show_scored(self, request: IRequest) -> bytes:
@@ -47,29 +47,29 @@
 
     @app.route('/v1/score', methods=['POST'])
     async def score(self, request: IRequest) -> bytes:
-        asked = server.read_json(request)
-        await server.sleep(self._faults.now.seconds_per_call)
-        if self._faults.take('fail_calls'):
+        payload = server.read_json(request)
+        await server.sleep(self._faults.current.seconds_per_call)
+        if self._faults.consume('fail_calls'):
             return server.reply_json(request, {'error': 'ordered'}, 500)
-        sample_id = asked['sample_id']
+        sample_id = payload['sample_id']
         self._scored_ids.append(sample_id)
-        if self._faults.take('answer_another'):
+        if self._faults.consume('answer_another'):
             sample_id = f'{sample_id}/another'
         reply = server.reply_json(
             request,
-            {'sample_id': sample_id, 'score': score_of(asked['tokens'])},
+            {'sample_id': sample_id, 'score': score_of(payload['tokens'])},
         )
-        if self._faults.take('answer_twice'):
-            _send_again(request, reply)
+        if self._faults.consume('answer_twice'):
+            _send_duplicate(request, reply)
         return reply
 
 
 def score_of(tokens: list[int]) -> float:
-    """Return the score that these tokens get."""
+    """Return the score of a sample with these tokens."""
     return sum(tokens) % SCORE_STEPS / SCORE_STEPS
 
 
-def _send_again(request: IRequest, reply: bytes) -> None:
+def _send_duplicate(request: IRequest, reply: bytes) -> None:
     head = f'HTTP/1.1 200 OK\r\nContent-Length: {len(reply)}\r\n\r\n'
     transport = request.channel.transport
     done = request.notifyFinish()
--- a/packages/yuccarill-standins/src/yuccarill/standins/server.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/server.py
@@ -25,7 +25,7 @@
 
 
 async def listen(app: klein.Klein) -> Any:
-    """Serve an application on a free port and return the listening port."""
+    """Serve an application on a free port; return the listening port."""
     (port,) = ports.free(1)
     endpoint = endpoints.TCP4ServerEndpoint(
         reactor, port, interface=LOOPBACK, backlog=1024
@@ -38,48 +38,48 @@
     return f'{LOOPBACK}:{listening.getHost().port}'
 
 
-async def close_for(listening: Any, seconds: float) -> None:
-    """Refuse connections on a listening port for some seconds."""
+async def refuse_connections(listening: Any, seconds: float) -> None:
+    """Refuse connections on a listening port for a time."""
     await defer.maybeDeferred(listening.stopListening)
     await sleep(seconds)
     listening.startListening()
 
 
 def read_json(request: IRequest) -> Any:
-    """Decode a request's body."""
+    """Decode a JSON request body."""
     return json.loads(request.content.read() or b'null')
 
 
 def reply_json(request: IRequest, value: Any, status: int = 200) -> bytes:
-    """Encode a reply's body."""
+    """Set status and type of a reply; return its JSON body."""
     request.setResponseCode(status)
     request.setHeader('Content-Type', 'application/json')
     return json.dumps(value).encode()
 
 
 def sleep(seconds: float) -> defer.Deferred[None]:
-    """Wait on the reactor's clock."""
+    """Wait without blocking the reactor."""
     return task.deferLater(reactor, seconds, lambda: None)
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     """Wait until a condition holds."""
     while not condition():
         await sleep(POLL_SECONDS)
 
 
-def watch_for_loss(request: IRequest) -> Callable[[], bool]:
-    """Return a function that tells whether the client has gone."""
+def watch_for_disconnect(request: IRequest) -> Callable[[], bool]:
+    """Return a function that tells whether the client disconnected."""
     lost = []
     request.notifyFinish().addErrback(lost.append)
     return lambda: bool(lost)
 
 
-def cut(request: IRequest) -> None:
-    """Close a request's connection at once, with no reply."""
+def abort_connection(request: IRequest) -> None:
+    """Abort a request's connection without a reply."""
     request.channel.forceAbortClient()
 
 
-def never() -> defer.Deferred[bytes]:
-    """Return a reply that does not come."""
+def reply_never() -> defer.Deferred[bytes]:
+    """Return a reply that never arrives."""
     return defer.Deferred()
--- a/packages/yuccarill-standins/src/yuccarill/standins/tokens.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/tokens.py
@@ -1,4 +1,4 @@
-"""Make the tokens that an engine stand-in answers with."""
+"""Generate the tokens of an engine stand-in."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 VOCABULARY = 50_000
 
 
-def make(
+def generate(
     prompt: str, seed: int, version: int, positions: Iterable[int]
 ) -> list[int]:
-    """Return tokens that depend on these values and nothing else."""
+    """Return tokens that depend only on the arguments."""
     return [
         random.Random(f'{prompt}/{seed}/{version}/{i}').randrange(VOCABULARY)
         for i in positions
--- a/packages/yuccarill-standins/src/yuccarill/standins/writes.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/writes.py
@@ -1,4 +1,4 @@
-"""Record what became of writes, and hold some back by order."""
+"""Log writes with their outcomes, and delay writes on demand."""
 
 from __future__ import annotations
 
@@ -8,59 +8,59 @@
 import msgspec
 from twisted.internet import defer
 
-MAX_RECORDED = 1000
+MAX_LOGGED_WRITES = 1000
 
 
 class WriteOutcome(enum.Enum):
-    """Say what became of a write, whatever its sender was told."""
+    """Outcome of a write in the store, whatever reply the client got."""
 
     WRITTEN = 'written'
     REPLY_LOST = 'reply lost'
-    # The key's version was not the expected one.
+    # The key did not have the expected version.
     REFUSED = 'refused'
 
 
 class Write(msgspec.Struct, frozen=True, kw_only=True):
-    """Record one write in the order in which they were carried out."""
+    """One executed or refused write."""
 
     key: str
     expected: int | None
-    # The version that stands after the write.
+    # Version of the key after the write.
     version: int
     outcome: WriteOutcome
 
 
-class WriteRecord:
-    """Keep the last writes and those that are held back."""
+class WriteLog:
+    """Latest writes, and writes that are held back."""
 
     def __init__(self) -> None:
         self._writes: collections.deque[Write] = collections.deque(
-            maxlen=MAX_RECORDED
+            maxlen=MAX_LOGGED_WRITES
         )
         self._held: list[tuple[str, defer.Deferred[None]]] = []
 
-    def note(self, write: Write) -> None:
-        """Record a write that was carried out or refused."""
+    def add(self, write: Write) -> None:
+        """Record an executed or refused write."""
         self._writes.append(write)
 
-    def of(self, prefix: str) -> list[Write]:
+    def with_prefix(self, prefix: str) -> list[Write]:
         """Return the writes of keys that begin with a prefix."""
         return [
             write for write in self._writes if write.key.startswith(prefix)
         ]
 
-    def held(self) -> list[str]:
+    def held_keys(self) -> list[str]:
         """Return the keys whose writes are held back."""
         return [key for key, _ in self._held]
 
     def hold(self, key: str) -> defer.Deferred[None]:
         """Wait until held writes are released."""
-        waiting: defer.Deferred[None] = defer.Deferred()
-        self._held.append((key, waiting))
-        return waiting
+        released: defer.Deferred[None] = defer.Deferred()
+        self._held.append((key, released))
+        return released
 
     def release(self) -> None:
-        """Let held writes go on, the oldest first."""
+        """Release held writes, the oldest first."""
         held, self._held = self._held, []
-        for _, waiting in held:
-            waiting.callback(None)
+        for _, released in held:
+            released.callback(None)
--- a/packages/yuccarill-standins/tests/demo/test_promises.py
+++ b/packages/yuccarill-standins/tests/demo/test_promises.py
@@ -15,14 +15,14 @@
 ADDRESS = '127.0.0.1:1'
 
 
-class Counted:
-    """Hold records in which every promise is kept."""
+class KeptPromises:
+    """Records in which every promise holds."""
 
     def __init__(self):
         self.callers = records.CallerRecords(
             [
                 _ask('r', records.Kind.REPEATABLE),
-                _ask('once', records.Kind.ONCE, tries=2),
+                _ask('once', records.Kind.ONCE, attempt_count=2),
                 _ask('not', records.Kind.REPEATABLE, is_not_run=True),
             ]
         )
@@ -46,30 +46,30 @@
         self.watch = types.SimpleNamespace(
             revision_by_id={'a': 1, 'b': 1, 'c': 2},
             reverts=0,
-            looks=9,
+            polls=9,
             address_of=lambda name: ADDRESS,
             seconds_until=lambda *_: 1.0,
         )
 
     def broken(self):
-        """Return the numbers of the lines that do not hold."""
-        lines = promises.Promises(
+        """Return the numbers of the promises that do not hold."""
+        results = promises.Promises(
             self.callers,
             self.trainer,
             self.faults,
             self.evidence,
             self.watch,
-        ).lines()
-        return [n for n, line in enumerate(lines, 1) if not line.is_held]
+        ).results()
+        return [n for n, result in enumerate(results, 1) if not result.is_held]
 
 
-def _ask(name, kind, tries=1, is_not_run=False):
+def _ask(name, kind, attempt_count=1, is_not_run=False):
     outcome = records.Outcome.ANSWERED
     if is_not_run:
         outcome = records.Outcome.NOT_RUN
     attempts = [
         records.Attempt(ADDRESS, 11.0, 12.0, is_not_run=is_not_run)
-        for _ in range(tries)
+        for _ in range(attempt_count)
     ]
     return records.Ask(name, kind, 'c', 11.0, outcome, attempts=attempts)
 
@@ -85,23 +85,23 @@
     )
     for number in range(promises.SAMPLES_PER_STEP):
         group = number % trainer_module.GROUPS
-        made = tokens.make(f't step 1 group {group}', 7, 1, range(64))
-        span = {'weight_version': 1, 'tokens': made}
+        generated = tokens.generate(f't step 1 group {group}', 7, 1, range(64))
+        span = {'weight_version': 1, 'tokens': generated}
         step.samples.append({'id': number, 'group': group, 'spans': [span]})
     return step
 
 
-def _span(counted):
-    return counted.trainer.steps[0].samples[0]['spans'][0]
+def _span(kept):
+    return kept.trainer.steps[0].samples[0]['spans'][0]
 
 
-def _attempt(counted):
-    return counted.callers.asks[0].attempts[0]
+def _attempt(kept):
+    return kept.callers.asks[0].attempts[0]
 
 
 class PromisesTest(unittest.TestCase):
-    def test_kept_promises_hold(self):
-        self.assertEqual(Counted().broken(), [])
+    def test_no_promise_is_broken(self):
+        self.assertEqual(KeptPromises().broken(), [])
 
     @params(
         (1, lambda c: _span(c).update(weight_version=2)),
@@ -122,18 +122,18 @@
         (9, lambda c: setattr(c.watch, 'seconds_until', lambda *_: None)),
         (9, lambda c: setattr(c.watch, 'seconds_until', lambda *_: 3.5)),
     )
-    def test_each_breach_breaks_its_line(self, line, breach):
-        counted = Counted()
-        breach(counted)
-        self.assertEqual(counted.broken(), [line])
-
-    def test_run_before_a_refusal_is_a_breach_though_answered_later(self):
-        counted = Counted()
-        ask = counted.callers.asks[0]
+    def test_breach_breaks_its_promise(self, number, breach):
+        kept = KeptPromises()
+        breach(kept)
+        self.assertEqual(kept.broken(), [number])
+
+    def test_run_before_a_refusal_breaks_the_promise(self):
+        kept = KeptPromises()
+        ask = kept.callers.asks[0]
         ask.attempts.append(
             records.Attempt(ADDRESS, 0.5, 2.0, is_not_run=True)
         )
-        self.assertEqual(counted.broken(), [5])
+        self.assertEqual(kept.broken(), [5])
 
 
 _LOST = records.Outcome.LOST
--- a/packages/yuccarill-standins/tests/processes/test_apply.py
+++ b/packages/yuccarill-standins/tests/processes/test_apply.py
@@ -19,28 +19,22 @@
         self.base = self.site.status(self.site.addresses[0])['revision']
 
     def test_reply_is_lost_after_the_write_took_effect(self):
-        # The store writes the change and its reply is lost. The operator
-        # is told that its own change stands: reading the head back shows
-        # its change id. Told of a conflict instead, it would be refused for
-        # a change that is in force, by its own.
-        self._apply_and_lose_the_reply('change-lost', failing_reads=0)
+        # Guards against a change that is reported as a conflict with itself
+        # after the store's reply is lost.
+        self._apply_with_lost_reply('change-lost', failing_reads=0)
 
     def test_reply_and_the_first_read_back_are_lost(self):
-        # The store's reply to the write is lost, and the read that follows
-        # fails. Nothing said yet that another change came first, so the
-        # instance waits, reads once more and tells the operator that its
-        # change stands. Taken for a conflict, the lost reply would leave
-        # the operator with an unknown outcome.
-        self._apply_and_lose_the_reply('change-lost-twice', failing_reads=1)
+        # Guards against an unknown outcome after a lost reply and one failed
+        # read: the instance reads again and finds the change applied.
+        self._apply_with_lost_reply('change-lost-twice', failing_reads=1)
 
     def test_two_operators_race(self):
-        # Two operators change the same revision through two instances at
-        # once. One change stands everywhere; the other operator is told
-        # whose change stands, and nothing of its own comes into force.
+        # Guards against two concurrent changes that both succeed. The refused
+        # operator is told whose change was applied.
         racing = [
             self.site.pool.submit(
                 self.site.apply,
-                self.site.changed(name),
+                self.site.changed_inventory(name),
                 self.base,
                 number=number,
                 author=name,
@@ -50,14 +44,14 @@
         replies = dict(
             zip(OPERATORS, (f.result() for f in racing), strict=True)
         )
-        won = [name for name, r in replies.items() if r.status == 200]
-        self.assertEqual(len(won), 1, [r.body for r in replies.values()])
-        lost = replies[(set(OPERATORS) - set(won)).pop()]
-        self.assertEqual(lost.code, REVISION_CONFLICT)
-        self.assertIn(won[0], lost.json['message'])
+        accepted = [name for name, r in replies.items() if r.status == 200]
+        self.assertEqual(len(accepted), 1, [r.body for r in replies.values()])
+        refused = replies[(set(OPERATORS) - set(accepted)).pop()]
+        self.assertEqual(refused.code, REVISION_CONFLICT)
+        self.assertIn(accepted[0], refused.json['message'])
         self._wait_for_revision(self.base + 1)
 
-    def _apply_and_lose_the_reply(self, change_id, failing_reads):
+    def _apply_with_lost_reply(self, change_id, failing_reads):
         lose = {
             'lose_replies': 1,
             'fail_reads_after': failing_reads,
@@ -66,7 +60,9 @@
         self.site.admin('key_value', 'faults', lose)
         earlier = self.site.writes(head.HEAD_KEY)
         reply = self.site.apply(
-            self.site.changed(change_id), self.base, change_id=change_id
+            self.site.changed_inventory(change_id),
+            self.base,
+            change_id=change_id,
         )
         writes = self.site.writes(head.HEAD_KEY)[len(earlier) :]
         self.assertEqual([w['outcome'] for w in writes], ['reply lost'])
--- a/packages/yuccarill-standins/tests/processes/test_leaving.py
+++ b/packages/yuccarill-standins/tests/processes/test_leaving.py
@@ -13,7 +13,7 @@
 WATCHED_SECONDS = 1.0
 
 
-# Each test takes away an instance of its own, or none.
+# Each test stops at most one instance, and no two tests the same one.
 KILLED = 1
 STOPPED = 2
 STAYING = (0, 3)
@@ -25,17 +25,17 @@
         cls.site = harness.Deployment(4, flags=['--address-validity', '1'])
         cls.addClassCleanup(cls.site.close)
 
-    def test_planned_stop_cuts_nothing(self):
-        # Calls, a charge and a streamed answer are in flight when their
-        # instance is told to stop. Callers get all of them whole and find
-        # the instance no longer among the addresses; then it ends with 0.
-        # It stops giving out its address first and ends last.
-        self.site.order_targets({'seconds_per_call': SLOW_SECONDS})
-        self.addCleanup(self.site.order_targets, {'seconds_per_call': 0.002})
-        for engine in self.site.places.inventory['engines']:
+    def test_graceful_stop_cuts_nothing(self):
+        # Guards against requests and streams in flight that are cut by a
+        # graceful stop, and against an exit before they complete.
+        self.site.set_target_faults({'seconds_per_call': SLOW_SECONDS})
+        self.addCleanup(
+            self.site.set_target_faults, {'seconds_per_call': 0.002}
+        )
+        for engine in self.site.layout.inventory['engines']:
             order = {'seconds_per_chunk': SLOW_SECONDS / 8}
             self.site.admin(engine['address'], 'faults', order)
-        ticket = self.site.told(STOPPED)['ticket']
+        ticket = self.site.address_reply(STOPPED)['ticket']
         asked = [
             self.site.pool.submit(self.site.call, STOPPED, 'look-up', f's{n}')
             for n in range(6)
@@ -53,41 +53,41 @@
         leaving = self.site.addresses[STOPPED]
         for number in STAYING:
             harness.wait_for(
-                lambda n=number: leaving not in self.site.told(n)['addresses'],
-                'the stopping instance is no longer told',
+                lambda n=number: (
+                    leaving not in self.site.address_reply(n)['addresses']
+                ),
+                'the stopping instance is no longer listed',
             )
         statuses = [future.result().status for future in asked]
         self.assertEqual(statuses, [200] * 7)
         self.assertTrue(stream.result().body.endswith(b'{"done":true}\n'))
         self.assertEqual(self.site.exit_code(STOPPED), 0)
 
-    def test_killed_instance_is_no_longer_told(self):
-        # An instance dies and the platform's list goes on showing it as
-        # live. Callers that ask another instance soon get addresses
-        # without it, since peers notice what the list does not; repeatable
-        # calls through the others go on all the while.
+    def test_killed_instance_is_no_longer_listed(self):
+        # Guards against addresses of a dead instance that the platform still
+        # lists as live: its peers detect the failure.
         self.site.kill(KILLED)
         dead = self.site.addresses[KILLED]
         for number in STAYING:
             reply = self.site.call(number, 'look-up', f'k{number}')
             self.assertEqual(reply.status, 200, reply.body)
             harness.wait_for(
-                lambda n=number: dead not in self.site.told(n)['addresses'],
-                'the dead instance is no longer told',
+                lambda n=number: (
+                    dead not in self.site.address_reply(n)['addresses']
+                ),
+                'the dead instance is no longer listed',
             )
 
     def test_removed_target_gets_no_work(self):
-        # Callers call without a pause through every instance while an
-        # operator takes a target out of the inventory. Three seconds after
-        # the operator was told that the change stands, the target's own
-        # record shows no new work, and no caller has noticed anything.
-        is_ending = threading.Event()
-        self.addCleanup(is_ending.set)
+        # Guards against new work for a target after its removal from the
+        # inventory, and against failed calls during the change.
+        stop_event = threading.Event()
+        self.addCleanup(stop_event.set)
         callers = [
-            self.site.pool.submit(self._call_until, is_ending, number)
+            self.site.pool.submit(self._call_until, stop_event, number)
             for number in STAYING
         ]
-        inventory = copy.deepcopy(self.site.places.inventory)
+        inventory = copy.deepcopy(self.site.layout.inventory)
         harness.wait_for(self.site.runs, 'a target is in use')
         removed = max(
             inventory['targets'], key=lambda t: len(self._received(t))
@@ -96,7 +96,7 @@
         self.site.apply(inventory, base=1, expect=200)
         accepted_at = time.time()
         time.sleep(LEAVING_SECONDS + WATCHED_SECONDS)
-        is_ending.set()
+        stop_event.set()
         statuses = {status for c in callers for status in c.result()}
         self.assertEqual(statuses, {200})
         late = [
@@ -106,9 +106,9 @@
         ]
         self.assertEqual(late, [])
 
-    def _call_until(self, is_ending, number):
+    def _call_until(self, stop_event, number):
         statuses = []
-        while not is_ending.is_set():
+        while not stop_event.is_set():
             request_id = f'{number}-{len(statuses)}'
             reply = self.site.call(number, 'look-up', request_id)
             statuses.append(reply.status)
@@ -119,7 +119,7 @@
         return [run['received_at'] for run in runs]
 
     def _generate(self, number):
-        model = self.site.places.inventory['models'][0]['name']
+        model = self.site.layout.inventory['models'][0]['name']
         return harness.send(
             'POST',
             f'http://{self.site.addresses[number]}/v1/models/{model}/generate',
@@ -128,5 +128,5 @@
         )
 
     def _generates(self):
-        engines = self.site.places.inventory['engines']
+        engines = self.site.layout.inventory['engines']
         return any(self.site.admin(e['address'], 'runs') for e in engines)
--- a/packages/yuccarill-standins/tests/processes/test_once.py
+++ b/packages/yuccarill-standins/tests/processes/test_once.py
@@ -7,7 +7,7 @@
 from processes import harness
 
 OUTCOME_UNKNOWN = 1301
-# Each test takes away a home of its own.
+# Each test disturbs a home instance of its own.
 KILLED = 0
 PAUSED = 2
 SLOW_SECONDS = 1.0
@@ -17,22 +17,19 @@
 class OnceTest(unittest.TestCase):
     @classmethod
     def setUpClass(cls):
-        # A silent connection takes seconds to be noticed: it happens beside
-        # the other tests, to instances of its own.
+        # Detection of a silent connection takes seconds, so this scenario runs
+        # concurrently in its own deployment.
         pool = futures.ThreadPoolExecutor(1)
         cls.addClassCleanup(pool.shutdown)
         cls.silenced = pool.submit(_charge_over_silence)
         cls.site = harness.Deployment()
         cls.addClassCleanup(cls.site.close)
-        cls.site.order_targets({'seconds_per_call': SLOW_SECONDS})
+        cls.site.set_target_faults({'seconds_per_call': SLOW_SECONDS})
 
     def test_home_is_killed_while_its_charge_runs(self):
-        # The caller's connection breaks in the middle of its charge; it
-        # repeats it through another instance, before and after the target
-        # is done, and is told that the outcome is unknown each time. The
-        # only memory of the charge died with its home, so any instance
-        # that ran it again would charge twice.
-        ticket = self.site.told(KILLED)['ticket']
+        # Guards against a second charge after the home instance, which holds
+        # the only record of the first, is killed. The outcome is unknown.
+        ticket = self.site.address_reply(KILLED)['ticket']
         first = self.site.pool.submit(
             self.site.call, KILLED, 'charge', 'k1', ticket
         )
@@ -45,12 +42,10 @@
             self.assertFalse(reply.json['not_run'])
         self.assertEqual(len(self.site.runs('k1')), 1)
 
-    def test_home_stands_still_while_its_charge_is_repeated(self):
-        # The home is paused in the middle of a charge, and the caller
-        # repeats it through another instance, which gives up on the home.
-        # Once the home goes on, a repeat gets the first run's answer: it
-        # was paused, not restarted, and remembers.
-        ticket = self.site.told(PAUSED)['ticket']
+    def test_home_is_paused_while_its_charge_is_repeated(self):
+        # Guards against a second charge while the home instance is paused. A
+        # repeat after the pause gets the answer of the first run.
+        ticket = self.site.address_reply(PAUSED)['ticket']
         first = self.site.pool.submit(
             self.site.call, PAUSED, 'charge', 'p1', ticket
         )
@@ -67,13 +62,9 @@
         self.assertEqual(repeat.body, answer.body)
         self.assertEqual(len(self.site.runs('p1')), 1)
 
-    def test_silent_connection_between_instances_stays_silent(self):
-        # Something between two instances loses track of their connections:
-        # bytes are taken and go nowhere, while new connections work. A
-        # caller whose charge must pass over one of them may be told that
-        # the outcome is unknown, and gets its answer when it repeats the
-        # charge, as a silent connection is noticed and another opened. No
-        # charge runs twice.
+    def test_silent_connections_between_instances(self):
+        # Guards against a second charge, or repeats that never succeed, when
+        # the open connections between instances silently drop all bytes.
         before, opened, counts = self.silenced.result()
         self.assertEqual(before.status, 200, before.body)
         self.assertGreater(opened, 0)
@@ -93,9 +84,9 @@
 
 
 def _charge_over_silence_at(site):
-    ticket = site.told(1)['ticket']
+    ticket = site.address_reply(1)['ticket']
     before = site.call(0, 'charge', 'r0', ticket)
-    names = [instance['id'] for instance in site.places.instances]
+    names = [instance['id'] for instance in site.layout.instances]
     opened = sum(site.admin('relays', f'relays/{n}')['open'] for n in names)
     for name in names:
         order = {'mode': 'silence open'}
--- a/packages/yuccarill-standins/tests/processes/test_trainer_holder.py
+++ b/packages/yuccarill-standins/tests/processes/test_trainer_holder.py
@@ -17,46 +17,42 @@
 SECONDS_PER_CHUNK = 0.1
 FAILURES = (signal.SIGKILL, signal.SIGSTOP)
 NUMBER = 1
-# More than a holder can send before it is paused.
+# Holds every write of the holder until it is paused.
 HELD_WRITES = 100
-# A trainer that asks a paused holder waits until that goes on.
-PATIENT_SECONDS = 60.0
+# A request to a paused holder waits until it resumes.
+FETCH_SECONDS = 60.0
 
 
 class TrainerHolderTest(unittest.TestCase):
     @classmethod
     def setUpClass(cls):
-        # A lease takes seconds to lapse: the failures happen side by side,
-        # each to instances of its own.
+        # Leases take seconds to expire, so the scenarios run concurrently,
+        # each in its own deployment.
         pool = futures.ThreadPoolExecutor(len(FAILURES) + 1)
         cls.addClassCleanup(pool.shutdown)
         cls.bodies_by_failure = {
-            failure: pool.submit(_at_own_site, _deliver, failure)
+            failure: pool.submit(_run_in_deployment, _deliver, failure)
             for failure in FAILURES
         }
-        cls.late = pool.submit(_at_own_site, _decide_late)
+        cls.late = pool.submit(_run_in_deployment, _deliver_late)
 
     @params(*FAILURES)
     def test_holder_fails_in_the_middle_of_a_step(self, failure):
-        # The instance that works on a trainer's step dies, or is paused and
-        # still believes that it holds the duty. Another takes the step over
-        # and delivers it whole. The paused one goes on afterwards and tries
-        # to finish as well; its delivery loses, and whoever is asked gives
-        # the same bytes.
+        # Guards against a lost step or two different deliveries after the
+        # holder is killed, or paused past its lease and resumed.
         self._check_bodies(self.bodies_by_failure[failure].result())
 
     def test_paused_holder_decides_after_its_successor(self):
-        # The holder's delivery is on its way to the store when it is
-        # paused, with its lease still good. Another takes the step over and
-        # delivers it; then the first one's write arrives. It names the
-        # claim that the successor has replaced, so the store refuses it.
-        # Written over, the record would name samples that nobody was given.
-        end = self.late.result()
-        self._check_bodies(end.bodies)
-        self.assertIsInstance(end.decided, records.Manifest)
-        self.assertNotEqual(end.decided.holder, end.paused)
-        self.assertEqual(end.standing, end.decided)
-        self.assertEqual({w['outcome'] for w in end.late_writes}, {'refused'})
+        # Guards against a late write of a paused holder that overwrites the
+        # delivery of its successor. The store refuses its old version.
+        result = self.late.result()
+        self._check_bodies(result.bodies)
+        self.assertIsInstance(result.delivered, records.Manifest)
+        self.assertNotEqual(result.delivered.holder, result.paused)
+        self.assertEqual(result.stored_record, result.delivered)
+        self.assertEqual(
+            {w['outcome'] for w in result.late_writes}, {'refused'}
+        )
 
     def _check_bodies(self, bodies):
         first, *again = bodies
@@ -72,11 +68,11 @@
 
 
 class Step:
-    """Be one step as its trainer asks for it."""
+    """One step, as its trainer requests it."""
 
     def __init__(self, site):
         self._site = site
-        self._trainer = site.places.inventory['trainers'][0]['id']
+        self._trainer = site.layout.inventory['trainers'][0]['id']
         self.key = records.step_key(self._trainer, NUMBER)
 
     def submit(self, number):
@@ -93,16 +89,16 @@
         return harness.send('POST', self._url(number), step)
 
     def fetch(self, number):
-        """Return the step's bytes once it is delivered."""
+        """Return the delivered step, or None."""
         url = f'{self._url(number)}/{NUMBER}'
-        reply = harness.send('GET', url, seconds=PATIENT_SECONDS)
+        reply = harness.send('GET', url, seconds=FETCH_SECONDS)
         if reply.status == 404:
             self.submit(number)
         return reply.body if reply.status == 200 else None
 
     def holder(self):
-        """Return the instance that works on the step."""
-        value = self._site.standing(table.TABLE_KEY)
+        """Return the instance that holds the trainer's lease, or None."""
+        value = self._site.stored_value(table.TABLE_KEY)
         if value is None:
             return None
         shard = shards.shard_of(shards.trainer_duty(self._trainer))
@@ -110,8 +106,8 @@
         return found and found.instance
 
     def record(self):
-        """Return what the store keeps of the step."""
-        value = self._site.standing(self.key)
+        """Return the stored record of the step."""
+        value = self._site.stored_value(self.key)
         return value and records.decode(value)
 
     def _url(self, number):
@@ -119,21 +115,21 @@
         return f'http://{address}/v1/trainers/{self._trainer}/steps'
 
 
-class LateEnd:
-    """Hold what came of a decision that arrived late."""
+class LateResult:
+    """Result of a delivery that is written late."""
 
-    def __init__(self, paused, decided):
+    def __init__(self, paused, delivered):
         self.paused = paused
-        self.decided = decided
+        self.delivered = delivered
         self.late_writes = []
-        self.standing = None
+        self.stored_record = None
         self.bodies = []
 
 
-def _at_own_site(happens, *details):
+def _run_in_deployment(scenario, *details):
     site = harness.Deployment()
     try:
-        return happens(site, *details)
+        return scenario(site, *details)
     finally:
         site.close()
 
@@ -142,7 +138,7 @@
     return int(name.rpartition('-')[2]) - 1
 
 
-def _decide_late(site):
+def _deliver_late(site):
     step = Step(site)
     harness.wait_for(
         lambda: step.submit(0) and step.record(), 'the step is claimed'
@@ -151,34 +147,36 @@
     holder = _number_of(paused)
     others = [number for number in range(3) if number != holder]
     site.hold_writes(step.key, HELD_WRITES)
-    first = site.pool.submit(_fetched, step, holder)
+    first = site.pool.submit(_wait_for_step, step, holder)
     site.wait_for_held()
     site.signal(holder, signal.SIGSTOP)
     site.admin('key_value', 'faults', {'hold_writes': 0})
-    bodies = [_fetched(step, others[0])]
-    end = LateEnd(paused, step.record())
+    bodies = [_wait_for_step(step, others[0])]
+    result = LateResult(paused, step.record())
     earlier = len(site.writes(step.key))
     held = site.release_writes()
     harness.wait_for(
         lambda: len(site.writes(step.key)) >= earlier + len(held),
-        'late writes are carried out',
+        'late writes are executed',
     )
-    end.late_writes = site.writes(step.key)[earlier:]
-    end.standing = step.record()
+    result.late_writes = site.writes(step.key)[earlier:]
+    result.stored_record = step.record()
     site.signal(holder, signal.SIGCONT)
     bodies.append(first.result())
-    bodies += [_fetched(step, number) for number in (*others, holder)]
-    end.bodies = bodies
-    return end
+    bodies += [_wait_for_step(step, number) for number in (*others, holder)]
+    result.bodies = bodies
+    return result
 
 
-def _fetched(step, number):
-    return harness.wait_for(lambda: step.fetch(number), 'it is delivered')
+def _wait_for_step(step, number):
+    return harness.wait_for(
+        lambda: step.fetch(number), 'the step is delivered'
+    )
 
 
 def _deliver(site, failure):
-    """Return the step's bytes from each instance that is asked."""
-    engines = [e['address'] for e in site.places.inventory['engines']]
+    """Return the delivered step as several instances return it."""
+    engines = [e['address'] for e in site.layout.inventory['engines']]
     for address in engines:
         order = {'seconds_per_chunk': SECONDS_PER_CHUNK}
         site.admin(address, 'faults', order)
@@ -192,8 +190,8 @@
     )
     site.signal(holder, failure)
     asked = [number for number in range(3) if number != holder]
-    bodies = [_fetched(step, asked[0])]
+    bodies = [_wait_for_step(step, asked[0])]
     if failure is signal.SIGSTOP:
         site.signal(holder, signal.SIGCONT)
         asked.append(holder)
-    return bodies + [_fetched(step, number) for number in asked[1:]]
+    return bodies + [_wait_for_step(step, number) for number in asked[1:]]
--- a/packages/yuccarill-standins/tests/test_ports.py
+++ b/packages/yuccarill-standins/tests/test_ports.py
@@ -8,17 +8,20 @@
 
 
 class PortsTest(unittest.TestCase):
-    def test_nobody_else_chooses_a_chosen_port(self) -> None:
-        # Two fleets start side by side and draw the same port, before
-        # either has a process that listens on it. The second draws again.
+    def test_reserved_port_is_not_reserved_again(self) -> None:
+        # Guards against two concurrent test runs that reserve the same port.
         (first,) = ports.free(1)
-        draws = mock.Mock()
-        draws.randint.side_effect = [first, first - 1, *range(20_000, 20_100)]
-        with mock.patch.object(ports, '_source', draws):
+        random_source = mock.Mock()
+        random_source.randint.side_effect = [
+            first,
+            first - 1,
+            *range(20_000, 20_100),
+        ]
+        with mock.patch.object(ports, '_random', random_source):
             (second,) = ports.free(1)
         self.assertNotEqual(first, second)
 
-    def test_chosen_port_can_be_listened_on(self) -> None:
+    def test_reserved_port_accepts_a_listener(self) -> None:
         (port,) = ports.free(1)
         with socket.create_server((ports.LOOPBACK, port)) as server:
             self.assertEqual(server.getsockname()[1], port)
