--- a/packages/yuccarill-cli/src/yuccarill/cli/commands/apply.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/commands/apply.py
@@ -8,11 +8,11 @@
 
 import click
 
+from yuccarill.cli import current_configuration
 from yuccarill.cli import differences
 from yuccarill.cli import documents
 from yuccarill.cli.exit_codes import ExitCode
 from yuccarill.cli import failures
-from yuccarill.cli import standing as standing_module
 from yuccarill.core import errors
 from yuccarill.core.ids import ChangeId
 from yuccarill.core.ids import Revision
@@ -64,8 +64,8 @@
     change_id: ChangeId,
 ) -> None:
     if base is None:
-        current = await standing_module.read(session)
-        click.echo(standing_module.describe(current))
+        current = await current_configuration.read(session)
+        click.echo(current_configuration.describe(current))
         differences.print_list(
             differences.between(current.inventory, document.inventory)
         )
@@ -139,8 +139,8 @@
 
 
 async def _show_conflict(session: Session, document: LoadedDocument) -> None:
-    current = await standing_module.read(session)
-    click.echo(standing_module.describe(current), err=True)
+    current = await current_configuration.read(session)
+    click.echo(current_configuration.describe(current), err=True)
     changes_left = differences.between(current.inventory, document.inventory)
     text = 'would change:' if changes_left else 'would change nothing.'
     click.echo(f'Applying the file to this revision {text}', err=True)
--- a/packages/yuccarill-cli/src/yuccarill/cli/commands/audit.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/commands/audit.py
@@ -26,7 +26,7 @@
 @output.output_option
 @click.pass_obj
 def command(session: Session, last: int | None, form: OutputForm) -> None:
-    """Show one page of changes and the option for the page before it."""
+    """Show one page of changes; print the --last value of the earlier page."""
     path = 'operators/audit' if last is None else f'operators/audit/{last}'
     page = session.run(session.read(path, operators.AuditReply))
     if form is OutputForm.JSON:
--- a/packages/yuccarill-cli/src/yuccarill/cli/commands/capacity.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/commands/capacity.py
@@ -24,7 +24,7 @@
     """Show the capacity of services as one instance sees it.
 
     --address is the peer address of a gateway on the users' platform. Only the
-    broker, which is shown by name, knows the demand of all instances.
+    instance in the BROKER column knows the demand of all instances.
     """
     services = session.run(
         session.request(
--- a/packages/yuccarill-cli/src/yuccarill/cli/commands/diff.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/commands/diff.py
@@ -6,11 +6,11 @@
 
 import click
 
+from yuccarill.cli import current_configuration
 from yuccarill.cli import differences
 from yuccarill.cli import documents
 from yuccarill.cli import output
 from yuccarill.cli.output import OutputForm
-from yuccarill.cli import standing as standing_module
 
 if TYPE_CHECKING:
     import pathlib
@@ -25,14 +25,14 @@
 def command(session: Session, file: pathlib.Path, form: OutputForm) -> None:
     """Show the changes that applying FILE would make."""
     document = documents.load(file)
-    current = session.run(standing_module.read(session))
+    current = session.run(current_configuration.read(session))
     found = differences.between(current.inventory, document.inventory)
     if form is OutputForm.JSON:
         output.print_json({'base': current.revision, 'differences': found})
         return
-    click.echo(standing_module.describe(current))
+    click.echo(current_configuration.describe(current))
     differences.print_list(found)
     if found:
-        click.echo(f'Apply it with --base {current.revision}.')
+        click.echo(f'Apply the file with --base {current.revision}.')
     else:
         click.echo('Nothing differs.')
--- a/packages/yuccarill-cli/src/yuccarill/cli/commands/explain_steps.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/commands/explain_steps.py
@@ -10,7 +10,7 @@
 from yuccarill.cli import output
 from yuccarill.cli.output import OutputForm
 from yuccarill.cli import step_times
-from yuccarill.cli.step_times import Cause
+from yuccarill.cli.step_times import Phase
 from yuccarill.cli.step_times import StepTime
 
 
@@ -43,7 +43,7 @@
     _print_table(steps)
     if parsed.lines_left_out:
         click.echo(
-            f'{parsed.lines_left_out} lines are no log lines; skipped.',
+            f'Skipped {parsed.lines_left_out} lines that are not log lines.',
             err=True,
         )
 
@@ -61,14 +61,14 @@
         'resumed': step.resumed,
         'runs': step.runs,
         'seconds_by_cause': {
-            cause.value: round(seconds, 3)
-            for cause, seconds in step.seconds_by_cause.items()
+            phase.value: round(seconds, 3)
+            for phase, seconds in step.seconds_by_phase.items()
         },
     }
 
 
 def _print_table(steps: list[StepTime]) -> None:
-    headers = ['STEP', 'MODEL', 'SECONDS', *(c.name for c in Cause)]
+    headers = ['STEP', 'MODEL', 'SECONDS', *(c.name for c in Phase)]
     headers += ['EVENTS', 'RUNS', 'LAST ITEM']
     rows = [_row(step) for step in steps]
     if steps:
@@ -77,7 +77,7 @@
 
 
 def _row(step: StepTime) -> list[object]:
-    spent = [f'{step.seconds_by_cause[cause]:.2f}' for cause in Cause]
+    spent = [f'{step.seconds_by_phase[phase]:.2f}' for phase in Phase]
     seconds = f'{step.seconds:.2f}'
     return [
         step.step,
@@ -93,8 +93,8 @@
 def _mean_row(steps: list[StepTime]) -> list[object]:
     seconds = statistics.fmean(step.seconds for step in steps)
     spent = [
-        statistics.fmean(step.seconds_by_cause[cause] for step in steps)
-        for cause in Cause
+        statistics.fmean(step.seconds_by_phase[phase] for step in steps)
+        for phase in Phase
     ]
     return ['mean', None, *(f'{each:.2f}' for each in (seconds, *spent))] + [
         None
--- a/packages/yuccarill-cli/src/yuccarill/cli/commands/quarantine.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/commands/quarantine.py
@@ -25,7 +25,7 @@
 @output.output_option
 @click.pass_obj
 def command(session: Session, release: str | None, form: OutputForm) -> None:
-    """Show requests that are refused because targets exited running them.
+    """Show requests refused because targets exited while running them.
 
     --address is the peer address of a gateway on the users' platform.
     """
--- a/packages/yuccarill-cli/src/yuccarill/cli/commands/status.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/commands/status.py
@@ -44,7 +44,7 @@
     newest = max((i.revision or 0 for i in state.instances), default=0)
     behind = [i.id for i in state.instances if i.revision != newest]
     if behind:
-        click.echo(f'Revision {newest} is not known at {", ".join(behind)}.')
+        click.echo(f'No report of revision {newest} from {", ".join(behind)}.')
     else:
         click.echo(f'Revision {newest} is in force at all instances.')
 
--- a/packages/yuccarill-cli/src/yuccarill/cli/standing.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/current_configuration.py
@@ -28,7 +28,7 @@
 def describe(current: operators.Configuration) -> str:
     """Return a line that describes the current configuration."""
     if not current.revision:
-        return 'No revision was applied yet.'
+        return 'No revision has been applied yet.'
     return (
         f'Revision {current.revision} by {current.author} is current since '
         f'{times.format_utc(current.applied_at)}.'
--- a/packages/yuccarill-cli/src/yuccarill/cli/documents.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/documents.py
@@ -42,7 +42,7 @@
         raise _invalid_document(path, error.message.splitlines()) from error
     except (OSError, UnicodeDecodeError) as error:
         raise _invalid_document(
-            path, [f'{error}; the file must be UTF-8 text']
+            path, [f'{error}; the file must be readable UTF-8 text']
         ) from error
     raw = json.loads(text) if file_format == 'json' else tomllib.loads(text)
     return LoadedDocument(inventory, raw)
--- a/packages/yuccarill-cli/src/yuccarill/cli/exit_codes.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/exit_codes.py
@@ -9,7 +9,7 @@
     """Exit code of a command."""
 
     OK = 0
-    # An instance refused the request; stderr names the result code.
+    # The request was refused; stderr shows the result code.
     REFUSED = 1
     # Wrong options or arguments; click uses this code too.
     USAGE = 2
@@ -17,7 +17,7 @@
     UNREACHABLE = 3
     # The inventory document is invalid.
     INVALID = 4
-    # Another change was applied to the same base revision.
+    # Another change was applied after the base revision.
     CONFLICT = 5
     # Whether the change was applied is unknown.
     OUTCOME_UNKNOWN = 6
--- a/packages/yuccarill-cli/src/yuccarill/cli/failures.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/failures.py
@@ -24,7 +24,7 @@
 
 
 class Refused(CommandFailure):
-    """An instance refused the request."""
+    """The request was refused with a result code."""
 
     def __init__(self, code: int, name: str, message: str) -> None:
         super().__init__(
@@ -46,7 +46,7 @@
 
     def __init__(self, message: str, address: str = '') -> None:
         super().__init__(message, ExitCode.OUTCOME_UNKNOWN)
-        # The address that did not reply; later reads ask this address last.
+        # Address that did not reply; the audit trail is read there last.
         self.address = address
 
 
--- a/packages/yuccarill-cli/src/yuccarill/cli/output.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/output.py
@@ -56,7 +56,7 @@
 
 
 def format_value(value: object) -> str:
-    """Return a value on one line: text unquoted, anything else as JSON."""
+    """Format a value on one line: text unquoted, anything else as JSON."""
     if isinstance(value, str):
         return value
     return (
--- a/packages/yuccarill-cli/src/yuccarill/cli/session.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/session.py
@@ -46,7 +46,7 @@
         return result
 
     async def read(self, path: str, reply_type: type[T], last: str = '') -> T:
-        """Read from the first address that answers, trying one address last.
+        """Read from the first address that answers; try address `last` last.
 
         Raises Unreachable or Refused.
         """
@@ -108,8 +108,8 @@
             except transport_module.NotSent as error:
                 causes.append(f'Instance {address}: {error}')
             except transport_module.NoReply as error:
-                # The instance may still be writing the change. Sent again to
-                # the next address, the change would conflict with itself.
+                # The instance may still be writing the change, which would
+                # conflict with itself if it were sent to the next address.
                 raise failures.OutcomeUnknown(
                     f'Instance {address} did not answer ({error}). {subject} '
                     'may or may not have been applied.',
@@ -140,7 +140,7 @@
         refusal = msgspec.json.decode(reply.body, type=operators.ErrorReply)
     except msgspec.MsgspecError as error:
         raise failures.Unreachable(
-            f'The server at {address} is no instance of this version '
+            f'The server at {address} is not an instance of this version '
             f'({error}); check --address.'
         ) from error
     raise failures.Refused(refusal.code, refusal.name, refusal.message)
--- a/packages/yuccarill-cli/src/yuccarill/cli/step_times.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/step_times.py
@@ -1,4 +1,4 @@
-"""Compute from log lines the time that steps, as batch jobs, spend."""
+"""Compute from log lines how long each phase of a step took."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     from collections.abc import Iterable
 
 
-class Cause(enum.Enum):
+class Phase(enum.Enum):
     """Phase in which the last item of a step spent time."""
 
     PLACE = 'place'
@@ -40,7 +40,7 @@
     runs: int
     # Events that the item had before its first logged run.
     resumed: int
-    seconds_by_cause: dict[Cause, float]
+    seconds_by_phase: dict[Phase, float]
 
 
 @dataclasses.dataclass
@@ -139,13 +139,13 @@
     generation_seconds = sum(run.get('seconds', 0.0) for run in runs)
     started_at = _timestamp(runs[0]) - _duration(runs[0])
     last_run_at = _timestamp(runs[-1])
-    seconds_by_cause = {
-        Cause.PLACE: _seconds(started_at - job.asked_at),
-        Cause.GENERATION: generation_seconds,
-        Cause.MOVES: _seconds(last_run_at - started_at) - generation_seconds,
-        Cause.SCORE: _seconds(ended_at - last_run_at),
-        Cause.LISTING: _seconds(listed_at - ended_at),
-        Cause.READING: _seconds(job.ended_at - listed_at),
+    seconds_by_phase = {
+        Phase.PLACE: _seconds(started_at - job.asked_at),
+        Phase.GENERATION: generation_seconds,
+        Phase.MOVES: _seconds(last_run_at - started_at) - generation_seconds,
+        Phase.SCORE: _seconds(ended_at - last_run_at),
+        Phase.LISTING: _seconds(listed_at - ended_at),
+        Phase.READING: _seconds(job.ended_at - listed_at),
     }
     return StepTime(
         job=job.start_fields['job'],
@@ -158,7 +158,7 @@
         events=runs[-1]['events'],
         runs=len(runs),
         resumed=runs[0]['first'],
-        seconds_by_cause=seconds_by_cause,
+        seconds_by_phase=seconds_by_phase,
     )
 
 
--- a/packages/yuccarill-cli/src/yuccarill/cli/survey.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/survey.py
@@ -9,8 +9,8 @@
 import msgspec
 from twisted.internet import defer
 
+from yuccarill.cli import current_configuration
 from yuccarill.cli import failures
-from yuccarill.cli import standing as standing_module
 from yuccarill.core.ids import DataCentreId
 from yuccarill.core.ids import InstanceId
 from yuccarill.core.ids import Revision
@@ -79,7 +79,7 @@
         [semaphore.run(_start_read, session, instance) for instance in listed]
     )
     reported = [t for reply in replies if reply for t in reply.targets]
-    current = await standing_module.read(session)
+    current = await current_configuration.read(session)
     return Survey(
         instances=tuple(map(_instance_status, listed, replies)),
         targets=tuple(_target_statuses(current.inventory, reported)),
--- a/packages/yuccarill-cli/src/yuccarill/cli/transport.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/transport.py
@@ -27,7 +27,7 @@
 
 
 class Transport(Protocol):
-    """Send requests to instances; tests replace the implementation."""
+    """Interface for sending requests; tests use a fake implementation."""
 
     def send(
         self,
--- a/packages/yuccarill-cli/tests/commands/test_explain_steps.py
+++ b/packages/yuccarill-cli/tests/commands/test_explain_steps.py
@@ -89,7 +89,7 @@
     @params(
         ('several files', STEP[:4], STEP[4:]),
         ('prefix before the JSON', [f'1.0 entry-1 {each}' for each in STEP]),
-        ('lines that are no log lines', ['Traceback', '{"event"', *STEP]),
+        ('lines that are not log lines', ['Traceback', '{"event"', *STEP]),
     )
     def test_other_text_in_logs_is_ignored(self, _, *files):
         (step,) = self.steps(*files)
--- a/packages/yuccarill-cli/tests/commands/test_reads.py
+++ b/packages/yuccarill-cli/tests/commands/test_reads.py
@@ -69,7 +69,7 @@
     @params(
         (['addresses'], [ADDRESSES], f'{fakes.OTHER}\nValid until 1970'),
         (['show'], [CURRENT], 'Revision 2 by amina at 1970-01-01 00:00:00'),
-        (['status'], SURVEY, 'Revision 2 is not known at entry-2.'),
+        (['status'], SURVEY, 'No report of revision 2 from entry-2.'),
         (['audit'], [AUDIT], 'applied  c       models m, models n'),
         (['audit', '--last', '2'], [AUDIT], 'Earlier changes: --last 1'),
         (
@@ -122,7 +122,7 @@
         (
             transport.Reply(200, b'<html>'),
             ExitCode.UNREACHABLE,
-            'no instance of this version',
+            'not an instance of this version',
         ),
         (
             fakes.refusal(errors.StoreUnavailable('Down.')),
@@ -164,5 +164,5 @@
             fake = fakes.FakeTransport(CURRENT)
             result = fakes.invoke(fake, 'diff', str(file))
         marks = [line.strip() for line in result.output.splitlines()]
-        for expected in ('- m', '+ n', '- e', 'Apply it with --base 2.'):
+        for expected in ('- m', '+ n', '- e', 'Apply the file with --base 2.'):
             self.assertIn(expected, marks)
--- a/packages/yuccarill-standins/src/yuccarill/standins/__main__.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/__main__.py
@@ -15,7 +15,7 @@
 @click.argument('example', type=click.Path(path_type=pathlib.Path))
 @click.argument('folder', type=click.Path(path_type=pathlib.Path))
 def main(example: pathlib.Path, folder: pathlib.Path) -> None:
-    """Serve the stand-ins of EXAMPLE; write their addresses to FOLDER."""
+    """Serve stand-ins for inventory EXAMPLE; write addresses to FOLDER."""
 
     def start() -> None:
         starting = defer.Deferred.fromCoroutine(site.start(example, folder))
--- a/packages/yuccarill-standins/src/yuccarill/standins/batch.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/batch.py
@@ -17,7 +17,7 @@
         self._queue: list[tuple[int, int, defer.Deferred[None]]] = []
         self._numbers = itertools.count()
         self.in_flight = 0
-        # Loads with their start times, the latest last.
+        # Loads, each with the time since which it holds; the latest is last.
         self._loads: collections.deque[tuple[float, str]] = collections.deque(
             [(0.0, '0,0')]
         )
@@ -47,7 +47,7 @@
         self.in_flight -= 1
         self._record_load()
 
-    def load_at_lag(self, lag_seconds: float) -> str:
+    def load_before(self, lag_seconds: float) -> str:
         """Return "in_flight,queued" as of lag_seconds ago."""
         visible_until = time.monotonic() - lag_seconds
         while len(self._loads) > 1 and self._loads[1][0] <= visible_until:
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/address_book.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/address_book.py
@@ -10,7 +10,7 @@
 from yuccarill.standins import server
 
 RETRY_SECONDS = 0.1
-# Renewal before expiry, so that no request starts with addresses that expire.
+# Margin before expiry, so that addresses stay valid during a request.
 RENEW_SECONDS = 0.5
 
 
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/answers.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/answers.py
@@ -15,20 +15,20 @@
 SEED = 0
 
 
-def is_own_call(ask: Ask, body: Any, reply: Reply) -> bool:
+def is_valid_answer(ask: Ask, body: Any, reply: Reply) -> bool:
     """Check the answer of a plain service; record what is wrong."""
     payload = _parse_json(reply.body)
-    is_own = (
+    is_valid = (
         isinstance(payload, dict)
         and payload.get('request_id') == ask.request_id
         and json.loads(payload.get('body') or 'null') == body
     )
-    if not is_own:
+    if not is_valid:
         ask.detail = f'answer to another request: {reply.body[:200]!r}'
-    return is_own
+    return is_valid
 
 
-def is_own_stream(ask: Ask, count: int, reply: Reply) -> bool:
+def is_valid_stream(ask: Ask, count: int, reply: Reply) -> bool:
     """Check a streamed answer; record what is wrong."""
     lines = [_parse_json(line) for line in reply.body.splitlines()]
     if not lines or lines[-1] != {'done': True}:
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/caller.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/caller.py
@@ -49,7 +49,7 @@
         await self._retry_until_settled(
             ask,
             lambda address: self._attempt(ask, address, url_path, body),
-            lambda reply: answers.is_own_call(ask, body, reply),
+            lambda reply: answers.is_valid_answer(ask, body, reply),
         )
         return ask
 
@@ -60,7 +60,7 @@
         await self._retry_until_settled(
             ask,
             lambda address: self._attempt(ask, address, url_path, body),
-            lambda reply: answers.is_own_stream(ask, STREAM_TOKENS, reply),
+            lambda reply: answers.is_valid_stream(ask, STREAM_TOKENS, reply),
         )
         return ask
 
@@ -92,7 +92,7 @@
         bodies = {r.body for r in replies if r is not None and r.status == 200}
         if bodies:
             are_own = all(
-                answers.is_own_call(ask, body, client.Reply(200, one))
+                answers.is_valid_answer(ask, body, client.Reply(200, one))
                 for one in bodies
             )
             is_right = are_own and len(bodies) == 1
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/callers.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/callers.py
@@ -30,7 +30,7 @@
         self._seed = 0
 
     async def run(self) -> None:
-        """Send requests until end() is called and every request is settled."""
+        """Send requests until end() is called and the last ones have ended."""
         inventory = self._layout.inventory
         service = inventory['services'][0]
         repeatable = f'services/{service["name"]}/look-up'
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/faults.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/faults.py
@@ -58,23 +58,23 @@
     async def slow_engines(self, seconds: float) -> None:
         """Set the seconds per chunk of tokens."""
         for engine in self._layout.inventory['engines']:
-            order = {'seconds_per_chunk': seconds}
-            await _send_order(engine['address'], 'faults', order)
+            changes = {'seconds_per_chunk': seconds}
+            await _put_admin(engine['address'], 'faults', changes)
 
     async def close_targets(self) -> None:
         """Make every plain target refuse connections for a time."""
         click.echo('All plain targets refuse connections for a time.')
         for target in self._layout.inventory['targets']:
-            await _send_order(target['address'], 'close', CLOSED_SECONDS)
+            await _put_admin(target['address'], 'close', CLOSED_SECONDS)
         await server.sleep(CLOSED_SECONDS)
 
     async def freeze_target(self) -> None:
         """Freeze one plain target for a time."""
         target = self._layout.inventory['targets'][0]
         click.echo(f'Target {target["id"]} is frozen for a time.')
-        await _send_order(target['address'], 'faults', {'is_frozen': True})
+        await _put_admin(target['address'], 'faults', {'is_frozen': True})
         await server.sleep(FROZEN_SECONDS)
-        await _send_order(target['address'], 'faults', {'is_frozen': False})
+        await _put_admin(target['address'], 'faults', {'is_frozen': False})
 
     async def inject_engine_faults(self) -> None:
         """Inject faults into engines and scorers."""
@@ -84,16 +84,16 @@
             f'streams and {third["id"]} crashes. Scorers fail, reply twice '
             'and reply for other samples.'
         )
-        await _send_order(first['address'], 'faults', {'fail_swaps': 2})
-        await _send_order(second['address'], 'faults', {'cut_streams': 3})
+        await _put_admin(first['address'], 'faults', {'fail_swaps': 2})
+        await _put_admin(second['address'], 'faults', {'cut_streams': 3})
         for scorer in self._layout.inventory['scorers']:
-            await _send_order(scorer['address'], 'faults', SCORER_FAULTS)
-        await _send_order(third['address'], 'faults', {'is_crashed': True})
+            await _put_admin(scorer['address'], 'faults', SCORER_FAULTS)
+        await _put_admin(third['address'], 'faults', {'is_crashed': True})
         await server.sleep(CRASHED_SECONDS)
-        await _send_order(third['address'], 'faults', {'is_crashed': False})
+        await _put_admin(third['address'], 'faults', {'is_crashed': False})
 
     async def kill_instance(self) -> None:
-        """Kill the trainer's instance; the platform notices after a delay."""
+        """Kill the holder of the trainer's lease; delist it after a delay."""
         holder = await duties.trainer_holder(self._layout)
         instance = next(
             (entry for entry in self._live_instances if entry['id'] == holder),
@@ -158,7 +158,7 @@
         await client.send(method, url, instance)
 
 
-async def _send_order(address: str, path: str, value: Any) -> None:
+async def _put_admin(address: str, path: str, value: Any) -> None:
     await client.send('PUT', f'http://{address}/admin/{path}', value)
 
 
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/places.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/places.py
@@ -27,7 +27,6 @@
         return [address_of(instance) for instance in self.instances]
 
     def pid(self, name: str) -> int:
-        """Return the process id of an instance."""
         return int((self.folder / f'{name}.pid').read_text())
 
 
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/prepare.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/prepare.py
@@ -14,7 +14,7 @@
     import pathlib
 
 INSTANCES = 6
-# The first instances have a disk, each in another data centre.
+# The first instances have a disk, each in its own data centre.
 DISK_INSTANCES = 3
 
 
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/promises.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/promises.py
@@ -38,7 +38,7 @@
 
 
 class Promises:
-    """Check each promise in a method of its own.
+    """Check the promises, each in its own method.
 
     A promise without any observation counts as broken, not as held.
     """
@@ -229,7 +229,7 @@
         runs = self._evidence.runs_by_request.get(ask.request_id, [])
         if ask.outcome is records.Outcome.NOT_RUN:
             return bool(runs)
-        # A later attempt can run; a run before the refusal is a breach.
+        # A later attempt may run; a run before the refusal breaks the promise.
         refused_at = max(a.ended_at for a in ask.attempts if a.is_not_run)
         return any(run['run_at'] < refused_at for run in runs)
 
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/records.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/records.py
@@ -63,7 +63,6 @@
     asks: list[Ask] = []
 
     def of_kind(self, *kinds: Kind) -> list[Ask]:
-        """Return the requests of the given kinds."""
         return [ask for ask in self.asks if ask.kind in kinds]
 
     def count(self, outcome: Outcome, *kinds: Kind) -> int:
@@ -72,5 +71,4 @@
         return sum(ask.outcome is outcome for ask in asks)
 
     def attempts(self) -> list[Attempt]:
-        """Return the attempts of all requests."""
         return [attempt for ask in self.asks for attempt in ask.attempts]
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/trainer.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/trainer.py
@@ -114,8 +114,8 @@
             if reply is not None:
                 record.detail = f'{reply.status} {reply.body[:300]!r}'
             if reply is not None and reply.status == 404:
-                # The step was lost or never accepted. Submitting it again
-                # is idempotent, since its number stays the same.
+                # The step was lost or never accepted. Submitting a step
+                # again under the same number is idempotent.
                 await self._send('POST', 'steps', request)
             await server.sleep(POLL_SECONDS)
         return None
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/watch.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/watch.py
@@ -44,7 +44,7 @@
     def seconds_until(
         self, revision: int, since: float, names: set[str]
     ) -> float | None:
-        """Return the seconds until all named instances had a revision."""
+        """Return the seconds until all instances had a revision, or None."""
         seen_at = [self.first_seen.get((name, revision)) for name in names]
         known = [at for at in seen_at if at is not None]
         if not names or len(known) < len(seen_at):
@@ -52,7 +52,6 @@
         return max(known) - since
 
     def address_of(self, name: str) -> str:
-        """Return the address of an instance."""
         instances_by_id = {
             entry['id']: entry for entry in self._layout.instances
         }
--- a/packages/yuccarill-standins/src/yuccarill/standins/engine.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/engine.py
@@ -46,14 +46,14 @@
     prefill_seconds: float = 0.01
     cached_prompts: int = 64
     cache_events_lag: float = 0.5
-    # Drops each event whose number is a multiple of this; 0 drops none.
+    # Drops events whose number is a multiple of this value; 0 drops none.
     cache_events_gap: int = 0
     load_lag: float = 0.2
     # Number of next streams that are cut after their first chunk.
     cut_streams: int = 0
     # Generations and orders make no progress while this is set.
     is_frozen: bool = False
-    # Every connection is closed, also those with a stream in progress.
+    # Connections are aborted, also those with a stream in progress.
     is_crashed: bool = False
 
 
@@ -196,7 +196,7 @@
         return server.reply_json(request, value, status)
 
     def _set_load(self, request: IRequest) -> None:
-        load = self._batch.load_at_lag(self._faults.current.load_lag)
+        load = self._batch.load_before(self._faults.current.load_lag)
         request.setHeader('Yuccarill-Load', load)
 
     def _state(self) -> dict[str, Any]:
--- a/packages/yuccarill-standins/src/yuccarill/standins/instance_list.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/instance_list.py
@@ -34,7 +34,7 @@
 
     def __init__(self) -> None:
         self._faults = faults.FaultControl(InstanceListFaults())
-        # States of the list with their start times, the latest last.
+        # States of the list, each with the time of its change; latest last.
         self._history: list[tuple[float, Entries]] = [(0.0, {})]
         self._reads = 0
 
--- a/packages/yuccarill-standins/src/yuccarill/standins/key_space.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/key_space.py
@@ -24,7 +24,6 @@
         return self._values_by_key.get(key, (0, b''))
 
     def version(self, key: str) -> int:
-        """Return a key's version."""
         return self.get(key)[0]
 
     def versions(self, prefix: str) -> dict[str, int]:
--- a/packages/yuccarill-standins/src/yuccarill/standins/key_value.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/key_value.py
@@ -33,7 +33,7 @@
     lose_replies: int = 0
     # Number of reads that fail with status 503 after each lost reply.
     fail_reads_after: int = 0
-    # Seconds until a write takes effect, even if its client has gone.
+    # Seconds until a write takes effect, even if the client disconnects.
     delay_writes: float = 0.0
     # Number of next writes that wait until they are released.
     hold_writes: int = 0
@@ -133,8 +133,8 @@
         refusal = await self._refusal(request, 'write')
         if refusal is not None:
             return refusal
-        # A client that disconnects cancels its request. The chained deferred
-        # keeps that from cancelling the write, which takes effect later.
+        # If the client disconnects, klein cancels the deferred of the reply.
+        # The write has a separate deferred, so it still takes effect.
         answer: defer.Deferred[bytes] = defer.Deferred()
         writing = defer.ensureDeferred(
             self._execute_write(request, key, value, lease_seconds)
--- a/packages/yuccarill-standins/src/yuccarill/standins/memory.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/memory.py
@@ -109,7 +109,7 @@
 
     def _write(self, key: str, value: bytes, expected: int) -> int:
         if self.peek(key).version != expected:
-            raise errors.StoreConflict('Another write came first.')
+            raise errors.StoreConflict('Another write changed the key first.')
         self._version += 1
         self._entries_by_key[key] = Entry(self._version, value)
         for watcher in self._watchers_by_key.pop(key, []):
@@ -159,7 +159,7 @@
         self.sent_by_kind: collections.Counter[str] = collections.Counter()
 
     def peers_of(self, instance: Instance) -> MemoryPeers:
-        """Return the peer client of an instance."""
+        """Return a client that sends requests of an instance to its peers."""
         return MemoryPeers(self, instance)
 
     async def carry(
@@ -179,7 +179,7 @@
 
 
 class MemoryPeers:
-    """Peer client of one instance."""
+    """Client through which one instance sends requests to its peers."""
 
     def __init__(self, network: MemoryNetwork, instance: Instance) -> None:
         self._network = network
--- a/packages/yuccarill-standins/src/yuccarill/standins/plain_target.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/plain_target.py
@@ -25,7 +25,7 @@
     fail_calls: int = 0
     # Number of next calls that run and whose reply is lost.
     lose_replies: int = 0
-    # Calls are accepted and run only after this is cleared.
+    # Calls are accepted but do not run while this is set.
     is_frozen: bool = False
 
 
--- a/packages/yuccarill-standins/src/yuccarill/standins/ports.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/ports.py
@@ -12,7 +12,7 @@
 LAST_PORT = 32_000
 
 _random = random.SystemRandom()
-# Sockets that are bound and never listen, so that concurrent processes can't
+# Sockets that are bound but never listen, so that concurrent processes can't
 # reserve the same port. SO_REUSEADDR lets the intended process listen on it.
 _reservations: list[socket.socket] = []
 
--- a/packages/yuccarill-standins/src/yuccarill/standins/relay.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/relay.py
@@ -18,14 +18,14 @@
 
 
 class Mode(enum.Enum):
-    """What a relay does with its connections."""
+    """How a relay treats its connections."""
 
     FORWARD = 'forward'
-    # Closes open connections and all later ones.
+    # Aborts open connections and all later ones.
     CUT = 'cut'
     # Accepts bytes and forwards none, also on later connections.
     SILENT = 'silent'
-    # Never forwards on connections open now; later connections work.
+    # Silences open connections until they close; later ones are forwarded.
     SILENCE_OPEN = 'silence open'
     # Forwards bytes from clients, and none from servers.
     ONE_WAY = 'one way'
@@ -109,7 +109,7 @@
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
         self.relay.connections.discard(self)
-        # A silent relay does not report the close to the server either.
+        # A relay that drops bytes from the client drops its close, too.
         if self.server is not None and self.relay.is_forwarding(self, True):
             self.server.transport.loseConnection()
 
--- a/packages/yuccarill-standins/src/yuccarill/standins/scorer.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/scorer.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from twisted.web.iweb import IRequest
 
-SCORE_STEPS = 1000
+SCORE_LEVELS = 1000
 
 
 class ScorerFaults(msgspec.Struct, forbid_unknown_fields=True):
@@ -66,7 +66,7 @@
 
 def score_of(tokens: list[int]) -> float:
     """Return the score of a sample with these tokens."""
-    return sum(tokens) % SCORE_STEPS / SCORE_STEPS
+    return sum(tokens) % SCORE_LEVELS / SCORE_LEVELS
 
 
 def _send_duplicate(request: IRequest, reply: bytes) -> None:
--- a/packages/yuccarill-standins/src/yuccarill/standins/server.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/server.py
@@ -34,7 +34,6 @@
 
 
 def address_of(listening: Any) -> str:
-    """Return the address of a listening port."""
     return f'{LOOPBACK}:{listening.getHost().port}'
 
 
--- a/packages/yuccarill-standins/src/yuccarill/standins/weight_store.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/weight_store.py
@@ -22,9 +22,9 @@
 class WeightStoreFaults(msgspec.Struct, forbid_unknown_fields=True):
     """Limits, faults and delays of the weight store."""
 
-    # Further calls are answered with status 429.
+    # Calls above this rate are answered with status 429.
     max_calls_per_second: int = 100
-    # Further concurrent downloads are answered with status 429.
+    # Concurrent downloads above this number are answered with status 429.
     max_downloads: int = 8
     bytes_per_second: float = 1e9
     seconds_per_call: float = 0.0
--- a/packages/yuccarill-standins/src/yuccarill/standins/writes.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/writes.py
@@ -50,11 +50,10 @@
         ]
 
     def held_keys(self) -> list[str]:
-        """Return the keys whose writes are held back."""
         return [key for key, _ in self._held]
 
     def hold(self, key: str) -> defer.Deferred[None]:
-        """Wait until held writes are released."""
+        """Return a deferred that fires when held writes are released."""
         released: defer.Deferred[None] = defer.Deferred()
         self._held.append((key, released))
         return released
--- a/packages/yuccarill-standins/tests/processes/harness.py
+++ b/packages/yuccarill-standins/tests/processes/harness.py
@@ -1,4 +1,4 @@
-"""Run instances against stand-ins and make them fail."""
+"""Run instances against stand-ins and inject failures."""
 
 from __future__ import annotations
 
@@ -174,12 +174,12 @@
             instance = {**instance, 'peer_port': port}
         self.admin('instance_list', f'instances/{instance["id"]}', instance)
 
-    def admin(self, part, place, value=None):
+    def admin(self, service, path, value=None):
         """Read an admin resource of a stand-in, or change it."""
-        address = self.layout.platform.get(part, part)
+        address = self.layout.platform.get(service, service)
         method = 'GET' if value is None else 'PUT'
-        reply = send(method, f'http://{address}/admin/{place}', value)
-        assert reply.status == 200, (place, reply.status, reply.body)
+        reply = send(method, f'http://{address}/admin/{path}', value)
+        assert reply.status == 200, (path, reply.status, reply.body)
         return reply.json
 
     def writes(self, prefix):
@@ -188,8 +188,8 @@
 
     def hold_writes(self, prefix, count=1):
         """Make the store hold the next writes of keys with a prefix."""
-        order = {'hold_writes': count, 'only_keys': prefix}
-        self.admin('key_value', 'faults', order)
+        changes = {'hold_writes': count, 'only_keys': prefix}
+        self.admin('key_value', 'faults', changes)
 
     def wait_for_held(self):
         """Wait until the store holds a write."""
--- a/packages/yuccarill-standins/tests/processes/test_leaving.py
+++ b/packages/yuccarill-standins/tests/processes/test_leaving.py
@@ -13,7 +13,7 @@
 WATCHED_SECONDS = 1.0
 
 
-# Each test stops at most one instance, and no two tests the same one.
+# Each test stops at most one instance, each time a different one.
 KILLED = 1
 STOPPED = 2
 STAYING = (0, 3)
@@ -33,8 +33,8 @@
             self.site.set_target_faults, {'seconds_per_call': 0.002}
         )
         for engine in self.site.layout.inventory['engines']:
-            order = {'seconds_per_chunk': SLOW_SECONDS / 8}
-            self.site.admin(engine['address'], 'faults', order)
+            changes = {'seconds_per_chunk': SLOW_SECONDS / 8}
+            self.site.admin(engine['address'], 'faults', changes)
         ticket = self.site.address_reply(STOPPED)['ticket']
         asked = [
             self.site.pool.submit(self.site.call, STOPPED, 'look-up', f's{n}')
--- a/packages/yuccarill-standins/tests/processes/test_once.py
+++ b/packages/yuccarill-standins/tests/processes/test_once.py
@@ -7,7 +7,7 @@
 from processes import harness
 
 OUTCOME_UNKNOWN = 1301
-# Each test disturbs a home instance of its own.
+# Each test disrupts a different home instance.
 KILLED = 0
 PAUSED = 2
 SLOW_SECONDS = 1.0
@@ -89,8 +89,8 @@
     names = [instance['id'] for instance in site.layout.instances]
     opened = sum(site.admin('relays', f'relays/{n}')['open'] for n in names)
     for name in names:
-        order = {'mode': 'silence open'}
-        site.admin('relays', f'relays/{name}/faults', order)
+        changes = {'mode': 'silence open'}
+        site.admin('relays', f'relays/{name}/faults', changes)
     for request_id in REPEATED:
         harness.wait_for(
             lambda r=request_id: (
--- a/packages/yuccarill-standins/tests/processes/test_store_outage.py
+++ b/packages/yuccarill-standins/tests/processes/test_store_outage.py
@@ -54,7 +54,7 @@
 
     def test_write_takes_effect_after_the_store_timeout(self):
         # Guards against a fencing write that reverts a change which the store
-        # executed after the timeout. The store refuses the fence's version.
+        # executed after the timeout. The store refuses the stale version.
         result = self.results_by_outage['late writes'].result()
         self.assertEqual(result.call_statuses, [200] * INSTANCES)
         self.assertEqual(result.reply.status, 200, result.reply.body)
--- a/packages/yuccarill-standins/tests/processes/test_trainer_holder.py
+++ b/packages/yuccarill-standins/tests/processes/test_trainer_holder.py
@@ -44,7 +44,7 @@
 
     def test_paused_holder_decides_after_its_successor(self):
         # Guards against a late write of a paused holder that overwrites the
-        # delivery of its successor. The store refuses its old version.
+        # delivery of its successor. The store refuses the stale version.
         result = self.late.result()
         self._check_bodies(result.bodies)
         self.assertIsInstance(result.delivered, records.Manifest)
@@ -178,8 +178,8 @@
     """Return the delivered step as several instances return it."""
     engines = [e['address'] for e in site.layout.inventory['engines']]
     for address in engines:
-        order = {'seconds_per_chunk': SECONDS_PER_CHUNK}
-        site.admin(address, 'faults', order)
+        changes = {'seconds_per_chunk': SECONDS_PER_CHUNK}
+        site.admin(address, 'faults', changes)
     step = Step(site)
     step.submit(0)
     name = harness.wait_for(step.holder, 'the trainer has a holder')
--- a/packages/yuccarill-standins/tests/test_batch.py
+++ b/packages/yuccarill-standins/tests/test_batch.py
@@ -15,7 +15,7 @@
             waiting = defer.ensureDeferred(queue.acquire(priority, slots=1))
             waiting.addCallback(lambda _, name=name: admitted.append(name))
         self.assertEqual(admitted, ['a'])
-        self.assertEqual(queue.load_at_lag(0.0), '1,3')
+        self.assertEqual(queue.load_before(0.0), '1,3')
         for _ in range(3):
             queue.release()
         self.assertEqual(admitted, ['a', 'c', 'd', 'b'])
