--- a/packages/yuccarill-cli/src/yuccarill/cli/commands/diff.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/commands/diff.py
@@ -1,4 +1,4 @@
-"""Compare an inventory document with what stands."""
+"""Compare an inventory document with the current configuration."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 import click
 
+from yuccarill.cli import current_configuration
 from yuccarill.cli import differences
 from yuccarill.cli import documents
 from yuccarill.cli import output
 from yuccarill.cli.output import OutputForm
-from yuccarill.cli import standing as standing_module
 
 if TYPE_CHECKING:
     import pathlib
@@ -19,20 +19,20 @@
 
 
 @click.command('diff')
-@documents.argument
-@output.option
+@documents.file_argument
+@output.output_option
 @click.pass_obj
 def command(session: Session, file: pathlib.Path, form: OutputForm) -> None:
-    """Show what applying FILE would change."""
-    loaded = documents.load(file)
-    standing = session.run(standing_module.read(session))
-    found = differences.between(standing.inventory, loaded.inventory)
+    """Show the changes that applying FILE would make."""
+    document = documents.load(file)
+    current = session.run(current_configuration.read(session))
+    found = differences.between(current.inventory, document.inventory)
     if form is OutputForm.JSON:
-        output.print_json({'base': standing.revision, 'differences': found})
+        output.print_json({'base': current.revision, 'differences': found})
         return
-    click.echo(standing_module.describe(standing))
+    click.echo(current_configuration.describe(current))
     differences.print_list(found)
     if found:
-        click.echo(f'Apply it with --base {standing.revision}.')
+        click.echo(f'Apply the file with --base {current.revision}.')
     else:
         click.echo('Nothing differs.')
