--- a/packages/yuccarill-daemon/tests/controllers/test_configuration.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_configuration.py
@@ -238,7 +238,7 @@
         self.assertEqual(1, len(refused))
         self.assertRefused(errors.RevisionConflict, refused)
         message = refused[0].value.message
-        self.assertRegex(message, 'Revision 2 by operator-[01] stands')
+        self.assertRegex(message, 'Revision 2 by operator-[01] is current')
         self.assertRegex(message, 'models b[01]')
         self.assertEqual({2}, self.revisions())
 
