--- a/packages/yuccarill-core/src/yuccarill/core/blackboard.py
+++ b/packages/yuccarill-core/src/yuccarill/core/blackboard.py
@@ -20,8 +20,8 @@
 class Blackboard:
     """Hold the state that controllers read and write."""
 
-    me: Instance
-    head: Snapshot | None = None
+    own_instance: Instance
+    snapshot: Snapshot | None = None
     instances_by_id: dict[InstanceId, Instance] = dataclasses.field(
         default_factory=dict
     )
--- a/packages/yuccarill-core/src/yuccarill/core/config/apply.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/apply.py
@@ -13,7 +13,7 @@
 from yuccarill.core.config.head import Change
 from yuccarill.core.config.head import Head
 from yuccarill.core.config.inventory import Inventory
-from yuccarill.core.config import store
+from yuccarill.core.config import store_actions
 from yuccarill.core import errors
 from yuccarill.core.ids import ChangeId
 from yuccarill.core.ids import Revision
@@ -61,14 +61,16 @@
 
 def apply(
     request: ApplyRequest, local: Snapshot | None = None
-) -> store.Decision[ApplyResult]:
+) -> store_actions.StoreProcedure[ApplyResult]:
     """Write the next revision.
 
     Raises RevisionConflict, InventoryInvalid or StoreUnavailable if the
     change has not taken effect and never will, ApplyOutcomeUnknown if the
     outcome is unknown; `settle` finds the outcome once the service answers.
     """
-    head, version = yield from documents.read_head(store.Step.READ_HEAD)
+    head, version = yield from documents.read_head(
+        store_actions.StoreStep.READ_HEAD
+    )
     for _ in range(MAX_SWAPS):
         change = yield from _find_committed(head, request)
         if change is not None:
@@ -76,31 +78,31 @@
         if head.revision != request.base:
             raise conflict(request.base, head)
         inventory = yield from _current_inventory(head, local)
-        delta = deltas.between(inventory, request.inventory)
+        delta = deltas.delta_between(inventory, request.inventory)
         if delta.is_empty:
             return _unchanged_result(head)
         new_head = yield from _next_head(head, inventory, request, delta)
-        outcome = yield store.Swap(
-            store.Step.SWAP_HEAD,
+        outcome = yield store_actions.Swap(
+            store_actions.StoreStep.SWAP_HEAD,
             head_module.HEAD_KEY,
             head_module.encode(new_head),
             version,
         )
         match outcome:
-            case store.Swapped():
+            case store_actions.Swapped():
                 return _applied_result(new_head.changes[-1], new_head)
-            case store.Conflict():
+            case store_actions.Conflict():
                 # The other write may be a fence, which keeps the revision;
                 # this change can still be applied then.
                 head, version = yield from _read_back(request)
             case _:
-                return (yield from settle(request, version))
-    return (yield from settle(request, version))
+                return (yield from resolve_outcome(request, version))
+    return (yield from resolve_outcome(request, version))
 
 
-def settle(
+def resolve_outcome(
     request: ApplyRequest, expected: int | None
-) -> store.Decision[ApplyResult]:
+) -> store_actions.StoreProcedure[ApplyResult]:
     """Find the outcome of a swap whose reply was lost.
 
     `expected` is the version that the swap expected, None if unknown.
@@ -108,10 +110,10 @@
     """
     for attempt in range(MAX_SETTLE_ATTEMPTS):
         if attempt:
-            yield store.Wait(SETTLE_WAIT_SECONDS)
+            yield store_actions.Wait(SETTLE_WAIT_SECONDS)
         try:
             head, version = yield from documents.read_head(
-                store.Step.READ_BACK
+                store_actions.StoreStep.READ_BACK
             )
             change = yield from _find_committed(head, request)
         except errors.StoreUnavailable:
@@ -134,18 +136,18 @@
     )
 
 
-def _fence(head: Head, version: int) -> store.Decision[bool]:
+def _fence(head: Head, version: int) -> store_actions.StoreProcedure[bool]:
     # A delayed swap could take effect after the operator was told that it
     # failed. Writing a new version of the head makes the service refuse the
     # delayed swap, since that expects the old version.
     fenced = msgspec.structs.replace(head, fence=head.fence + 1)
-    outcome = yield store.Swap(
-        store.Step.FENCE,
+    outcome = yield store_actions.Swap(
+        store_actions.StoreStep.FENCE,
         head_module.HEAD_KEY,
         head_module.encode(fenced),
         version,
     )
-    return isinstance(outcome, store.Swapped)
+    return isinstance(outcome, store_actions.Swapped)
 
 
 def conflict(base: Revision, head: Head) -> errors.RevisionConflict:
@@ -160,7 +162,7 @@
         entry
         for change in head.changes
         if change.revision > base and change.delta is not None
-        for entry in deltas.touched(change.delta)
+        for entry in deltas.changed_entries(change.delta)
     )
     names = ', '.join(entries[:MAX_NAMED_ENTRIES])
     more = ' and more' if len(entries) > MAX_NAMED_ENTRIES else ''
@@ -174,9 +176,11 @@
 
 def _read_back(
     request: ApplyRequest,
-) -> store.Decision[tuple[Head, int]]:
+) -> store_actions.StoreProcedure[tuple[Head, int]]:
     try:
-        return (yield from documents.read_head(store.Step.READ_BACK))
+        return (
+            yield from documents.read_head(store_actions.StoreStep.READ_BACK)
+        )
     except errors.StoreUnavailable as error:
         raise errors.ApplyOutcomeUnknown(
             f'Change {request.change_id} has taken effect, or another write '
@@ -187,7 +191,7 @@
 
 def _find_committed(
     head: Head, request: ApplyRequest
-) -> store.Decision[Change | None]:
+) -> store_actions.StoreProcedure[Change | None]:
     """Return the change that the request has already made, if any."""
     number = Revision(request.base + 1)
     if head.revision < number:
@@ -207,7 +211,7 @@
 
 def _current_inventory(
     head: Head, local: Snapshot | None
-) -> store.Decision[Inventory]:
+) -> store_actions.StoreProcedure[Inventory]:
     if not head.changes:
         return Inventory()
     if local is not None and local.digest == head.changes[-1].digest:
@@ -223,7 +227,7 @@
     inventory: Inventory,
     request: ApplyRequest,
     delta: deltas.Delta,
-) -> store.Decision[Head]:
+) -> store_actions.StoreProcedure[Head]:
     checkpoint, changes = head.checkpoint, head.changes
     if head_module.is_checkpoint_due(head):
         checkpoint = yield from documents.write_checkpoint(head, inventory)
--- a/packages/yuccarill-core/src/yuccarill/core/config/deltas.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/deltas.py
@@ -33,7 +33,7 @@
         return not (self.put or self.removed or self.values)
 
 
-def between(old: Inventory, new: Inventory) -> Delta:
+def delta_between(old: Inventory, new: Inventory) -> Delta:
     """Return the delta from one inventory to another."""
     put: dict[str, list[Any]] = {}
     removed: dict[str, list[str]] = {}
@@ -101,7 +101,7 @@
     return hashlib.sha256(data).hexdigest()[:DIGEST_LENGTH]
 
 
-def touched(delta: Delta) -> set[str]:
+def changed_entries(delta: Delta) -> set[str]:
     """Return the entries that a delta changes, as `section key`."""
     names = {
         f'{section} {_encoded_key(entry)}'
--- a/packages/yuccarill-core/src/yuccarill/core/config/documents.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/documents.py
@@ -10,7 +10,7 @@
 from yuccarill.core.config.head import Checkpoint
 from yuccarill.core.config.head import Head
 from yuccarill.core.config.inventory import Inventory
-from yuccarill.core.config import store
+from yuccarill.core.config import store_actions
 from yuccarill.core import errors
 from yuccarill.core.ids import Revision
 
@@ -36,7 +36,7 @@
     changes: tuple[Change, ...]
 
 
-class Loaded(msgspec.Struct, frozen=True, kw_only=True):
+class LoadedConfiguration(msgspec.Struct, frozen=True, kw_only=True):
     """The current configuration, as read from the platform."""
 
     head: Head
@@ -55,33 +55,39 @@
     return f'config/audit/{last:08d}'
 
 
-def read_head(step: store.Step) -> store.Decision[tuple[Head, int]]:
+def read_head(
+    step: store_actions.StoreStep,
+) -> store_actions.StoreProcedure[tuple[Head, int]]:
     """Read the head and the version of its key.
 
     Raises StoreUnavailable.
     """
-    outcome = yield store.Read(step, head_module.HEAD_KEY)
-    if not isinstance(outcome, store.Found):
+    outcome = yield store_actions.Read(step, head_module.HEAD_KEY)
+    if not isinstance(outcome, store_actions.Found):
         raise unavailable('the head was not read')
     if outcome.version == 0:
         return Head(), 0
     return head_module.decode(outcome.value), outcome.version
 
 
-def load() -> store.Decision[Loaded]:
+def load() -> store_actions.StoreProcedure[LoadedConfiguration]:
     """Read the whole current configuration.
 
     Raises StoreUnavailable.
     """
     for _ in range(MAX_LOADS):
-        head, version = yield from read_head(store.Step.READ_HEAD)
+        head, version = yield from read_head(store_actions.StoreStep.READ_HEAD)
         inventory = yield from read_inventory(head)
         if inventory is not None:
-            return Loaded(head=head, version=version, inventory=inventory)
+            return LoadedConfiguration(
+                head=head, version=version, inventory=inventory
+            )
     raise unavailable('the document was replaced while it was read')
 
 
-def read_inventory(head: Head) -> store.Decision[Inventory | None]:
+def read_inventory(
+    head: Head,
+) -> store_actions.StoreProcedure[Inventory | None]:
     """Return the inventory of a head, None if its document was replaced.
 
     Raises StoreUnavailable.
@@ -89,8 +95,10 @@
     inventory = Inventory()
     if head.checkpoint.number:
         key = document_key(head.checkpoint.number)
-        outcome = yield store.Read(store.Step.READ_DOCUMENT, key)
-        if not isinstance(outcome, store.Found):
+        outcome = yield store_actions.Read(
+            store_actions.StoreStep.READ_DOCUMENT, key
+        )
+        if not isinstance(outcome, store_actions.Found):
             raise unavailable('the document was not read')
         if outcome.version == 0:
             return None
@@ -106,13 +114,15 @@
     return inventory
 
 
-def read_page(last: Revision) -> store.Decision[AuditPage]:
+def read_page(last: Revision) -> store_actions.StoreProcedure[AuditPage]:
     """Read the audit page that ends with a revision.
 
     Raises StoreUnavailable, or RequestError if there is no such page.
     """
-    outcome = yield store.Read(store.Step.LOOK_UP_CHANGE, page_key(last))
-    if not isinstance(outcome, store.Found):
+    outcome = yield store_actions.Read(
+        store_actions.StoreStep.LOOK_UP_CHANGE, page_key(last)
+    )
+    if not isinstance(outcome, store_actions.Found):
         raise unavailable('the audit page was not read')
     if outcome.version == 0:
         raise errors.RequestError(
@@ -121,25 +131,28 @@
     return msgspec.json.decode(outcome.value, type=AuditPage)
 
 
-def newest_page(head: Head) -> AuditPage:
+def head_audit_page(head: Head) -> AuditPage:
     """Return the changes that are still in the head, as an audit page."""
     return AuditPage(previous=head.checkpoint.revision, changes=head.changes)
 
 
 def write_checkpoint(
     head: Head, inventory: Inventory
-) -> store.Decision[Checkpoint]:
+) -> store_actions.StoreProcedure[Checkpoint]:
     """Store the whole current revision, and its changes as an audit page.
 
     Raises StoreUnavailable; the head is unchanged.
     """
     # Both writes repeat state that is committed already: concurrent writers
     # write the same bytes, and a crash in between leaves no wrong data.
-    page = msgspec.json.encode(newest_page(head))
-    outcome = yield store.Swap(
-        store.Step.WRITE_AUDIT_PAGE, page_key(head.revision), page, 0
+    page = msgspec.json.encode(head_audit_page(head))
+    outcome = yield store_actions.Swap(
+        store_actions.StoreStep.WRITE_AUDIT_PAGE,
+        page_key(head.revision),
+        page,
+        0,
     )
-    if isinstance(outcome, store.NoReply):
+    if isinstance(outcome, store_actions.NoReply):
         raise unavailable('the audit page was not written')
     number = head.checkpoint.number + 1
     document = Document(revision=head.revision, inventory=inventory)
@@ -156,19 +169,21 @@
     )
 
 
-def _write_document(key: str, document: Document) -> store.Decision[None]:
-    previous = yield store.Read(store.Step.READ_SLOT, key)
-    if not isinstance(previous, store.Found):
+def _write_document(
+    key: str, document: Document
+) -> store_actions.StoreProcedure[None]:
+    previous = yield store_actions.Read(store_actions.StoreStep.READ_SLOT, key)
+    if not isinstance(previous, store_actions.Found):
         raise unavailable('the previous document was not read')
     if previous.version and _revision_of(previous.value) == document.revision:
         return
-    outcome = yield store.Swap(
-        store.Step.WRITE_DOCUMENT,
+    outcome = yield store_actions.Swap(
+        store_actions.StoreStep.WRITE_DOCUMENT,
         key,
         msgspec.json.encode(document),
         previous.version,
     )
-    if not isinstance(outcome, store.Swapped):
+    if not isinstance(outcome, store_actions.Swapped):
         raise unavailable('the document was not written')
 
 
--- a/packages/yuccarill-core/src/yuccarill/core/config/follower.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/follower.py
@@ -18,10 +18,10 @@
     from yuccarill.core.ids import Revision
 
 
-class Offered(enum.Enum):
+class OfferOutcome(enum.Enum):
     """Outcome of offering a head or a document."""
 
-    TAKEN = 'taken'
+    APPLIED = 'taken'
     NOT_NEWER = 'not newer'
     # A delta is missing or leads to another digest; the whole document is
     # needed.
@@ -41,33 +41,33 @@
             return head_module.Head().revision
         return self.snapshot.revision
 
-    def offer(self, head: Head) -> Offered:
+    def offer(self, head: Head) -> OfferOutcome:
         """Apply the deltas of a newer head."""
         if head.revision <= self.revision:
-            return Offered.NOT_NEWER
+            return OfferOutcome.NOT_NEWER
         inventory = self.snapshot.inventory if self.snapshot else Inventory()
         missing = [c for c in head.changes if c.revision > self.revision]
         if missing[0].revision != self.revision + 1:
-            return Offered.GAP
+            return OfferOutcome.GAP
         try:
             for change in missing:
                 if change.delta is None:
-                    return Offered.GAP
+                    return OfferOutcome.GAP
                 inventory = deltas.apply_to(inventory, change.delta)
         except errors.InventoryInvalid:
-            return Offered.GAP
+            return OfferOutcome.GAP
         return self.install(missing[-1], inventory)
 
-    def install(self, change: Change, inventory: Inventory) -> Offered:
+    def install(self, change: Change, inventory: Inventory) -> OfferOutcome:
         """Replace the snapshot by an inventory and the change that made it."""
         if change.revision <= self.revision:
-            return Offered.NOT_NEWER
+            return OfferOutcome.NOT_NEWER
         # A lost or duplicated delta would corrupt all later revisions and
         # route requests by an inventory that no operator applied. The digest
         # covers the whole inventory.
         if deltas.digest(inventory) != change.digest:
-            return Offered.GAP
+            return OfferOutcome.GAP
         self.snapshot = snapshot_module.Snapshot(
             head_module.without_delta(change), inventory
         )
-        return Offered.TAKEN
+        return OfferOutcome.APPLIED
--- a/packages/yuccarill-core/src/yuccarill/core/config/head.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/head.py
@@ -79,7 +79,7 @@
     return len(msgspec.json.encode(head.changes)) > MAX_CHANGES_BYTES
 
 
-def trimmed(head: Head) -> Head:
+def trim_for_peers(head: Head) -> Head:
     """Return a head with only the latest changes, for sending to peers."""
     kept: list[Change] = []
     size = 0
--- a/packages/yuccarill-core/src/yuccarill/core/config/reader.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/reader.py
@@ -31,10 +31,10 @@
         parsed = tomllib.loads(text) if syntax == 'toml' else json.loads(text)
     except (ValueError, RecursionError) as error:
         raise errors.InventoryInvalid(f'document: {error}') from error
-    return from_plain(parsed)
+    return from_decoded(parsed)
 
 
-def from_plain(parsed: Any) -> inventory_module.Inventory:
+def from_decoded(parsed: Any) -> inventory_module.Inventory:
     """Convert a decoded document to an inventory and validate it.
 
     Raises InventoryInvalid with all faults found.
--- a/packages/yuccarill-core/src/yuccarill/core/config/snapshot.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/snapshot.py
@@ -72,7 +72,7 @@
     def digest(self) -> str:
         return self.change.digest
 
-    def view(self) -> dict[str, object]:
+    def as_dict(self) -> dict[str, object]:
         """Return the values that operators see."""
         return {
             'revision': self.revision,
--- a/packages/yuccarill-core/src/yuccarill/core/config/start_gate.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/startup_gate.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class StartGate:
+class StartupGate:
     """Hold back a configuration that is possibly outdated.
 
     The platform's answer is always current. If the platform is unavailable,
@@ -14,16 +14,16 @@
     def __init__(self) -> None:
         self._is_open = False
 
-    def platform_answered(self) -> None:
+    def record_platform_answer(self) -> None:
         """Record that the platform has sent its head."""
         self._is_open = True
 
-    def peers_answered(self, answered: int) -> None:
+    def record_peer_answers(self, answered: int) -> None:
         """Record how many peers answered, once none is outstanding."""
         # Opening at the first answer could roll this instance back to the
         # older revision of a partitioned peer.
         self._is_open = self._is_open or answered > 0
 
-    def may_serve(self, held: int, newest: int) -> bool:
+    def is_ready(self, held: int, newest: int) -> bool:
         """Return whether the held revision, 0 for none, can be used."""
         return self._is_open and 0 < held and newest <= held
--- a/packages/yuccarill-core/src/yuccarill/core/config/store.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/store_actions.py
@@ -14,7 +14,7 @@
 import msgspec
 
 
-class Step(enum.Enum):
+class StoreStep(enum.Enum):
     """Name of each action, for logs and fault injection."""
 
     READ_HEAD = 'read head'
@@ -31,14 +31,14 @@
 class Read(msgspec.Struct, frozen=True):
     """Read the value and version of a key."""
 
-    step: Step
+    step: StoreStep
     key: str
 
 
 class Swap(msgspec.Struct, frozen=True):
     """Write a key if its version is the expected one, 0 for absent."""
 
-    step: Step
+    step: StoreStep
     key: str
     value: bytes
     expected: int
@@ -75,4 +75,4 @@
 Outcome = Found | Swapped | Conflict | NoReply | None
 
 Result = TypeVar('Result')
-Decision = Generator[Action, Outcome, Result]
+StoreProcedure = Generator[Action, Outcome, Result]
--- a/packages/yuccarill-core/src/yuccarill/core/errors.py
+++ b/packages/yuccarill-core/src/yuccarill/core/errors.py
@@ -324,7 +324,7 @@
     code = ResultCode.SETTINGS_INVALID
 
 
-def by_code(code: int) -> type[YuccarillError]:
+def error_class_by_code(code: int) -> type[YuccarillError]:
     """Return the error class of a code, YuccarillError if there is none."""
     return _classes_by_code().get(code, YuccarillError)
 
--- a/packages/yuccarill-core/src/yuccarill/core/explanations.py
+++ b/packages/yuccarill-core/src/yuccarill/core/explanations.py
@@ -152,7 +152,7 @@
             meaning='Tell that all went well.',
             remedy=remedy,
         )
-    error_class = errors.by_code(result_code)
+    error_class = errors.error_class_by_code(result_code)
     return Explanation(
         code=result_code,
         name=result_code.name,
--- a/packages/yuccarill-core/tests/config/fake_store.py
+++ b/packages/yuccarill-core/tests/config/fake_store.py
@@ -13,7 +13,7 @@
 from yuccarill.core.config import documents
 from yuccarill.core.config import head as head_module
 from yuccarill.core.config import inventory as inventory_module
-from yuccarill.core.config import store
+from yuccarill.core.config import store_actions
 from yuccarill.core.ids import ChangeId
 from yuccarill.core.ids import Revision
 from yuccarill.core.ids import WallTime
@@ -54,19 +54,19 @@
     def __init__(self) -> None:
         self.entries: dict[str, tuple[int, bytes]] = {}
         self.version = 0
-        self.delayed: list[store.Swap] = []
+        self.delayed: list[store_actions.Swap] = []
         self.is_down = False
         self.writes = 0
 
-    def perform(self, action: store.Action) -> store.Outcome:
+    def perform(self, action: store_actions.Action) -> store_actions.Outcome:
         match action:
-            case store.Wait():
+            case store_actions.Wait():
                 return None
             case _ if self.is_down:
-                return store.NoReply()
-            case store.Read(key=key):
-                return store.Found(*self.entries.get(key, (0, b'')))
-            case store.Swap():
+                return store_actions.NoReply()
+            case store_actions.Read(key=key):
+                return store_actions.Found(*self.entries.get(key, (0, b'')))
+            case store_actions.Swap():
                 return self._write(action)
 
     def deliver_delayed(self) -> None:
@@ -75,45 +75,49 @@
         self.delayed = []
 
     def head(self) -> head_module.Head:
-        return self.run(documents.read_head(store.Step.READ_HEAD))[0]
+        return self.run(
+            documents.read_head(store_actions.StoreStep.READ_HEAD)
+        )[0]
 
-    def run(self, decision: store.Decision[Any]) -> Any:
+    def run(self, decision: store_actions.StoreProcedure[Any]) -> Any:
         """Run a decision without faults."""
         return Run(self, {}).run(decision)
 
     def audit_trail(self) -> list[head_module.Change]:
         """Return the whole audit trail, oldest first."""
-        page = documents.newest_page(self.head())
+        page = documents.head_audit_page(self.head())
         found = list(page.changes)
         while page.previous:
             page = self.run(documents.read_page(page.previous))
             found = [*page.changes, *found]
         return found
 
-    def _write(self, swap: store.Swap) -> store.Outcome:
+    def _write(self, swap: store_actions.Swap) -> store_actions.Outcome:
         version, _ = self.entries.get(swap.key, (0, b''))
         if version != swap.expected:
-            return store.Conflict()
+            return store_actions.Conflict()
         self.version += 1
         self.writes += 1
         self.entries[swap.key] = (self.version, swap.value)
-        return store.Swapped(self.version)
+        return store_actions.Swapped(self.version)
 
 
 class Run:
     """Run of one decision, with faults injected as their steps occur."""
 
     def __init__(
-        self, fake: FakeStore, faults: dict[store.Step, list[Fault]]
+        self,
+        fake: FakeStore,
+        faults: dict[store_actions.StoreStep, list[Fault]],
     ) -> None:
         self.store = fake
         self.faults = {step: list(f) for step, f in faults.items()}
-        self.visited: list[store.Step] = []
+        self.visited: list[store_actions.StoreStep] = []
 
-    def run(self, decision: store.Decision[Any]) -> Any:
+    def run(self, decision: store_actions.StoreProcedure[Any]) -> Any:
         """Return the result of a decision; raises its errors, or Crashed."""
-        outcome: store.Outcome = None
-        due: list[store.Swap] = []
+        outcome: store_actions.Outcome = None
+        due: list[store_actions.Swap] = []
         while True:
             try:
                 action = decision.send(outcome)
@@ -123,30 +127,30 @@
             self.store.deliver_delayed()
             self.store.delayed, due = later, []
             fault = None
-            if not isinstance(action, store.Wait):
+            if not isinstance(action, store_actions.Wait):
                 self.visited.append(action.step)
                 step_faults = self.faults.get(action.step)
                 fault = step_faults.pop(0) if step_faults else None
             outcome = self._perform(action, fault, due)
 
     def _perform(
-        self, action: Any, fault: Fault | None, due: list[store.Swap]
-    ) -> store.Outcome:
-        fake, is_write = self.store, isinstance(action, store.Swap)
+        self, action: Any, fault: Fault | None, due: list[store_actions.Swap]
+    ) -> store_actions.Outcome:
+        fake, is_write = self.store, isinstance(action, store_actions.Swap)
         match fault:
             case Fault.REPLY_LOST | Fault.DOWN_AFTER:
                 fake.perform(action)
                 fake.is_down |= fault is Fault.DOWN_AFTER
-                return store.NoReply()
+                return store_actions.NoReply()
             case Fault.DROPPED:
-                return store.NoReply()
+                return store_actions.NoReply()
             case Fault.DOWN:
                 fake.is_down = True
             case Fault.DELAYED | Fault.DELAYED_A_LITTLE:
                 if is_write and not fake.is_down:
                     queue = fake.delayed if fault is Fault.DELAYED else due
                     queue.append(action)
-                return store.NoReply()
+                return store_actions.NoReply()
             case Fault.DOUBLED:
                 fake.perform(action)
             case Fault.RACE | Fault.RACES:
--- a/packages/yuccarill-core/tests/config/test_apply_faults.py
+++ b/packages/yuccarill-core/tests/config/test_apply_faults.py
@@ -12,7 +12,7 @@
 from yuccarill.core.config import apply as apply_module
 from yuccarill.core.config import documents
 from yuccarill.core.config import head as head_module
-from yuccarill.core.config import store
+from yuccarill.core.config import store_actions
 from yuccarill.core import errors
 
 from config import fake_store
@@ -26,31 +26,39 @@
 MAX_CHANGES = 3
 REVISIONS = 6
 # Faults that make an apply reach a step.
-PRIOR_FAULTS: dict[store.Step, dict[store.Step, list[Fault]]] = {
-    store.Step.READ_HEAD: {},
-    store.Step.READ_DOCUMENT: {},
-    store.Step.WRITE_AUDIT_PAGE: {},
-    store.Step.READ_SLOT: {},
-    store.Step.WRITE_DOCUMENT: {},
-    store.Step.SWAP_HEAD: {},
-    store.Step.READ_BACK: {store.Step.SWAP_HEAD: [Fault.REPLY_LOST]},
-    store.Step.FENCE: {store.Step.SWAP_HEAD: [Fault.DELAYED]},
-    store.Step.LOOK_UP_CHANGE: {
-        store.Step.SWAP_HEAD: [Fault.REPLY_LOST],
-        store.Step.READ_BACK: [Fault.RACES],
+PRIOR_FAULTS: dict[
+    store_actions.StoreStep, dict[store_actions.StoreStep, list[Fault]]
+] = {
+    store_actions.StoreStep.READ_HEAD: {},
+    store_actions.StoreStep.READ_DOCUMENT: {},
+    store_actions.StoreStep.WRITE_AUDIT_PAGE: {},
+    store_actions.StoreStep.READ_SLOT: {},
+    store_actions.StoreStep.WRITE_DOCUMENT: {},
+    store_actions.StoreStep.SWAP_HEAD: {},
+    store_actions.StoreStep.READ_BACK: {
+        store_actions.StoreStep.SWAP_HEAD: [Fault.REPLY_LOST]
+    },
+    store_actions.StoreStep.FENCE: {
+        store_actions.StoreStep.SWAP_HEAD: [Fault.DELAYED]
+    },
+    store_actions.StoreStep.LOOK_UP_CHANGE: {
+        store_actions.StoreStep.SWAP_HEAD: [Fault.REPLY_LOST],
+        store_actions.StoreStep.READ_BACK: [Fault.RACES],
     },
 }
 with mock.patch.object(head_module, 'MAX_CHANGES', MAX_CHANGES):
     STORE = fake_store.store_with(REVISIONS)
 INVENTORY = STORE.run(documents.load()).inventory
 CHANGE_ID = 'change-mine'
-STEP_FAULTS = list(itertools.product(store.Step, Fault))
+STEP_FAULTS = list(itertools.product(store_actions.StoreStep, Fault))
 
 
 class Scenario:
     """An apply with injected faults and the result that operators see."""
 
-    def __init__(self, faults: dict[store.Step, list[Fault]]) -> None:
+    def __init__(
+        self, faults: dict[store_actions.StoreStep, list[Fault]]
+    ) -> None:
         self.store = fake_store.copy_store(STORE)
         self.request = fake_store.request(REVISIONS, 'mine', INVENTORY)
         self.run = Run(self.store, faults)
@@ -66,9 +74,11 @@
 
     def settle(self) -> object:
         """Find the outcome as the instance does, with the store up."""
-        return self._finish(apply_module.settle(self.request, None))
+        return self._finish(apply_module.resolve_outcome(self.request, None))
 
-    def _finish(self, decision: store.Decision[object]) -> object:
+    def _finish(
+        self, decision: store_actions.StoreProcedure[object]
+    ) -> object:
         self.store.is_down = False
         try:
             return self.store.run(decision)
@@ -92,11 +102,13 @@
         self.addCleanup(limit.stop)
 
     def test_every_step_is_reached(self) -> None:
-        for step in store.Step:
+        for step in store_actions.StoreStep:
             self.assertIn(step, Scenario(PRIOR_FAULTS[step]).run.visited)
 
     @params(*STEP_FAULTS)
-    def test_one_fault(self, step: store.Step, fault: Fault) -> None:
+    def test_one_fault(
+        self, step: store_actions.StoreStep, fault: Fault
+    ) -> None:
         # Guards against wrong reports to operators: a change that is reported
         # as applied exists once, a refused one never, even after all delayed
         # writes. An unknown outcome is resolved by a retry or by `settle`.
@@ -106,7 +118,9 @@
     def test_concurrent_fence_is_not_a_conflict(self) -> None:
         # A fence by another applier changes the head's version but not its
         # revision and must not be reported as a conflict.
-        scenario = Scenario({store.Step.SWAP_HEAD: [Fault.FENCE_RACE]})
+        scenario = Scenario(
+            {store_actions.StoreStep.SWAP_HEAD: [Fault.FENCE_RACE]}
+        )
         self.assertIsInstance(scenario.result, apply_module.ApplyResult)
 
     def test_two_faults(self) -> None:
@@ -122,7 +136,7 @@
 
     def check(
         self,
-        faults: dict[store.Step, list[Fault]],
+        faults: dict[store_actions.StoreStep, list[Fault]],
         finish: Callable[[Scenario], object],
     ) -> None:
         scenario = Scenario(faults)
@@ -153,9 +167,9 @@
 
 
 def _merge(
-    *plans: dict[store.Step, list[Fault]],
-) -> dict[store.Step, list[Fault]]:
-    merged: dict[store.Step, list[Fault]] = {}
+    *plans: dict[store_actions.StoreStep, list[Fault]],
+) -> dict[store_actions.StoreStep, list[Fault]]:
+    merged: dict[store_actions.StoreStep, list[Fault]] = {}
     for plan in plans:
         for step, faults in plan.items():
             merged.setdefault(step, []).extend(faults)
--- a/packages/yuccarill-core/tests/config/test_deltas.py
+++ b/packages/yuccarill-core/tests/config/test_deltas.py
@@ -88,7 +88,7 @@
         changes = []
         previous = inventory_module.Inventory()
         for number, edited in enumerate(edits, 1):
-            delta = deltas.between(previous, edited)
+            delta = deltas.delta_between(previous, edited)
             decoded = msgspec.json.decode(
                 msgspec.json.encode(delta), type=deltas.Delta
             )
@@ -101,11 +101,13 @@
             first = data.draw(strategies.integers(1, last))
             head = head_module.Head(changes=tuple(changes[first - 1 : last]))
             offered = tested.offer(head)
-            if offered is follower.Offered.GAP:
+            if offered is follower.OfferOutcome.GAP:
                 self.assertGreater(first, latest + 1)
-            if offered is not follower.Offered.TAKEN:
+            if offered is not follower.OfferOutcome.APPLIED:
                 offered = tested.install(changes[last - 1], edits[last - 1])
-            self.assertEqual(last > latest, offered is follower.Offered.TAKEN)
+            self.assertEqual(
+                last > latest, offered is follower.OfferOutcome.APPLIED
+            )
             latest = max(latest, last)
             self.assertEqual(latest, tested.revision)
             self.assertEqual(edits[latest - 1], tested.snapshot.inventory)
@@ -123,25 +125,27 @@
         tested.install(change(1, first, None), first)
         wrong = change(2, second, deltas.Delta(removed={'models': ['a']}))
         head = head_module.Head(changes=(wrong,))
-        self.assertIs(follower.Offered.GAP, tested.offer(head))
+        self.assertIs(follower.OfferOutcome.GAP, tested.offer(head))
         self.assertEqual(first, tested.snapshot.inventory)
-        self.assertIs(follower.Offered.TAKEN, tested.install(wrong, second))
+        self.assertIs(
+            follower.OfferOutcome.APPLIED, tested.install(wrong, second)
+        )
 
     def test_unknown_section_is_a_gap(self) -> None:
         first = inventory_module.Inventory()
         wrong = change(1, first, deltas.Delta(put={'unheard': [{'id': 'x'}]}))
         offered = follower.Follower().offer(head_module.Head(changes=(wrong,)))
-        self.assertIs(follower.Offered.GAP, offered)
+        self.assertIs(follower.OfferOutcome.GAP, offered)
 
     def test_trims_heads_sent_to_peers(self) -> None:
         big = deltas.Delta(put={'models': [{'name': 'x' * 1000}]})
         changes = tuple(
             change(n, inventory_module.Inventory(), big) for n in range(1, 9)
         )
-        kept = head_module.trimmed(head_module.Head(changes=changes))
+        kept = head_module.trim_for_peers(head_module.Head(changes=changes))
         self.assertEqual([8], [c.revision for c in kept.changes])
         self.assertIsNotNone(kept.changes[0].delta)
         huge = deltas.Delta(put={'models': [{'name': 'x' * 20_000}]})
         last = change(9, inventory_module.Inventory(), huge)
-        kept = head_module.trimmed(head_module.Head(changes=(last,)))
+        kept = head_module.trim_for_peers(head_module.Head(changes=(last,)))
         self.assertIsNone(kept.changes[0].delta)
--- a/packages/yuccarill-core/tests/config/test_reader.py
+++ b/packages/yuccarill-core/tests/config/test_reader.py
@@ -135,7 +135,7 @@
     def test_plain_values_raise_inventory_invalid_only(
         self, plain: object
     ) -> None:
-        self._check(lambda: reader.from_plain(plain))
+        self._check(lambda: reader.from_decoded(plain))
 
     @hypothesis.seed(1)
     @hypothesis.settings(deadline=None, database=None, max_examples=100)
--- a/packages/yuccarill-core/tests/test_blackboard.py
+++ b/packages/yuccarill-core/tests/test_blackboard.py
@@ -18,4 +18,4 @@
         rows = re.findall(r'^\| (`.*?) \|', text.partition('\n## ')[0], re.M)
         documented = re.findall(r'`(\w+)`', ' '.join(rows))
         fields = [f.name for f in dataclasses.fields(blackboard.Blackboard)]
-        self.assertEqual(fields, ['me', *documented])
+        self.assertEqual(fields, ['own_instance', *documented])
--- a/packages/yuccarill-core/tests/test_errors.py
+++ b/packages/yuccarill-core/tests/test_errors.py
@@ -24,7 +24,7 @@
         without = [
             code.name
             for code in errors.ResultCode
-            if errors.by_code(code).code is not code
+            if errors.error_class_by_code(code).code is not code
         ]
         self.assertEqual(['OK'], without)
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/api/audit_view.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/api/audit_view.py
@@ -30,7 +30,7 @@
 
 
 def _applied(change: Change) -> operators.AuditEntry:
-    touched = deltas.touched(change.delta) if change.delta else ()
+    touched = deltas.changed_entries(change.delta) if change.delta else ()
     return operators.AuditEntry(
         base=Revision(change.revision - 1),
         revision=change.revision,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/api/operators.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/api/operators.py
@@ -36,9 +36,9 @@
     @app.route('/configuration', methods=['GET'])
     @replies.answering_errors
     async def show(self, request: IRequest) -> bytes:
-        if self._blackboard.head is None:
+        if self._blackboard.snapshot is None:
             raise errors.NoConfiguration('No configuration was applied yet.')
-        return replies.as_json(request, self._blackboard.head.view())
+        return replies.as_json(request, self._blackboard.snapshot.as_dict())
 
     @app.route('/configuration', methods=['PUT'])
     @replies.answering_errors
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/api/status_view.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/api/status_view.py
@@ -38,9 +38,9 @@
 
     def reply(self) -> operators.StatusReply:
         """Return what this instance knows."""
-        head = self._blackboard.head
+        head = self._blackboard.snapshot
         return operators.StatusReply(
-            instance=self._blackboard.me.id,
+            instance=self._blackboard.own_instance.id,
             incarnation=self._incarnation,
             revision=head.revision if head else Revision(0),
             is_leaving=self._blackboard.is_leaving,
@@ -65,7 +65,7 @@
             )
 
     def _trainers(self) -> Iterator[operators.TrainerStatus]:
-        head = self._blackboard.head
+        head = self._blackboard.snapshot
         for trainer in head.inventory.trainers if head else ():
             holder = self._leases.holder_of(f'trainer/{trainer.id}')
             yield operators.TrainerStatus(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/control_parts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/control_parts.py
@@ -39,7 +39,7 @@
         list_address: str,
         handle: Callable[[messages.Body], Awaitable[messages.Body]],
     ) -> None:
-        self.peers = peers.Peers(handle, blackboard.me, incarnation)
+        self.peers = peers.Peers(handle, blackboard.own_instance, incarnation)
         self.membership = membership.MembershipController(
             blackboard,
             instance_list.InstanceListAdapter(client, list_address),
@@ -47,7 +47,7 @@
             incarnation,
         )
         self._dissemination = dissemination.DisseminationController(
-            blackboard.me,
+            blackboard.own_instance,
             self.membership,
             self.peers,
             store,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/calls.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/calls.py
@@ -134,7 +134,7 @@
             self._active -= 1
 
     def _service(self, name: ServiceName) -> Service:
-        head = self._blackboard.head
+        head = self._blackboard.snapshot
         if head is None:
             raise errors.NoConfiguration(
                 'No configuration is known yet; try again.', retry_after=1.0
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/configuration.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/configuration.py
@@ -17,7 +17,7 @@
 from yuccarill.core.config import documents
 from yuccarill.core.config import head as head_module
 from yuccarill.core.config import reader
-from yuccarill.core.config import store
+from yuccarill.core.config import store_actions
 from yuccarill.core import errors
 from yuccarill.core.ids import ChangeId
 from yuccarill.core.ids import Revision
@@ -107,7 +107,7 @@
         """
         change_id = change_id or ChangeId(uuid.uuid4().hex)
         try:
-            inventory = deltas.canonical(reader.from_plain(document))
+            inventory = deltas.canonical(reader.from_decoded(document))
             request = apply_module.ApplyRequest(
                 change_id=change_id,
                 author=author,
@@ -116,7 +116,7 @@
                 inventory=inventory,
             )
             return await self._decide(
-                apply_module.apply(request, self._blackboard.head), request
+                apply_module.apply(request, self._blackboard.snapshot), request
             )
         except errors.YuccarillError as error:
             self._note_refusal(author, base, change_id, error)
@@ -131,13 +131,13 @@
         if last is not None:
             return await self._runner.run(documents.read_page(last))
         head, _ = await self._runner.run(
-            documents.read_head(store.Step.READ_HEAD)
+            documents.read_head(store_actions.StoreStep.READ_HEAD)
         )
-        return documents.newest_page(head)
+        return documents.head_audit_page(head)
 
     async def _decide(
         self,
-        decision: store.Decision[apply_module.ApplyResult],
+        decision: store_actions.StoreProcedure[apply_module.ApplyResult],
         request: apply_module.ApplyRequest,
     ) -> apply_module.ApplyResult:
         try:
@@ -167,7 +167,9 @@
                 self._clock, SETTLE_AGAIN_SECONDS, lambda: None
             )
             try:
-                await self._runner.run(apply_module.settle(request, None))
+                await self._runner.run(
+                    apply_module.resolve_outcome(request, None)
+                )
             except errors.ApplyOutcomeUnknown:
                 continue
             except errors.YuccarillError as error:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/configuration_intake.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/configuration_intake.py
@@ -14,7 +14,7 @@
 from yuccarill.core.config import head as head_module
 from yuccarill.core.config import inventory as inventory_module
 from yuccarill.core.config import reader
-from yuccarill.core.config import start_gate
+from yuccarill.core.config import startup_gate
 from yuccarill.core.dissemination.record import Record
 from yuccarill.core import errors
 from yuccarill.daemon import logs
@@ -51,7 +51,7 @@
 
 def to_record(head: Head) -> Record:
     """Return what instances pass on of a head."""
-    body = head_module.encode(head_module.trimmed(head))
+    body = head_module.encode(head_module.trim_for_peers(head))
     return Record(head_module.HEAD_KEY, head.revision, body)
 
 
@@ -80,22 +80,22 @@
         self._runner = runner
         self._clock = clock
         self._follower = follower.Follower()
-        self._gate = start_gate.StartGate()
+        self._gate = startup_gate.StartupGate()
         self._is_catching_up = False
         dissemination.subscribe(head_module.HEAD_KEY, self._take_record)
 
     async def start(self) -> None:
         """Ask the platform and peers until one of them has answered."""
-        while self._blackboard.head is None:
+        while self._blackboard.snapshot is None:
             loaded = await self._load()
             if loaded is not None:
-                self._gate.platform_answered()
+                self._gate.record_platform_answer()
                 if loaded.head.changes:
                     self._dissemination.publish(to_record(loaded.head))
                 self._put_in_force()
                 # Whatever is applied from now on comes as a record.
                 return
-            self._gate.peers_answered(await self._ask_peers())
+            self._gate.record_peer_answers(await self._ask_peers())
             self._put_in_force()
             await self._sleep(RETRY_SECONDS)
 
@@ -116,9 +116,9 @@
             offered = self._follower.offer(head_module.decode(record.body))
         except msgspec.MsgspecError as error:
             log.error('Head not read.', cause=str(error))
-            offered = follower.Offered.GAP
+            offered = follower.OfferOutcome.GAP
         self._put_in_force()
-        if offered is follower.Offered.GAP and not self._is_catching_up:
+        if offered is follower.OfferOutcome.GAP and not self._is_catching_up:
             self._is_catching_up = True
             defer.ensureDeferred(self._catch_up())
 
@@ -129,14 +129,14 @@
 
     def _put_in_force(self) -> None:
         held = self._follower.snapshot
-        current = self._blackboard.head
+        current = self._blackboard.snapshot
         if held is None or held is current:
             return
-        if current is None and not self._gate.may_serve(
+        if current is None and not self._gate.is_ready(
             held.revision, self._known
         ):
             return
-        self._blackboard.head = held
+        self._blackboard.snapshot = held
         log.info('Revision in force.', revision=held.revision)
 
     async def _catch_up(self) -> None:
@@ -179,9 +179,11 @@
                 return True
         return False
 
-    async def _load(self) -> documents.Loaded | None:
+    async def _load(self) -> documents.LoadedConfiguration | None:
         try:
-            loaded: documents.Loaded = await self._runner.run(documents.load())
+            loaded: documents.LoadedConfiguration = await self._runner.run(
+                documents.load()
+            )
         except (errors.YuccarillError, msgspec.MsgspecError) as error:
             log.warning('Configuration not loaded.', cause=str(error))
             return None
@@ -195,7 +197,7 @@
         inventory: inventory_module.Inventory,
     ) -> None:
         offered = self._follower.install(change, inventory)
-        if offered is follower.Offered.GAP:
+        if offered is follower.OfferOutcome.GAP:
             log.error(
                 'Document does not fit its digest; run one version of the '
                 'program everywhere.',
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/decisions.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/decisions.py
@@ -7,7 +7,7 @@
 
 from twisted.internet import task
 
-from yuccarill.core.config import store
+from yuccarill.core.config import store_actions
 from yuccarill.core import errors
 
 if TYPE_CHECKING:
@@ -21,9 +21,9 @@
         self._key_value = key_value
         self._clock = clock
 
-    async def run(self, decision: store.Decision[Any]) -> Any:
+    async def run(self, decision: store_actions.StoreProcedure[Any]) -> Any:
         """Run a decision to its end; raises what it raises."""
-        outcome: store.Outcome = None
+        outcome: store_actions.Outcome = None
         while True:
             try:
                 action = decision.send(outcome)
@@ -31,20 +31,24 @@
                 return end.value
             outcome = await self._act(action)
 
-    async def _act(self, action: store.Action) -> store.Outcome:
+    async def _act(
+        self, action: store_actions.Action
+    ) -> store_actions.Outcome:
         try:
             match action:
-                case store.Read(key=key):
+                case store_actions.Read(key=key):
                     entry = await self._key_value.get(key)
-                    return store.Found(entry.version, entry.value)
-                case store.Swap(key=key, value=value, expected=expected):
-                    return store.Swapped(
+                    return store_actions.Found(entry.version, entry.value)
+                case store_actions.Swap(
+                    key=key, value=value, expected=expected
+                ):
+                    return store_actions.Swapped(
                         await self._key_value.swap(key, value, expected)
                     )
-                case store.Wait(seconds=seconds):
+                case store_actions.Wait(seconds=seconds):
                     await task.deferLater(self._clock, seconds, lambda: None)
                     return None
         except errors.StoreConflict:
-            return store.Conflict()
+            return store_actions.Conflict()
         except errors.StoreUnavailable:
-            return store.NoReply()
+            return store_actions.NoReply()
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/finishing.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/finishing.py
@@ -99,7 +99,7 @@
         raise errors.GroupFailed(last)
 
     def _scorer_address(self, work: StepWork) -> str:
-        head = self._blackboard.head
+        head = self._blackboard.snapshot
         trainers = head.inventory.trainers if head is not None else ()
         for trainer in trainers:
             if trainer.id == work.trainer and head is not None:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/fresh_samples.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/fresh_samples.py
@@ -33,7 +33,7 @@
 
         Raises NoConfiguration or UnknownTrainer.
         """
-        head = self._blackboard.head
+        head = self._blackboard.snapshot
         if head is None:
             raise errors.NoConfiguration(
                 'No configuration is known yet; try again.', retry_after=1.0
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/homes.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/homes.py
@@ -45,7 +45,7 @@
     async def run(self, call: Call) -> Answer:
         """Run a call at its home and return its answer."""
         home = ticket_module.parse(call.ticket or '').home
-        if home == self._blackboard.me.id:
+        if home == self._blackboard.own_instance.id:
             return await self._here.run(call)
         request = messages.CallRequest(
             ticket=str(call.ticket),
@@ -69,7 +69,7 @@
     ) -> once.Outcome:
         """Ask a request's home what became of it."""
         home = ticket_module.parse(ticket).home
-        if home == self._blackboard.me.id:
+        if home == self._blackboard.own_instance.id:
             return self._here.outcome(ticket, request_id)
         query = messages.OutcomeQuery(ticket=ticket, request_id=request_id)
         reply = await self._ask(home, query, QUERY_SECONDS)
@@ -149,5 +149,7 @@
 
 def _refusal(reply: messages.Body) -> errors.YuccarillError:
     if isinstance(reply, messages.CallRefusal):
-        return errors.by_code(reply.code)(reply.text, reply.retry_after)
+        return errors.error_class_by_code(reply.code)(
+            reply.text, reply.retry_after
+        )
     return errors.OutcomeUnknown('The home sent a reply of another kind.')
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/leases.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/leases.py
@@ -86,7 +86,7 @@
         # set by those who do the work. A graceful shutdown gives all.
         self.busy_duties: Callable[[], list[str]] = list
         self._keeper = keeper_module.LeaseKeeper(
-            blackboard.me.id,
+            blackboard.own_instance.id,
             incarnation,
             policy or policy_module.LeasePolicy(),
             generator,
@@ -103,8 +103,8 @@
     def holder_of(self, duty: str) -> Instance | None:
         """Return the instance that holds a duty, as far as known here."""
         holder = self._keeper.holder_of(shards.shard_of(duty))
-        if holder == self._blackboard.me.id:
-            return self._blackboard.me
+        if holder == self._blackboard.own_instance.id:
+            return self._blackboard.own_instance
         if holder is None:
             return None
         return self._blackboard.instances_by_id.get(holder)
@@ -217,7 +217,7 @@
         if holder is None:
             return
         request = messages.LeaseAsk(
-            instance=self._blackboard.me.id,
+            instance=self._blackboard.own_instance.id,
             session=ask.session,
             shards=ask.shards,
         )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/lines.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/lines.py
@@ -161,14 +161,14 @@
         self.dispatcher.pool.give_up(target)
 
     def _follow(self) -> None:
-        snapshot = self._blackboard.head
+        snapshot = self._blackboard.snapshot
         if snapshot is None or snapshot is self._snapshot:
             return
         self._snapshot = snapshot
         self._targets_by_id = {t.id: t for t in self._find(snapshot)}
         centres = {t.id: t.data_centre for t in self._targets_by_id.values()}
         self.dispatcher.pool.update(
-            centres, self._blackboard.me.data_centre, self._now()
+            centres, self._blackboard.own_instance.data_centre, self._now()
         )
 
     def _admit(self) -> None:
@@ -273,7 +273,7 @@
         )
 
     def _snapshot(self) -> Snapshot:
-        head = self._blackboard.head
+        head = self._blackboard.snapshot
         if head is None:
             raise errors.NoConfiguration(
                 'No configuration is known yet; try again.', retry_after=1.0
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/membership.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/membership.py
@@ -50,7 +50,7 @@
         self._clock = clock
         self._chance = random.Random(incarnation)
         me = member_module.from_instance(
-            blackboard.me, incarnation, int(time.time() * 1000)
+            blackboard.own_instance, incarnation, int(time.time() * 1000)
         )
         self._view = view_module.View(me)
         self._listing = list_reading.ListReading(self._view)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/sampling.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/sampling.py
@@ -151,7 +151,7 @@
             self._begin(attempt, engines_by_id[attempt.engine])
 
     def _set_engines(self) -> dict[TargetId, Engine]:
-        head = self._blackboard.head
+        head = self._blackboard.snapshot
         engines = head.inventory.engines if head is not None else ()
         ids_by_model: dict[Any, list[TargetId]] = {}
         for engine in engines:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_decider.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_decider.py
@@ -101,7 +101,7 @@
                 retry_after=0.5,
             )
         return records.Claim(
-            holder=self._blackboard.me.id,
+            holder=self._blackboard.own_instance.id,
             incarnation=self._incarnation,
             epoch=epoch,
             newest_version=self._fresh_samples.raise_newest(
@@ -150,17 +150,17 @@
     def _manifest(
         self, work: StepWork, claim: records.Claim
     ) -> records.Manifest:
-        assert self._blackboard.head is not None
+        assert self._blackboard.snapshot is not None
         return records.Manifest(
             trainer=work.trainer,
             step=work.step,
             newest_version=claim.newest_version,
             sample_ids=tuple(f.id for f in work.in_order()),
             digest=work.sample_digest(),
-            holder=self._blackboard.me.id,
+            holder=self._blackboard.own_instance.id,
             incarnation=self._incarnation,
             epoch=claim.epoch,
             stored_on=work.stored_on(),
-            revision=self._blackboard.head.revision,
+            revision=self._blackboard.snapshot.revision,
             decided_at=WallTime(time.time()),
         )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_delivery.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_delivery.py
@@ -118,7 +118,7 @@
         if manifest.sample_ids and manifest.sample_ids[0] in encoded:
             return delivery.encode(manifest, encoded)
         stored = await self._store.load(manifest)
-        is_mine = manifest.holder == self._blackboard.me.id
+        is_mine = manifest.holder == self._blackboard.own_instance.id
         if is_mine or len(stored) == len(manifest.sample_ids):
             return delivery.encode(manifest, stored)
         return await self._ask_holder(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_routing.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_routing.py
@@ -99,7 +99,7 @@
                 f'No instance holds trainer {body.trainer} now; try again.',
                 retry_after=RETRY_SECONDS,
             )
-        if holder.id == self._blackboard.me.id:
+        if holder.id == self._blackboard.own_instance.id:
             return await self.handle_here(body)
         return await self._peers.request(holder, body, REQUEST_SECONDS)
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/targets.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/targets.py
@@ -106,7 +106,7 @@
                 )
 
     def _hold(self, now: Instant) -> None:
-        snapshot = self._blackboard.head
+        snapshot = self._blackboard.snapshot
         if snapshot is not self._snapshot:
             self._snapshot = snapshot
             self._engines_by_shard = _by_shard(snapshot)
@@ -197,7 +197,7 @@
         try:
             if holder is None:
                 raise errors.NoTarget('The model has no holder yet.')
-            if holder.id == self._blackboard.me.id:
+            if holder.id == self._blackboard.own_instance.id:
                 self.report_here(body)
             else:
                 await self._peers.request(holder, body, REPORT_SECONDS)
@@ -210,7 +210,7 @@
         return self._leases.epoch_for(shards.target_duty(target))
 
     def _engine(self, target: TargetId) -> Engine | None:
-        head = self._blackboard.head
+        head = self._blackboard.snapshot
         return None if head is None else head.engines_by_id.get(target)
 
     def _model(self, target: TargetId) -> ModelName | None:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/weights.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/weights.py
@@ -100,7 +100,7 @@
 
     def turn(self) -> bool:
         """Start what is due; tell whether a version is on its way."""
-        snapshot = self._blackboard.head
+        snapshot = self._blackboard.snapshot
         if snapshot is None:
             return False
         now = self._now()
@@ -267,7 +267,7 @@
             )
 
     async def _request(self, holder: Instance, body: Any) -> Any:
-        if holder.id == self._blackboard.me.id:
+        if holder.id == self._blackboard.own_instance.id:
             return await self._targets.handle(body)
         return await self._peers.request(holder, body, SEND_SECONDS)
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/instance.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/instance.py
@@ -45,7 +45,7 @@
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
-        self._blackboard = Blackboard(me=_me(settings))
+        self._blackboard = Blackboard(own_instance=_me(settings))
         self._incarnation = Incarnation(uuid.uuid4().hex[:12])
         client = http.HttpClient()
         store = key_value.KeyValueAdapter(client, settings.key_value)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/peers/stream.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/peers/stream.py
@@ -243,7 +243,9 @@
         if not self._waiting_by_number:
             self._due_since = None
         if isinstance(result, messages.Refusal):
-            raise errors.by_code(result.code)(result.text, result.retry_after)
+            raise errors.error_class_by_code(result.code)(
+                result.text, result.retry_after
+            )
         if hasattr(result, 'check') and result.check(defer.TimeoutError):
             raise self._lost(number)
         return result
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/rollout_parts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/rollout_parts.py
@@ -104,7 +104,7 @@
     ) -> None:
         opened = disk_log.DiskLog(folder / 'samples')
         self._disk = disk_store.DiskStore(opened, ledger)
-        me = self._blackboard.me
+        me = self._blackboard.own_instance
         self._mine = replicas.Disk(
             instance=me.id,
             data_centre=me.data_centre,
@@ -114,7 +114,7 @@
     async def _ask_disk(
         self, disk: InstanceId, body: messages.DiskRequest
     ) -> Any:
-        if disk == self._blackboard.me.id:
+        if disk == self._blackboard.own_instance.id:
             return await self.handle_disk(body)
         peer = self._blackboard.instances_by_id.get(disk)
         if peer is None:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/vitals.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/vitals.py
@@ -39,6 +39,6 @@
         metrics.timing(Metric.PROCESS_LOOP_DELAY, delay)
         pages = int(_STATM.read_text().split()[1])
         metrics.gauge(Metric.PROCESS_MEMORY, pages * _PAGE_BYTES)
-        head = self._blackboard.head
+        head = self._blackboard.snapshot
         metrics.gauge(Metric.CONFIG_REVISION, head.revision if head else 0)
         self.start()
--- a/packages/yuccarill-daemon/tests/controllers/call_world.py
+++ b/packages/yuccarill-daemon/tests/controllers/call_world.py
@@ -211,7 +211,7 @@
 
     def start(self, name: InstanceId, incarnation: str) -> None:
         """Start an instance, in place of one that ran before."""
-        board = Blackboard(me=self.instances[name])
+        board = Blackboard(own_instance=self.instances[name])
         board.instances_by_id = dict(self.instances)
         self.boards[name] = board
         self.configure(name, (81, 82))
@@ -229,7 +229,7 @@
 
     def configure(self, name: InstanceId, ports: Iterable[int]) -> None:
         """Put an inventory with targets at some ports in force."""
-        self.boards[name].head = _snapshot(ports)
+        self.boards[name].snapshot = _snapshot(ports)
 
     def now(self) -> Instant:
         return Instant(self.reactor.seconds())
--- a/packages/yuccarill-daemon/tests/controllers/fleet.py
+++ b/packages/yuccarill-daemon/tests/controllers/fleet.py
@@ -50,7 +50,7 @@
     def __init__(self, fleet: Fleet, me: Instance) -> None:
         self.me = me
         self._fleet = fleet
-        self.blackboard = Blackboard(me=me)
+        self.blackboard = Blackboard(own_instance=me)
         # The highest revision that was ever in force here.
         self.reached = 0
         peers = fleet.network.peers_of(me)
@@ -75,7 +75,7 @@
 
     @property
     def revision(self) -> int:
-        head = self.blackboard.head
+        head = self.blackboard.snapshot
         return 0 if head is None else head.revision
 
     def kill(self) -> None:
--- a/packages/yuccarill-daemon/tests/controllers/memory_fleet.py
+++ b/packages/yuccarill-daemon/tests/controllers/memory_fleet.py
@@ -64,7 +64,7 @@
         self.clock = PausableClock(fleet.clock)
         self.is_down = False
         self.controller = membership.MembershipController(
-            Blackboard(me=me),
+            Blackboard(own_instance=me),
             self,
             self,
             Incarnation(f'{me.id}-{start}'),
--- a/packages/yuccarill-daemon/tests/controllers/rollout_world.py
+++ b/packages/yuccarill-daemon/tests/controllers/rollout_world.py
@@ -256,7 +256,7 @@
 
     def start(self, name: str, incarnation: str = 'i1') -> Any:
         """Start an instance, or restart it with nothing remembered."""
-        blackboard = Blackboard(me=_instance(name), head=_head())
+        blackboard = Blackboard(own_instance=_instance(name), snapshot=_head())
         identity = Incarnation(f'{name}{incarnation}')
         store = sample_store.SampleStore(
             self.registry, self._ask_disk, self.clock
--- a/packages/yuccarill-daemon/tests/controllers/test_configuration.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_configuration.py
@@ -173,7 +173,7 @@
         self.fleet.store.is_down = True
         self.fleet.start(0)
         self.fleet.advance(10.0)
-        self.assertIsNone(self.fleet.node(0).blackboard.head)
+        self.assertIsNone(self.fleet.node(0).blackboard.snapshot)
 
     def test_apply_during_an_outage_never_takes_effect(self) -> None:
         # The store is down when the operator applies. The refusal is plain,
--- a/packages/yuccarill-daemon/tests/controllers/test_configuration_machine.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_configuration_machine.py
@@ -108,7 +108,7 @@
     @stateful.invariant()
     def a_revision_is_one_document(self) -> None:
         for node in self.fleet.nodes_by_id.values():
-            head = node.blackboard.head
+            head = node.blackboard.snapshot
             if head is not None:
                 known = self.digests_by_revision.setdefault(
                     head.revision, head.digest
@@ -133,7 +133,7 @@
         assert [c.revision for c in trail] == list(range(1, len(trail) + 1))
         for node in self.fleet.nodes_by_id.values():
             assert node.revision == len(trail)
-            assert node.blackboard.head.digest == trail[-1].digest
+            assert node.blackboard.snapshot.digest == trail[-1].digest
         revisions_by_change = {c.change_id: c.revision for c in trail}
         assert len(revisions_by_change) == len(trail)
         for change, told in self.applies:
--- a/packages/yuccarill-daemon/tests/controllers/test_leases.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_leases.py
@@ -42,7 +42,7 @@
             http_port=1,
             peer_port=2,
         )
-        board = Blackboard(me=me)
+        board = Blackboard(own_instance=me)
         self.boards_by_id[name] = board
         system: Any = self
         controller = leases.LeaseController(
@@ -59,13 +59,13 @@
         self.controllers_by_id[name] = controller
         for known in self.boards_by_id.values():
             known.instances_by_id = {
-                other: b.me for other, b in self.boards_by_id.items()
+                other: b.own_instance for other, b in self.boards_by_id.items()
             }
         defer.ensureDeferred(controller.follow())
 
     def live(self) -> list[Instance]:
         boards = self.boards_by_id.values()
-        return [board.me for board in boards if not board.is_leaving]
+        return [board.own_instance for board in boards if not board.is_leaving]
 
     async def get(self, key: str) -> Entry:
         if self.fault:
--- a/packages/yuccarill-daemon/tests/controllers/test_weights.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_weights.py
@@ -38,7 +38,7 @@
         for n in range(engines)
     ]
     plain = {'models': [{'name': 'm'}], 'engines': entries}
-    return snapshot.from_inventory(reader.from_plain(plain))
+    return snapshot.from_inventory(reader.from_decoded(plain))
 
 
 @dataclasses.dataclass
@@ -69,7 +69,7 @@
             for name in NAMES
         }
         self.boards = {
-            name: Blackboard(me=each, head=inventory())
+            name: Blackboard(own_instance=each, snapshot=inventory())
             for name, each in self.instances.items()
         }
         self.parts = {name: self._build(name) for name in NAMES}
@@ -207,7 +207,7 @@
         # The inventory drops an engine while a version is on its way. It
         # is neither read nor ordered any more, and holds nobody back.
         for board in self.world.boards.values():
-            board.head = inventory(ENGINES - 1)
+            board.snapshot = inventory(ENGINES - 1)
         self.world.run(12)
         self.assertEqual([2, 2, 2, 1], self.world.versions())
         self.assertNotIn('e3', self.world.boards['b'].targets_by_id)
--- a/tools/configuration_fleet.py
+++ b/tools/configuration_fleet.py
@@ -153,7 +153,7 @@
             random.Random(self.random.random()),
             self.clock,
         )
-        blackboard = Blackboard(me=me)
+        blackboard = Blackboard(own_instance=me)
         controller = configuration.ConfigurationController(
             blackboard,
             spread,
@@ -217,8 +217,8 @@
         started_at = self.clock.seconds()
         while self.clock.seconds() - started_at < limit:
             if all(
-                blackboard.head is not None
-                and blackboard.head.revision >= revision
+                blackboard.snapshot is not None
+                and blackboard.snapshot.revision >= revision
                 for blackboard in self.blackboards_by_id.values()
             ):
                 break
--- a/tools/measure_configuration.py
+++ b/tools/measure_configuration.py
@@ -84,7 +84,7 @@
         at = fleet.random.choice(fleet.instances)
         document = next(source)
         mark = time.process_time()
-        reader.from_plain(document)
+        reader.from_decoded(document)
         decoding += time.process_time() - mark
         fleet.apply(at, revision, document)
         revision += 1
@@ -212,7 +212,8 @@
     source = documents(TARGETS)
     fleet.clock.run(1.0)
     values = [
-        reader.to_json(reader.from_plain(next(source))) for _ in range(changes)
+        reader.to_json(reader.from_decoded(next(source)))
+        for _ in range(changes)
     ]
     start = time.process_time()
     for value in values:
@@ -249,7 +250,7 @@
             f'{count} | naive',
             naive,
             lambda: naive.apply(
-                reader.to_json(reader.from_plain(next(source)))
+                reader.to_json(reader.from_decoded(next(source)))
             ),
         )
 
--- a/tools/weights_loopback.py
+++ b/tools/weights_loopback.py
@@ -128,7 +128,7 @@
 async def _measure(folder: pathlib.Path) -> None:
     document = json.loads((folder / 'inventory.json').read_text())
     engine_count = len(document['engines'])
-    inventory = reader.from_plain(document)
+    inventory = reader.from_decoded(document)
     me = Instance(
         id=InstanceId('i'),
         data_centre=DataCentreId('dc0'),
@@ -137,7 +137,7 @@
         peer_port=1,
     )
     head = snapshot.from_inventory(inventory)
-    blackboard = Blackboard(me=me, head=head)
+    blackboard = Blackboard(own_instance=me, snapshot=head)
     leases: Any = HeldLeases(me)
     store: Any = FixedStore()
     adapter = engine_weights.EngineWeightsAdapter(http.HttpClient())
