--- a/packages/yuccarill-cli/src/yuccarill/cli/commands/quarantine.py
+++ b/packages/yuccarill-cli/src/yuccarill/cli/commands/quarantine.py
@@ -8,7 +8,7 @@
 
 from yuccarill.cli import output
 from yuccarill.cli.output import OutputForm
-from yuccarill.core.gateway.end_ledger import QuarantinedContent
+from yuccarill.core.gateway.crash_ledger import QuarantinedContent
 
 if TYPE_CHECKING:
     from yuccarill.cli.session import Session
--- a/packages/yuccarill-core/src/yuccarill/core/accounts/decision.py
+++ b/packages/yuccarill-core/src/yuccarill/core/accounts/decision.py
@@ -7,7 +7,7 @@
 import msgspec
 
 
-class KeyStanding(enum.Enum):
+class KeyState(enum.Enum):
     """Name the state of a key in the configuration of this instance."""
 
     HELD = 'held by an account'
@@ -16,7 +16,7 @@
     UNKNOWN = 'unknown'
 
 
-class Look(enum.Enum):
+class LookupResult(enum.Enum):
     """Name the result of looking up a key in the newest configuration."""
 
     NOT_YET = 'not yet'
@@ -24,16 +24,16 @@
     FAILED = 'failed'
 
 
-class Verdict(enum.Enum):
+class KeyVerdict(enum.Enum):
     """Name the outcome of the admission check of a request."""
 
     ADMIT = 'admit'
     # Read the newest configuration, then decide again.
-    LOOK = 'look'
+    LOOK_UP = 'look'
     # Permanent: the client must not retry with this key.
     REFUSE = 'refuse'
     # Temporary: another instance, or this one later, may know the key.
-    PUT_OFF = 'put off'
+    DEFER = 'put off'
 
 
 class RevocationPolicy(msgspec.Struct, frozen=True, kw_only=True):
@@ -47,8 +47,11 @@
 
 
 def decide(
-    standing: KeyStanding, look: Look, age: float, policy: RevocationPolicy
-) -> Verdict:
+    standing: KeyState,
+    look: LookupResult,
+    age: float,
+    policy: RevocationPolicy,
+) -> KeyVerdict:
     """Return the verdict under a configuration confirmed `age` seconds ago.
 
     A refusal is permanent, so an instance that is partitioned or has an old
@@ -56,18 +59,18 @@
     up in the newest version first, and deferred if that fails.
     """
     match standing:
-        case KeyStanding.HELD if policy.is_strict and age > policy.max_age:
-            return Verdict.PUT_OFF
-        case KeyStanding.HELD:
-            return Verdict.ADMIT
-        case KeyStanding.REMOVED:
-            return Verdict.REFUSE
-        case KeyStanding.UNKNOWN:
+        case KeyState.HELD if policy.is_strict and age > policy.max_age:
+            return KeyVerdict.DEFER
+        case KeyState.HELD:
+            return KeyVerdict.ADMIT
+        case KeyState.REMOVED:
+            return KeyVerdict.REFUSE
+        case KeyState.UNKNOWN:
             return _UNKNOWN_KEY_VERDICTS[look]
 
 
 _UNKNOWN_KEY_VERDICTS = {
-    Look.NOT_YET: Verdict.LOOK,
-    Look.ANSWERED: Verdict.REFUSE,
-    Look.FAILED: Verdict.PUT_OFF,
+    LookupResult.NOT_YET: KeyVerdict.LOOK_UP,
+    LookupResult.ANSWERED: KeyVerdict.REFUSE,
+    LookupResult.FAILED: KeyVerdict.DEFER,
 }
--- a/packages/yuccarill-core/src/yuccarill/core/accounts/directory.py
+++ b/packages/yuccarill-core/src/yuccarill/core/accounts/directory.py
@@ -32,14 +32,14 @@
     def __init__(self, accounts: Iterable[Account]) -> None:
         self._accounts_by_key: dict[KeyDigest, Account] = {}
         # Keys of several accounts; refused, since the owner is ambiguous.
-        self.shared: set[KeyDigest] = set()
+        self.ambiguous_keys: set[KeyDigest] = set()
         self._removed: dict[KeyDigest, None] = {}
         for account in accounts:
             for key in account.keys:
                 if key in self._accounts_by_key:
-                    self.shared.add(key)
+                    self.ambiguous_keys.add(key)
                 self._accounts_by_key[key] = account
-        for key in self.shared:
+        for key in self.ambiguous_keys:
             del self._accounts_by_key[key]
 
     def __len__(self) -> int:
@@ -53,7 +53,7 @@
         """Return whether an earlier version held a key that this one lacks."""
         return key in self._removed
 
-    def follow(self, before: AccountDirectory) -> None:
+    def record_removed_keys(self, before: AccountDirectory) -> None:
         """Record the keys that an earlier version held and this one lacks."""
         gone = before._accounts_by_key.keys() - self._accounts_by_key.keys()
         kept = [k for k in before._removed if k not in self._accounts_by_key]
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/abandoned.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/abandoned.py
@@ -15,7 +15,7 @@
 ABANDONED_SECONDS = 2.0
 MAX_ABANDONED_RUNS = 1024
 # Unexpired failed runs of one content that block further attempts.
-MAX_UNSETTLED = 2
+MAX_FAILED_RUNS = 2
 
 
 class _AbandonedRun(NamedTuple):
@@ -38,7 +38,7 @@
             collections.Counter()
         )
 
-    def note(
+    def add(
         self,
         target: TargetId,
         content: ContentDigest,
@@ -57,12 +57,12 @@
         )
         self._failed_by_content[content] += is_failed
 
-    def unsettled(self, content: ContentDigest, now: Instant) -> int:
+    def failed_run_count(self, content: ContentDigest, now: Instant) -> int:
         """Return the number of unexpired failed runs of a content."""
         self._expire(now)
         return self._failed_by_content.get(content, 0)
 
-    def take(
+    def pop_running_at(
         self, target: TargetId, ended_at: Instant, now: Instant
     ) -> dict[ContentDigest, RequestId]:
         """Remove a target's runs; return those under way when it exited."""
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/end_ledger.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/crash_ledger.py
@@ -43,7 +43,7 @@
 QUARANTINE_SECONDS = 3600.0
 
 
-class EndReport(msgspec.Struct, frozen=True, kw_only=True):
+class CrashReport(msgspec.Struct, frozen=True, kw_only=True):
     """Report the end of a target and the contents that it was running."""
 
     target: TargetId
@@ -74,7 +74,7 @@
     contents: dict[ContentDigest, RequestId | None]
 
 
-class EndLedger:
+class CrashLedger:
     """Hold the ends that this instance or its peers detected."""
 
     def __init__(self) -> None:
@@ -95,7 +95,7 @@
     def verdict(self, content: ContentDigest) -> Verdict:
         return self._judgement.verdict(content)
 
-    def report(self, report: EndReport, now: Instant) -> None:
+    def report(self, report: CrashReport, now: Instant) -> None:
         """Add a report, merged with an earlier one of the same end."""
         at = Instant(now - report.age)
         end = self._find_end(report.target, at)
@@ -206,10 +206,10 @@
     def quarantined(self) -> Collection[ContentDigest]:
         return self._quarantined_until.keys()
 
-    def reports(self, now: Instant) -> tuple[EndReport, ...]:
+    def reports(self, now: Instant) -> tuple[CrashReport, ...]:
         """Return reports of the ends with contents for a new instance."""
         return tuple(
-            EndReport(
+            CrashReport(
                 target=end.target,
                 contents=tuple(end.contents),
                 requests_by_content={
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/directory.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/directory.py
@@ -22,15 +22,16 @@
 REMOTE_INSTANCES = 4
 
 
-class Place(msgspec.Struct, frozen=True, kw_only=True):
+class InstanceLocation(msgspec.Struct, frozen=True, kw_only=True):
     """Describe the capacity and location of one instance."""
 
     cores: float
     data_centre: DataCentreId
 
 
-def named(
-    places_by_address: Mapping[str, Place], caller_centre: DataCentreId
+def addresses_for_caller(
+    places_by_address: Mapping[str, InstanceLocation],
+    caller_centre: DataCentreId,
 ) -> list[str]:
     """Return the addresses for a caller in a data centre.
 
@@ -52,7 +53,7 @@
 
 
 def _interleave_centres(
-    addresses: Iterable[str], places_by_address: Mapping[str, Place]
+    addresses: Iterable[str], places_by_address: Mapping[str, InstanceLocation]
 ) -> list[str]:
     """Return addresses in round-robin order of their data centres."""
     counts_by_centre: dict[DataCentreId, int] = {}
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/spared_targets.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/last_target_guard.py
@@ -9,8 +9,8 @@
 if TYPE_CHECKING:
     from collections.abc import Set
 
-    from yuccarill.core.gateway.doubts import Doubts
-    from yuccarill.core.gateway.end_ledger import EndLedger
+    from yuccarill.core.gateway.crash_ledger import CrashLedger
+    from yuccarill.core.gateway.unconfirmed_losses import UnconfirmedLosses
     from yuccarill.core.ids import ContentDigest
     from yuccarill.core.ids import TargetId
 
@@ -30,14 +30,14 @@
 UNCONFIRMED_LOSSES = 3
 
 
-class SparedTargets:
+class LastTargetGuard:
     """Decide which requests put a service's last live target at risk."""
 
-    def __init__(self, ledger: EndLedger, doubts: Doubts) -> None:
+    def __init__(self, ledger: CrashLedger, doubts: UnconfirmedLosses) -> None:
         self._ledger = ledger
         self._doubts = doubts
 
-    def are_at_risk(
+    def must_hold(
         self, content: ContentDigest, ready: Set[TargetId], now: Instant
     ) -> bool:
         """Return whether a request must not be sent to the ready targets.
@@ -49,7 +49,7 @@
         lost = self._ledger.end_times_since(content, since)
         silent = {
             doubt.target.id: doubt.at
-            for doubt in self._doubts.lost(content, now)
+            for doubt in self._doubts.losses_of(content, now)
         }
         lost |= silent
         if len(lost) < LOST_TARGETS:
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/leadership.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/leadership.py
@@ -48,7 +48,7 @@
     handover_pause: float
 
 
-class Tenure:
+class HeldLease:
     """Track the lease of one duty from its holder's point of view."""
 
     def __init__(
@@ -56,10 +56,10 @@
         epoch: Epoch,
         policy: HoldPolicy,
         renewed_at: Instant,
-        orders_from: Instant,
+        earliest_order_at: Instant,
     ) -> None:
         self.epoch = epoch
-        self.orders_from = orders_from
+        self.earliest_order_at = earliest_order_at
         self._policy = policy
         self._renewed_at = renewed_at
         self._last_order_at: Instant | None = None
@@ -78,9 +78,9 @@
     def may_order(self, now: Instant) -> bool:
         """Return whether an order may be sent."""
         window_ends_at = self._renewed_at + self._policy.order_window
-        return self.orders_from <= now < window_ends_at
+        return self.earliest_order_at <= now < window_ends_at
 
-    def order(self, now: Instant) -> None:
+    def record_order(self, now: Instant) -> None:
         """Record that an order is sent."""
         self._last_order_at = now
 
@@ -91,7 +91,7 @@
         return now - self._last_order_at
 
 
-def orders_from(
+def earliest_order_at(
     me: InstanceId,
     last: LastHolder | None,
     policy: HoldPolicy,
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/partitions.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/partitions.py
@@ -39,13 +39,13 @@
     is_by_items: bool = False
 
 
-WHOLE = Division()
+UNDIVIDED = Division()
 
 
 def division_for(engines: int) -> Division:
     """Return the division of a service with a number of engines."""
     if engines < MIN_PARTITIONED_ENGINES:
-        return WHOLE
+        return UNDIVIDED
     parts = min(MAX_PARTS, math.ceil(engines / MAX_ENGINES_PER_PART))
     return Division(parts=parts, is_by_items=True)
 
@@ -72,19 +72,19 @@
     return _MANY_SETTLE_SECONDS
 
 
-def name(service: ServiceName, number: int, count: int) -> ServiceName:
+def part_name(service: ServiceName, number: int, count: int) -> ServiceName:
     """Return the name of a part; the service name if it is the only one."""
     if count == 1:
         return service
     return ServiceName(f'{service}{_SEPARATOR}{number}')
 
 
-def names(service: ServiceName, count: int) -> list[ServiceName]:
+def part_names(service: ServiceName, count: int) -> list[ServiceName]:
     """Return the names of all parts of a service."""
-    return [name(service, number, count) for number in range(count)]
+    return [part_name(service, number, count) for number in range(count)]
 
 
-def service_of(part: ServiceName) -> ServiceName:
+def service_of_part(part: ServiceName) -> ServiceName:
     """Return the service that a part belongs to."""
     return ServiceName(part.partition(_SEPARATOR)[0])
 
@@ -95,16 +95,16 @@
     Depends only on the engine id, so that two holders with different target
     lists never order the same engine.
     """
-    number = number_of(engine, count)
-    return name(service_of(part), number, count) == part
+    number = part_number(engine, count)
+    return part_name(service_of_part(part), number, count) == part
 
 
-def number_of(key: str, count: int) -> int:
+def part_number(key: str, count: int) -> int:
     """Return the number of the part that a key belongs to."""
     return zlib.crc32(key.encode()) % count
 
 
-def of_model(
+def part_of_model(
     service: ServiceName,
     model: ModelName | None,
     models: Sequence[ModelName],
@@ -112,8 +112,8 @@
 ) -> ServiceName:
     """Return the part that runs a model's jobs and tracks its versions."""
     if count == 1 or model is None:
-        return name(service, 0, count)
+        return part_name(service, 0, count)
     ordered = sorted(models)
     is_known = model in ordered
     number = ordered.index(model) if is_known else zlib.crc32(model.encode())
-    return name(service, number % count, count)
+    return part_name(service, number % count, count)
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/requests.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/requests.py
@@ -50,11 +50,11 @@
     headers: tuple[tuple[str, str], ...]
     body: bytes
     # The target's signature of the response.
-    stamp: str | None
+    signature: str | None
     # The target reports that it did not run the request.
     not_run: bool = False
     # A different process responded at the target's address.
-    is_other: bool = False
+    is_from_other_process: bool = False
 
     @property
     def is_success(self) -> bool:
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/parting.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/suspect_runs.py
@@ -13,7 +13,7 @@
     from collections.abc import Mapping
 
 
-class Parting:
+class SuspectRuns:
     """Track which targets run suspected contents.
 
     The cause of a crash among contents that ran together is only found if
@@ -47,7 +47,9 @@
             content in running for running in self._runs_by_target.values()
         )
 
-    def others(self, content: ContentDigest) -> Mapping[TargetId, int]:
+    def other_counts_by_target(
+        self, content: ContentDigest
+    ) -> Mapping[TargetId, int]:
         """Count the other contents by target; omit targets without any."""
         return {
             target: count
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/doubts.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/unconfirmed_losses.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from yuccarill.core.gateway.end_ledger import EndReport
+from yuccarill.core.gateway.crash_ledger import CrashReport
 from yuccarill.core.gateway.targets import ListedTarget
 from yuccarill.core.ids import ContentDigest
 from yuccarill.core.ids import Instant
@@ -26,7 +26,7 @@
 LOSS_SECONDS = 0.1
 
 
-class Doubt(msgspec.Struct, kw_only=True):
+class UnconfirmedLoss(msgspec.Struct, kw_only=True):
     """Describe requests lost at a target whose process may have exited."""
 
     target: ListedTarget
@@ -36,11 +36,11 @@
     is_silent: bool = True
 
 
-class Doubts:
+class UnconfirmedLosses:
     """Hold the doubts until the target list confirms or refutes an exit."""
 
     def __init__(self) -> None:
-        self._doubts: collections.deque[Doubt] = collections.deque(
+        self._doubts: collections.deque[UnconfirmedLoss] = collections.deque(
             maxlen=MAX_DOUBTS
         )
 
@@ -64,14 +64,14 @@
         ):
             return
         self._doubts.append(
-            Doubt(
+            UnconfirmedLoss(
                 target=target,
                 requests_by_content=requests_by_content,
                 at=at,
             )
         )
 
-    def answered(self, target: TargetId) -> None:
+    def record_response(self, target: TargetId) -> None:
         """Record that a target responded."""
         for doubt in self._doubts:
             if doubt.target.id == target:
@@ -82,7 +82,9 @@
         for doubt in self._doubts:
             doubt.requests_by_content.pop(content, None)
 
-    def settle(self, target: ListedTarget, now: Instant) -> list[Doubt]:
+    def pop_confirmed(
+        self, target: ListedTarget, now: Instant
+    ) -> list[UnconfirmedLoss]:
         """Remove and return the doubts about a listed target's predecessor."""
         self._expire(now)
         found = [doubt for doubt in self._doubts if _precedes(doubt, target)]
@@ -95,7 +97,9 @@
         self._expire(now)
         return frozenset(e.target.id for e in self._doubts if e.is_silent)
 
-    def lost(self, content: ContentDigest, now: Instant) -> list[Doubt]:
+    def losses_of(
+        self, content: ContentDigest, now: Instant
+    ) -> list[UnconfirmedLoss]:
         """Return the doubts at silent targets that include a content."""
         self._expire(now)
         return [
@@ -116,15 +120,15 @@
 
     def reports(
         self, content: ContentDigest, now: Instant
-    ) -> tuple[EndReport, ...]:
+    ) -> tuple[CrashReport, ...]:
         """Return the doubts about a content as reports for other instances."""
         return tuple(
-            EndReport(
+            CrashReport(
                 target=doubt.target.id,
                 contents=(content,),
                 age=now - doubt.at,
             )
-            for doubt in self.lost(content, now)
+            for doubt in self.losses_of(content, now)
         )
 
     def _expire(self, now: Instant) -> None:
@@ -132,7 +136,7 @@
             self._doubts.popleft()
 
 
-def _precedes(doubt: Doubt, target: ListedTarget) -> bool:
+def _precedes(doubt: UnconfirmedLoss, target: ListedTarget) -> bool:
     if doubt.target.address != target.address:
         return False
     is_same = doubt.target.id == target.id
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/engines.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/engines.py
@@ -12,17 +12,17 @@
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import ModelName
 from yuccarill.core.ids import WeightVersion
-from yuccarill.core.speeds.book import DEFAULT_PACE
 from yuccarill.core.speeds.estimate import PaceEstimate
 from yuccarill.core.speeds.estimate import SpeedState
 from yuccarill.core.speeds import median
+from yuccarill.core.speeds.pace_estimator import DEFAULT_PACE
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
     from yuccarill.core.ids import TargetId
     from yuccarill.core.jobs.job import Job
-    from yuccarill.core.speeds.book import LogPaceBook
+    from yuccarill.core.speeds.pace_estimator import PaceEstimator
 
 # Time constant of an engine's average pace. The weight of a gap decays by time
 # instead of by event, since one pause delays all runs of an engine at once.
@@ -120,7 +120,7 @@
     those of the last seconds.
     """
 
-    def __init__(self, speeds: LogPaceBook | None = None) -> None:
+    def __init__(self, speeds: PaceEstimator | None = None) -> None:
         self.engines_by_id: dict[TargetId, EngineState] = {}
         self.speeds = speeds
         self._usual_pace: float | None = None
@@ -148,7 +148,7 @@
             if self.speeds is not None:
                 if old is not None and not is_same:
                     self.speeds.forget(target.id)
-                self.speeds.follow(target.id, target.start)
+                self.speeds.track_start(target.id, target.start)
             if old is not None and is_same:
                 old.target = target
                 continue
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/shares.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/shares.py
@@ -32,7 +32,7 @@
     """
     items_by_number: dict[int, list[Item]] = {}
     for item in job.items:
-        number = partitions.number_of(item.group, count)
+        number = partitions.part_number(item.group, count)
         items_by_number.setdefault(number, []).append(item)
     groups = len({item.group for item in job.items})
     return tuple(
@@ -48,7 +48,7 @@
     return msgspec.structs.replace(
         job,
         id=share_id(job.id, number),
-        service=partitions.name(job.service, number, count),
+        service=partitions.part_name(job.service, number, count),
         wanted_groups=math.ceil(job.wanted_groups * fraction),
         items=tuple(items),
         share=JobShare(job=job.id, number=number),
--- a/packages/yuccarill-core/src/yuccarill/core/scaling/measure.py
+++ b/packages/yuccarill-core/src/yuccarill/core/scaling/measure.py
@@ -47,7 +47,7 @@
         return self._since is not None and now - self._since >= self._window
 
     @property
-    def wanted(self) -> float:
+    def demand(self) -> float:
         """Return the average number of slots in use or waited for."""
         if not self._samples:
             return 0.0
--- a/packages/yuccarill-core/src/yuccarill/core/scaling/scaling.py
+++ b/packages/yuccarill-core/src/yuccarill/core/scaling/scaling.py
@@ -90,12 +90,14 @@
             if now >= self._may_order_at.get((centre, kind), now)
         ]
 
-    def sent(self, order: TargetOrder, now: Instant) -> None:
+    def record_sent(self, order: TargetOrder, now: Instant) -> None:
         """Record that an order is sent."""
         place = (order.data_centre, order.kind)
         self._may_order_at[place] = Instant(now + self._policy.order_pause)
 
-    def ended(self, order: TargetOrder, end: OrderEnd, now: Instant) -> None:
+    def record_result(
+        self, order: TargetOrder, end: OrderEnd, now: Instant
+    ) -> None:
         """Record the result of an order.
 
         An order with an unknown result or over the rate limit is repeated,
@@ -139,7 +141,7 @@
         measure: WorkMeasure,
         now: Instant,
     ) -> Counts:
-        needed = self._needed(bounds, measure.wanted, slots)
+        needed = self._needed(bounds, measure.demand, slots)
         ordered = sum(self._counts.values())
         if needed.total > ordered:
             self._shrink_at = None
--- a/packages/yuccarill-core/src/yuccarill/core/speeds/book.py
+++ b/packages/yuccarill-core/src/yuccarill/core/speeds/pace_estimator.py
@@ -87,7 +87,7 @@
         return math.exp(-idle / UNSEEN_SECONDS)
 
 
-class LogPaceBook:
+class PaceEstimator:
     """Estimate the speed of the targets of one service.
 
     Applies a scalar Kalman filter to the logarithm of each pace, gated by the
@@ -104,7 +104,7 @@
         self._cached_median: float | None = None
         self._median_at = Instant(-math.inf)
 
-    def follow(self, target: TargetId, start: TargetStart) -> None:
+    def track_start(self, target: TargetId, start: TargetStart) -> None:
         """Drop the estimate of an earlier process start of a target."""
         known = self._speeds_by_id.get(target)
         if known is None:
@@ -114,7 +114,7 @@
         else:
             self._speeds_by_id[target] = _Speed(start=start)
 
-    def saw(
+    def record_unit(
         self, target: TargetId, seconds: float, concurrent: int, now: Instant
     ) -> None:
         """Record the duration of a unit and its number of concurrent units."""
--- a/packages/yuccarill-core/src/yuccarill/core/usage/counts.py
+++ b/packages/yuccarill-core/src/yuccarill/core/usage/counts.py
@@ -19,7 +19,7 @@
 MAX_WINDOWS = 100
 
 
-class OwnCounts:
+class LocalCounts:
     """Hold the counts of this process that are not reported yet."""
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
             if window <= self.closed_through:
                 del self.counts_by_window[window]
 
-    def shed(self) -> int:
+    def drop_excess(self) -> int:
         """Drop the oldest excess windows; return their request count."""
         lost = 0
         while len(self.counts_by_window) > MAX_WINDOWS:
@@ -54,7 +54,7 @@
         return lost
 
 
-class UsageBook:
+class UsageTotals:
     """Aggregate the counts of all processes at the holder of the duty.
 
     Each process sends cumulative counts, so that a message that is repeated or
@@ -66,7 +66,7 @@
             WindowNumber, dict[Incarnation, Counts]
         ] = {}
 
-    def take(
+    def merge_source(
         self, source: Incarnation, counts_by_window: CountsByWindow
     ) -> bool:
         """Merge the counts of a process; return whether any is new."""
@@ -100,4 +100,4 @@
         """Merge the counts that an earlier holder stored."""
         for window, sources in others.items():
             for source, counts in sources.items():
-                self.take(source, {window: counts})
+                self.merge_source(source, {window: counts})
--- a/packages/yuccarill-core/tests/accounts/test_decision.py
+++ b/packages/yuccarill-core/tests/accounts/test_decision.py
@@ -7,9 +7,9 @@
 from nose2.tools import params
 
 from yuccarill.core.accounts import decision
-from yuccarill.core.accounts.decision import KeyStanding
-from yuccarill.core.accounts.decision import Look
-from yuccarill.core.accounts.decision import Verdict
+from yuccarill.core.accounts.decision import KeyState
+from yuccarill.core.accounts.decision import KeyVerdict
+from yuccarill.core.accounts.decision import LookupResult
 
 LENIENT = decision.RevocationPolicy()
 STRICT = decision.RevocationPolicy(is_strict=True, max_age=5.0)
@@ -21,33 +21,123 @@
 class DecisionTest(unittest.TestCase):
     # State of the key, lookup result, age, policy, verdict.
     @params(
-        (KeyStanding.HELD, Look.NOT_YET, FRESH, LENIENT, Verdict.ADMIT),
-        (KeyStanding.HELD, Look.NOT_YET, CUT_OFF, LENIENT, Verdict.ADMIT),
-        (KeyStanding.HELD, Look.NOT_YET, LONG_CUT_OFF, LENIENT, Verdict.ADMIT),
-        (KeyStanding.HELD, Look.FAILED, CUT_OFF, LENIENT, Verdict.ADMIT),
-        (KeyStanding.HELD, Look.NOT_YET, FRESH, STRICT, Verdict.ADMIT),
-        (KeyStanding.HELD, Look.NOT_YET, CUT_OFF, STRICT, Verdict.PUT_OFF),
-        (KeyStanding.HELD, Look.FAILED, CUT_OFF, STRICT, Verdict.PUT_OFF),
+        (
+            KeyState.HELD,
+            LookupResult.NOT_YET,
+            FRESH,
+            LENIENT,
+            KeyVerdict.ADMIT,
+        ),
+        (
+            KeyState.HELD,
+            LookupResult.NOT_YET,
+            CUT_OFF,
+            LENIENT,
+            KeyVerdict.ADMIT,
+        ),
+        (
+            KeyState.HELD,
+            LookupResult.NOT_YET,
+            LONG_CUT_OFF,
+            LENIENT,
+            KeyVerdict.ADMIT,
+        ),
+        (
+            KeyState.HELD,
+            LookupResult.FAILED,
+            CUT_OFF,
+            LENIENT,
+            KeyVerdict.ADMIT,
+        ),
+        (KeyState.HELD, LookupResult.NOT_YET, FRESH, STRICT, KeyVerdict.ADMIT),
+        (
+            KeyState.HELD,
+            LookupResult.NOT_YET,
+            CUT_OFF,
+            STRICT,
+            KeyVerdict.DEFER,
+        ),
+        (
+            KeyState.HELD,
+            LookupResult.FAILED,
+            CUT_OFF,
+            STRICT,
+            KeyVerdict.DEFER,
+        ),
         # Removed: no lookup, whether or not the store is reachable.
-        (KeyStanding.REMOVED, Look.NOT_YET, FRESH, LENIENT, Verdict.REFUSE),
-        (KeyStanding.REMOVED, Look.NOT_YET, CUT_OFF, LENIENT, Verdict.REFUSE),
-        (KeyStanding.REMOVED, Look.FAILED, CUT_OFF, STRICT, Verdict.REFUSE),
+        (
+            KeyState.REMOVED,
+            LookupResult.NOT_YET,
+            FRESH,
+            LENIENT,
+            KeyVerdict.REFUSE,
+        ),
+        (
+            KeyState.REMOVED,
+            LookupResult.NOT_YET,
+            CUT_OFF,
+            LENIENT,
+            KeyVerdict.REFUSE,
+        ),
+        (
+            KeyState.REMOVED,
+            LookupResult.FAILED,
+            CUT_OFF,
+            STRICT,
+            KeyVerdict.REFUSE,
+        ),
         # May be new: looked up before a permanent refusal.
-        (KeyStanding.UNKNOWN, Look.NOT_YET, FRESH, LENIENT, Verdict.LOOK),
-        (KeyStanding.UNKNOWN, Look.NOT_YET, CUT_OFF, LENIENT, Verdict.LOOK),
-        (KeyStanding.UNKNOWN, Look.ANSWERED, FRESH, LENIENT, Verdict.REFUSE),
-        (KeyStanding.UNKNOWN, Look.ANSWERED, CUT_OFF, STRICT, Verdict.REFUSE),
+        (
+            KeyState.UNKNOWN,
+            LookupResult.NOT_YET,
+            FRESH,
+            LENIENT,
+            KeyVerdict.LOOK_UP,
+        ),
+        (
+            KeyState.UNKNOWN,
+            LookupResult.NOT_YET,
+            CUT_OFF,
+            LENIENT,
+            KeyVerdict.LOOK_UP,
+        ),
+        (
+            KeyState.UNKNOWN,
+            LookupResult.ANSWERED,
+            FRESH,
+            LENIENT,
+            KeyVerdict.REFUSE,
+        ),
+        (
+            KeyState.UNKNOWN,
+            LookupResult.ANSWERED,
+            CUT_OFF,
+            STRICT,
+            KeyVerdict.REFUSE,
+        ),
         # Lookup failed: another instance may know the key.
-        (KeyStanding.UNKNOWN, Look.FAILED, FRESH, LENIENT, Verdict.PUT_OFF),
-        (KeyStanding.UNKNOWN, Look.FAILED, CUT_OFF, LENIENT, Verdict.PUT_OFF),
+        (
+            KeyState.UNKNOWN,
+            LookupResult.FAILED,
+            FRESH,
+            LENIENT,
+            KeyVerdict.DEFER,
+        ),
+        (
+            KeyState.UNKNOWN,
+            LookupResult.FAILED,
+            CUT_OFF,
+            LENIENT,
+            KeyVerdict.DEFER,
+        ),
     )
     def test_verdict(
         self,
-        standing: KeyStanding,
-        look: Look,
+        standing: KeyState,
+        look: LookupResult,
         age: float,
         policy: decision.RevocationPolicy,
-        expected: Verdict,
+        expected: KeyVerdict,
     ) -> None:
         found = decision.decide(standing, look, age, policy)
         self.assertIs(expected, found)
--- a/packages/yuccarill-core/tests/accounts/test_directory.py
+++ b/packages/yuccarill-core/tests/accounts/test_directory.py
@@ -32,7 +32,7 @@
         # Guards against billing one account for the other.
         found = accounts(a='xy', b='yz')
         self.assertIsNone(found.find(KeyDigest(b'y')))
-        self.assertEqual({b'y'}, found.shared)
+        self.assertEqual({b'y'}, found.ambiguous_keys)
 
     # Keys of each version, removed keys.
     @params(
@@ -47,7 +47,7 @@
         found = accounts(a=versions[0])
         for keys in versions[1:]:
             following = accounts(a=keys)
-            following.follow(found)
+            following.record_removed_keys(found)
             found = following
         self.assertEqual(
             set(expected),
@@ -63,7 +63,7 @@
             for number in range(directory.MAX_REMOVED + 10)
         )
         after = accounts()
-        after.follow(before)
+        after.record_removed_keys(before)
         known = sum(
             after.was_removed(KeyDigest(b'%d' % number))
             for number in range(directory.MAX_REMOVED + 10)
--- a/packages/yuccarill-core/tests/gateway/test_abandoned.py
+++ b/packages/yuccarill-core/tests/gateway/test_abandoned.py
@@ -27,22 +27,24 @@
     def test_a_run_counts_until_it_expires(
         self, seconds: float, counts: bool
     ) -> None:
-        self.runs.note(T, X, R, True, NOW, NOW)
+        self.runs.add(T, X, R, True, NOW, NOW)
         now = Instant(10.0 + seconds)
-        self.assertEqual(int(counts), self.runs.unsettled(X, now))
-        self.assertEqual({X: R} if counts else {}, self.runs.take(T, now, now))
+        self.assertEqual(int(counts), self.runs.failed_run_count(X, now))
+        self.assertEqual(
+            {X: R} if counts else {}, self.runs.pop_running_at(T, now, now)
+        )
 
     def test_an_exit_settles_the_runs_of_its_target(self) -> None:
         for target in (T, TargetId('u')):
-            self.runs.note(target, X, R, True, NOW, NOW)
-        self.assertEqual({X: R}, self.runs.take(T, NOW, NOW))
-        self.assertEqual({}, self.runs.take(T, NOW, NOW))
-        self.assertEqual(1, self.runs.unsettled(X, NOW))
+            self.runs.add(target, X, R, True, NOW, NOW)
+        self.assertEqual({X: R}, self.runs.pop_running_at(T, NOW, NOW))
+        self.assertEqual({}, self.runs.pop_running_at(T, NOW, NOW))
+        self.assertEqual(1, self.runs.failed_run_count(X, NOW))
 
     def test_a_cancelled_run_is_no_failure(self) -> None:
-        self.runs.note(T, X, R, False, NOW, NOW)
-        self.assertEqual(0, self.runs.unsettled(X, NOW))
-        self.assertEqual({X: R}, self.runs.take(T, NOW, NOW))
+        self.runs.add(T, X, R, False, NOW, NOW)
+        self.assertEqual(0, self.runs.failed_run_count(X, NOW))
+        self.assertEqual({X: R}, self.runs.pop_running_at(T, NOW, NOW))
 
     # Start of the run, whether it was under way at an exit at 10 s.
     @params((9.9, True), (10.1, False))
@@ -51,14 +53,15 @@
     ) -> None:
         """Guards against blame on requests that never reached a process."""
         now = Instant(12.0)
-        self.runs.note(T, X, R, True, Instant(began_at), now)
+        self.runs.add(T, X, R, True, Instant(began_at), now)
         expected = {X: R} if counts else {}
-        self.assertEqual(expected, self.runs.take(T, NOW, now))
+        self.assertEqual(expected, self.runs.pop_running_at(T, NOW, now))
 
     def test_memory_is_bounded(self) -> None:
         for number in range(2 * abandoned.MAX_ABANDONED_RUNS):
-            self.runs.note(T, ContentDigest(f'c{number}'), R, True, NOW, NOW)
+            self.runs.add(T, ContentDigest(f'c{number}'), R, True, NOW, NOW)
         self.assertEqual(
-            abandoned.MAX_ABANDONED_RUNS, len(self.runs.take(T, NOW, NOW))
+            abandoned.MAX_ABANDONED_RUNS,
+            len(self.runs.pop_running_at(T, NOW, NOW)),
         )
         self.assertEqual(0, len(self.runs._failed_by_content))
--- a/packages/yuccarill-core/tests/gateway/test_directory.py
+++ b/packages/yuccarill-core/tests/gateway/test_directory.py
@@ -23,9 +23,9 @@
 
 def fleet(
     per_centre: int = PER_CENTRE, centres: int = len(CENTRES)
-) -> dict[str, directory.Place]:
+) -> dict[str, directory.InstanceLocation]:
     return {
-        f'{centre}{number:02}:80': directory.Place(
+        f'{centre}{number:02}:80': directory.InstanceLocation(
             cores=2.15 if number < STRONG else 0.516, data_centre=centre
         )
         for centre in CENTRES[:centres]
@@ -46,12 +46,14 @@
     def test_most_are_local_and_all_data_centres_are_included(
         self, centre: DataCentreId
     ) -> None:
-        found = self.centres(directory.named(self.places, centre))
+        found = self.centres(
+            directory.addresses_for_caller(self.places, centre)
+        )
         self.assertEqual(directory.MAX_LOCAL_INSTANCES, found[centre])
         self.assertEqual({1}, {found[c] for c in CENTRES if c != centre})
 
     def test_instances_with_more_cores_come_first(self) -> None:
-        found = directory.named(self.places, CENTRES[0])
+        found = directory.addresses_for_caller(self.places, CENTRES[0])
         self.assertEqual(
             {2.15}, {self.places[address].cores for address in found[:STRONG]}
         )
@@ -60,7 +62,9 @@
     def test_a_caller_elsewhere_gets_all_data_centres(
         self, centre: str, expected: int
     ) -> None:
-        found = directory.named(self.places, DataCentreId(centre))
+        found = directory.addresses_for_caller(
+            self.places, DataCentreId(centre)
+        )
         self.assertEqual(expected, len(found))
         self.assertEqual(len(CENTRES), len(self.centres(found)))
 
@@ -69,13 +73,13 @@
         self, per_centre: int, centres: int
     ) -> None:
         places = fleet(per_centre, centres)
-        found = directory.named(places, CENTRES[0])
+        found = directory.addresses_for_caller(places, CENTRES[0])
         self.assertEqual(sorted(places), sorted(found))
 
     def test_a_lost_instance_is_replaced_and_the_others_stay(self) -> None:
-        before = directory.named(self.places, CENTRES[0])
+        before = directory.addresses_for_caller(self.places, CENTRES[0])
         del self.places[before[5]]
-        after = directory.named(self.places, CENTRES[0])
+        after = directory.addresses_for_caller(self.places, CENTRES[0])
         self.assertEqual(len(before), len(after))
         self.assertEqual(1, len(set(before) - set(after)))
 
@@ -84,7 +88,7 @@
         remaining = {
             a: p for a, p in self.places.items() if p.data_centre != lost
         }
-        found = directory.named(remaining, lost)
+        found = directory.addresses_for_caller(remaining, lost)
         self.assertEqual(
             directory.MAX_LOCAL_INSTANCES + directory.REMOTE_INSTANCES,
             len(found),
@@ -98,7 +102,9 @@
         """
         generator = random.Random(5)
         picks = collections.Counter(
-            generator.choice(directory.named(self.places, centre))
+            generator.choice(
+                directory.addresses_for_caller(self.places, centre)
+            )
             for centre in CENTRES
             for _ in range(CALLERS * 50)
         )
--- a/packages/yuccarill-core/tests/gateway/test_end_ledger.py
+++ b/packages/yuccarill-core/tests/gateway/test_end_ledger.py
@@ -6,8 +6,8 @@
 
 from nose2.tools import params
 
-from yuccarill.core.gateway import end_ledger
-from yuccarill.core.gateway.end_ledger import EndReport
+from yuccarill.core.gateway import crash_ledger
+from yuccarill.core.gateway.crash_ledger import CrashReport
 from yuccarill.core.gateway.suspicion import Verdict
 from yuccarill.core.ids import ContentDigest
 from yuccarill.core.ids import Instant
@@ -18,8 +18,8 @@
 P = ContentDigest('p')
 
 
-def report(target: str, *contents: str, age: float = 0.0) -> EndReport:
-    return EndReport(
+def report(target: str, *contents: str, age: float = 0.0) -> CrashReport:
+    return CrashReport(
         target=TargetId(target),
         contents=tuple(ContentDigest(c) for c in contents),
         age=age,
@@ -28,7 +28,7 @@
 
 class EndLedgerTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.ledger = end_ledger.EndLedger()
+        self.ledger = crash_ledger.CrashLedger()
 
     def end(self, at: float, target: str, *contents: str) -> None:
         self.ledger.report(report(target, *contents), Instant(at))
@@ -54,7 +54,7 @@
         Two targets that end together while they run it are one incident.
         """
         for target in ('t9', 't10'):
-            end_report = EndReport(
+            end_report = CrashReport(
                 target=TargetId(target),
                 contents=(X,),
                 requests_by_content={X: RequestId('r')},
@@ -72,7 +72,7 @@
         for number, (target, other_request) in enumerate(ends):
             requests = {X: RequestId('r'), P: RequestId(other_request)}
             known = {c: r for c, r in requests.items() if r}
-            end_report = EndReport(
+            end_report = CrashReport(
                 target=TargetId(target),
                 contents=tuple(known),
                 requests_by_content=known,
@@ -116,7 +116,7 @@
         for number in range(3):
             self.end(float(number), f't{number}', 'x')
         self.assertEqual(Verdict.QUARANTINED, self.ledger.verdict(X))
-        over = Instant(3.0 + end_ledger.QUARANTINE_SECONDS)
+        over = Instant(3.0 + crash_ledger.QUARANTINE_SECONDS)
         self.assertEqual([], self.ledger.expire(Instant(over - 2.0)))
         self.assertEqual([X], self.ledger.expire(over))
         self.assertEqual(Verdict.CLEAR, self.ledger.verdict(X))
@@ -137,7 +137,7 @@
 
     def test_old_ends_do_not_count(self) -> None:
         self.end(0.0, 't', 'x')
-        self.ledger.expire(Instant(end_ledger.END_SECONDS))
+        self.ledger.expire(Instant(crash_ledger.END_SECONDS))
         self.assertTrue(self.ledger.is_clear)
 
     def test_memory_is_bounded(self) -> None:
@@ -145,12 +145,14 @@
             content = ContentDigest(f'c{number}')
             self.ledger.completed(content, Instant(0.0))
             self.ledger.quarantine(content, 60.0, Instant(0.0))
-        for number in range(2 * end_ledger.MAX_ENDS):
+        for number in range(2 * crash_ledger.MAX_ENDS):
             self.end(100.0 * number, f't{number}', 'x', 'y')
         self.assertLessEqual(
-            len(self.ledger.quarantined()), end_ledger.MAX_QUARANTINED + 2
+            len(self.ledger.quarantined()), crash_ledger.MAX_QUARANTINED + 2
         )
-        self.assertLessEqual(len(self.ledger.targets(X)), end_ledger.MAX_ENDS)
         self.assertLessEqual(
-            len(self.ledger._completed_at), end_ledger.MAX_COMPLETED_CONTENTS
+            len(self.ledger.targets(X)), crash_ledger.MAX_ENDS
+        )
+        self.assertLessEqual(
+            len(self.ledger._completed_at), crash_ledger.MAX_COMPLETED_CONTENTS
         )
--- a/packages/yuccarill-core/tests/gateway/test_leadership.py
+++ b/packages/yuccarill-core/tests/gateway/test_leadership.py
@@ -45,13 +45,13 @@
     def test_new_holder_waits_for_the_last_one(
         self, known: leadership.LastHolder | None, expected: float
     ) -> None:
-        found = leadership.orders_from(ME, known, POLICY, Instant(100.0))
+        found = leadership.earliest_order_at(ME, known, POLICY, Instant(100.0))
         self.assertAlmostEqual(expected, found)
 
 
 class TenureTest(unittest.TestCase):
-    def tenure(self) -> leadership.Tenure:
-        return leadership.Tenure(
+    def tenure(self) -> leadership.HeldLease:
+        return leadership.HeldLease(
             Epoch(7), POLICY, Instant(10.0), Instant(10.0)
         )
 
@@ -82,7 +82,7 @@
         self.assertTrue(tenure.is_held(Instant(14.0)))
 
     def test_no_order_before_the_pause_is_over(self) -> None:
-        tenure = leadership.Tenure(
+        tenure = leadership.HeldLease(
             Epoch(7), POLICY, Instant(10.0), Instant(14.6)
         )
         tenure.renew(Instant(14.0))
@@ -92,7 +92,7 @@
     def test_idle_seconds_count_from_the_last_order(self) -> None:
         tenure = self.tenure()
         self.assertEqual(math.inf, tenure.idle_seconds(Instant(11.0)))
-        tenure.order(Instant(11.0))
+        tenure.record_order(Instant(11.0))
         self.assertEqual(2.0, tenure.idle_seconds(Instant(13.0)))
 
 
@@ -103,9 +103,11 @@
     def test_orders_of_two_holders_are_separated(
         self, cut_after_renewal: float
     ) -> None:
-        old = leadership.Tenure(Epoch(1), POLICY, Instant(0.0), Instant(0.0))
+        old = leadership.HeldLease(
+            Epoch(1), POLICY, Instant(0.0), Instant(0.0)
+        )
         deleted_at = Instant(cut_after_renewal)
-        first = leadership.orders_from(
+        first = leadership.earliest_order_at(
             InstanceId('b'), last('a'), POLICY, deleted_at
         )
         steps = [Instant(step * 0.01) for step in range(2000)]
--- a/packages/yuccarill-core/tests/gateway/test_parting.py
+++ b/packages/yuccarill-core/tests/gateway/test_parting.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from yuccarill.core.gateway import parting
+from yuccarill.core.gateway import suspect_runs
 from yuccarill.core.ids import ContentDigest
 from yuccarill.core.ids import TargetId
 
@@ -16,14 +16,16 @@
 
 class PartingTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.runs = parting.Parting()
+        self.runs = suspect_runs.SuspectRuns()
         for target, content in ((T, X), (T, P), (U, P), (U, P)):
             self.runs.begin(target, content)
 
     def test_others_are_counted_by_target(self) -> None:
-        self.assertEqual({T: 1, U: 1}, self.runs.others(X))
-        self.assertEqual({T: 1}, self.runs.others(P))
-        self.assertEqual({T: 2, U: 1}, self.runs.others(ContentDigest('q')))
+        self.assertEqual({T: 1, U: 1}, self.runs.other_counts_by_target(X))
+        self.assertEqual({T: 1}, self.runs.other_counts_by_target(P))
+        self.assertEqual(
+            {T: 2, U: 1}, self.runs.other_counts_by_target(ContentDigest('q'))
+        )
 
     def test_targets_with_a_content(self) -> None:
         self.assertEqual({T}, self.runs.targets_with({X}))
@@ -36,4 +38,4 @@
         self.assertTrue(self.runs.is_running(P))
         self.runs.finish(U, P)
         self.assertFalse(self.runs.is_running(P))
-        self.assertEqual({}, self.runs.others(X))
+        self.assertEqual({}, self.runs.other_counts_by_target(X))
--- a/packages/yuccarill-core/tests/gateway/test_partitions.py
+++ b/packages/yuccarill-core/tests/gateway/test_partitions.py
@@ -69,7 +69,7 @@
     @params(1, 2, 3, 7, 9, 15)
     def test_each_engine_has_one_holder(self, count: int) -> None:
         """Guards against two holders that corrupt the weights of an engine."""
-        parts = partitions.names(S, count)
+        parts = partitions.part_names(S, count)
         self.assertEqual(count, len(set(parts)))
         found = dict.fromkeys(parts, 0)
         for number in range(300 * count):
@@ -84,16 +84,18 @@
             self.assertLess(abs(share - 300), 0.2 * 300)
 
     def test_each_model_has_one_part_and_each_part_a_model(self) -> None:
-        parts = [partitions.of_model(S, model, MODELS, 3) for model in MODELS]
-        self.assertEqual(sorted(partitions.names(S, 3)), sorted(parts))
+        parts = [
+            partitions.part_of_model(S, model, MODELS, 3) for model in MODELS
+        ]
+        self.assertEqual(sorted(partitions.part_names(S, 3)), sorted(parts))
         for part in parts:
-            self.assertEqual(S, partitions.service_of(part))
+            self.assertEqual(S, partitions.service_of_part(part))
 
     def test_a_single_part_has_the_name_of_its_service(self) -> None:
         # Keeps the keys and logs of undivided services stable.
-        self.assertEqual([S], partitions.names(S, 1))
-        self.assertEqual(S, partitions.of_model(S, MODELS[0], MODELS, 1))
+        self.assertEqual([S], partitions.part_names(S, 1))
+        self.assertEqual(S, partitions.part_of_model(S, MODELS[0], MODELS, 1))
 
     def test_an_unlisted_model_has_a_part(self) -> None:
-        part = partitions.of_model(S, ModelName('new'), MODELS, 3)
-        self.assertIn(part, partitions.names(S, 3))
+        part = partitions.part_of_model(S, ModelName('new'), MODELS, 3)
+        self.assertIn(part, partitions.part_names(S, 3))
--- a/packages/yuccarill-core/tests/gateway/test_spared_targets.py
+++ b/packages/yuccarill-core/tests/gateway/test_spared_targets.py
@@ -10,10 +10,10 @@
 
 from nose2.tools import params
 
-from yuccarill.core.gateway import doubts
-from yuccarill.core.gateway import end_ledger
-from yuccarill.core.gateway import spared_targets
+from yuccarill.core.gateway import crash_ledger
+from yuccarill.core.gateway import last_target_guard
 from yuccarill.core.gateway.targets import ListedTarget
+from yuccarill.core.gateway import unconfirmed_losses
 from yuccarill.core.ids import ContentDigest
 from yuccarill.core.ids import DataCentreId
 from yuccarill.core.ids import Instant
@@ -38,14 +38,16 @@
 
 class SparedTargetsTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.ledger = end_ledger.EndLedger()
-        self.doubts = doubts.Doubts()
-        self.spared = spared_targets.SparedTargets(self.ledger, self.doubts)
+        self.ledger = crash_ledger.CrashLedger()
+        self.doubts = unconfirmed_losses.UnconfirmedLosses()
+        self.spared = last_target_guard.LastTargetGuard(
+            self.ledger, self.doubts
+        )
 
     def lose(self, number: int, at: float, has_ended: bool, *contents) -> None:
         found = dict.fromkeys(contents, RequestId('r'))
         if has_ended:
-            report = end_ledger.EndReport(
+            report = crash_ledger.CrashReport(
                 target=TargetId(f't{number}'),
                 contents=tuple(found),
                 requests_by_content=found,
@@ -54,10 +56,10 @@
         else:
             self.doubts.add(target(f't{number}'), found, Instant(at))
 
-    def are_at_risk(self, content: str, targets: int, at: float) -> bool:
+    def must_hold(self, content: str, targets: int, at: float) -> bool:
         ready = {TargetId(f't{number}') for number in range(targets)}
         found = ContentDigest(content)
-        return self.spared.are_at_risk(found, ready, Instant(at))
+        return self.spared.must_hold(found, ready, Instant(at))
 
     # Targets, targets lost at once, whether the request is held back if the
     # ports of these are closed, and if they are open.
@@ -76,28 +78,28 @@
             self.setUp()
             for number in range(lost):
                 self.lose(number, 1.0 + 0.01 * number, has_ended, X)
-            self.assertEqual(expected, self.are_at_risk('x', targets, 1.1))
-            self.assertFalse(self.are_at_risk('p', targets, 1.1))
+            self.assertEqual(expected, self.must_hold('x', targets, 1.1))
+            self.assertFalse(self.must_hold('p', targets, 1.1))
 
     @params((True,), (False,))
     def test_a_harmless_request_is_held_briefly(self, has_ended: bool) -> None:
         for number in range(2):
             self.lose(number, 1.0, has_ended, X, P)
-        self.assertTrue(self.are_at_risk('p', 3, 1.1))
-        self.assertFalse(self.are_at_risk('p', 3, 1.0 + MAX_DELAY))
+        self.assertTrue(self.must_hold('p', 3, 1.1))
+        self.assertFalse(self.must_hold('p', 3, 1.0 + MAX_DELAY))
 
     def test_the_likeliest_cause_is_held_longer(self) -> None:
         self.lose(0, 1.0, True, X, P)
         self.lose(1, 1.0, True, X)
-        self.assertTrue(self.are_at_risk('x', 3, 1.0 + MAX_DELAY))
-        self.assertFalse(self.are_at_risk('p', 3, 1.1))
+        self.assertTrue(self.must_hold('x', 3, 1.0 + MAX_DELAY))
+        self.assertFalse(self.must_hold('p', 3, 1.1))
 
     def test_a_target_that_responds_is_not_lost(self) -> None:
         """Guards against refusing callers when only connections broke."""
         for number in range(2):
             self.lose(number, 1.0, False, X)
-        self.doubts.answered(TargetId('t0'))
-        self.assertFalse(self.are_at_risk('x', 3, 1.1))
+        self.doubts.record_response(TargetId('t0'))
+        self.assertFalse(self.must_hold('x', 3, 1.1))
 
 
 class DoubtsTest(unittest.TestCase):
@@ -112,19 +114,19 @@
         self, seconds: float, has_answered: bool, counts: bool
     ) -> None:
         """Guards against holding requests that reached no process."""
-        found = doubts.Doubts()
+        found = unconfirmed_losses.UnconfirmedLosses()
         found.add(target('t'), {X: RequestId('r')}, Instant(1.0))
         if has_answered:
-            found.answered(TargetId('t'))
+            found.record_response(TargetId('t'))
         at = Instant(1.0 + seconds)
         found.add(target('t'), {P: RequestId('q')}, at)
-        self.assertEqual(counts, bool(found.lost(P, at)))
+        self.assertEqual(counts, bool(found.losses_of(P, at)))
 
     def test_a_completed_content_is_not_doubted(self) -> None:
-        found = doubts.Doubts()
+        found = unconfirmed_losses.UnconfirmedLosses()
         found.add(target('t'), {X: RequestId('r')}, Instant(1.0))
         found.completed(X)
-        self.assertEqual([], found.lost(X, Instant(1.0)))
+        self.assertEqual([], found.losses_of(X, Instant(1.0)))
 
     # Next listed process, time of listing, whether it confirms the exit.
     @params(
@@ -136,7 +138,9 @@
     def test_the_target_list_settles_doubts(
         self, listed: ListedTarget, at: float, settles: bool
     ) -> None:
-        found = doubts.Doubts()
+        found = unconfirmed_losses.UnconfirmedLosses()
         found.add(target('t'), {X: RequestId('r')}, Instant(1.0))
-        self.assertEqual(settles, bool(found.settle(listed, Instant(at))))
-        self.assertEqual([], found.settle(listed, Instant(at)))
+        self.assertEqual(
+            settles, bool(found.pop_confirmed(listed, Instant(at)))
+        )
+        self.assertEqual([], found.pop_confirmed(listed, Instant(at)))
--- a/packages/yuccarill-core/tests/jobs/test_planning.py
+++ b/packages/yuccarill-core/tests/jobs/test_planning.py
@@ -17,7 +17,7 @@
 from yuccarill.core.jobs import board as board_module
 from yuccarill.core.jobs import lengths
 from yuccarill.core.jobs import planning
-from yuccarill.core.speeds import book
+from yuccarill.core.speeds import pace_estimator
 
 from . import items
 
@@ -60,7 +60,7 @@
     fleet = items.make_fleet(
         *(items.make_target(f'e{n}', slots=8) for n in range(engines))
     )
-    fleet.speeds = book.LogPaceBook()
+    fleet.speeds = pace_estimator.PaceEstimator()
     return planning.FinishPlan(board, fleet)
 
 
--- a/packages/yuccarill-core/tests/jobs/trainer_model.py
+++ b/packages/yuccarill-core/tests/jobs/trainer_model.py
@@ -20,7 +20,7 @@
 from yuccarill.core.jobs import engines as engines_module
 from yuccarill.core.jobs import placing
 from yuccarill.core.jobs import planning
-from yuccarill.core.speeds import book
+from yuccarill.core.speeds import pace_estimator
 
 from . import items
 from . import load_model
@@ -99,7 +99,7 @@
         self._seed = seed
         self._noise = random.Random(seed + 1)
         self._pauses: dict[tuple[str, int], bool] = {}
-        self.speeds = book.LogPaceBook() if is_planned else None
+        self.speeds = pace_estimator.PaceEstimator() if is_planned else None
         self._fleet = engines_module.EngineFleet(self.speeds)
         models = {name: 1 for name in self.trainers}
         self._fleet.update(
@@ -289,7 +289,7 @@
             engine.saw_gap(gap, now)
             if self.speeds is not None:
                 beside = engine.running - 1
-                self.speeds.saw(engine.target.id, gap, beside, now)
+                self.speeds.record_unit(engine.target.id, gap, beside, now)
         running.has_event = True
         running.last_at = now
         if run.text.events < self._events_by_item[run.item.id]:
--- a/packages/yuccarill-core/tests/scaling/test_scaling.py
+++ b/packages/yuccarill-core/tests/scaling/test_scaling.py
@@ -62,13 +62,13 @@
         for order in self.scaling.orders(
             self.bounds, SLOTS, self.measure, dict(self.listed), self.now
         ):
-            self.scaling.sent(order, self.now)
+            self.scaling.record_sent(order, self.now)
             self.sent.append((self.now, order))
             if order.data_centre in self.unavailable:
                 end = OrderEnd.UNAVAILABLE
-                self.scaling.ended(order, end, self.now)
+                self.scaling.record_result(order, end, self.now)
                 continue
-            self.scaling.ended(order, self.end, self.now)
+            self.scaling.record_result(order, self.end, self.now)
             if self.executes_orders:
                 self.listed[order.data_centre, order.kind] = order.count
 
--- a/packages/yuccarill-core/tests/speeds/test_book.py
+++ b/packages/yuccarill-core/tests/speeds/test_book.py
@@ -15,8 +15,8 @@
 from yuccarill.core.gateway.targets import TargetStart
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import TargetId
-from yuccarill.core.speeds import book as book_module
 from yuccarill.core.speeds.estimate import SpeedState
+from yuccarill.core.speeds import pace_estimator as book_module
 
 PACE = 0.04
 E = TargetId('e')
@@ -24,7 +24,7 @@
 
 
 def feed(
-    book: book_module.LogPaceBook,
+    book: book_module.PaceEstimator,
     began_at: float,
     ends_at: float,
     factor: float = 1.0,
@@ -40,7 +40,7 @@
         now += gap
         for _ in range(concurrent + 1):
             seconds = gap * draw.uniform(0.9, 1.1)
-            book.saw(target, seconds, concurrent, Instant(now))
+            book.record_unit(target, seconds, concurrent, Instant(now))
     return now
 
 
@@ -49,7 +49,7 @@
     def test_a_lasting_pace_is_learned_within_a_second(
         self, factor: float
     ) -> None:
-        book = book_module.LogPaceBook()
+        book = book_module.PaceEstimator()
         now = Instant(feed(book, 0.0, 1.0, factor))
         found = book.pace(E, 4, now)
         expected = PACE * factor * (1.0 + SLOPE * 4)
@@ -58,7 +58,7 @@
         self.assertIs(SpeedState.USUAL, book.state(E, now))
 
     def test_a_transient_slowdown_keeps_the_lasting_pace(self) -> None:
-        book = book_module.LogPaceBook()
+        book = book_module.PaceEstimator()
         now = feed(book, 0.0, 3.0)
         before = book.pace(E, 4, Instant(now)).pace
         now = feed(book, now, now + 0.6, 2.5)
@@ -68,7 +68,7 @@
         self.assertAlmostEqual(1.0, after / before, 1)
 
     def test_a_transient_slowdown_raises_the_deviation(self) -> None:
-        book = book_module.LogPaceBook()
+        book = book_module.PaceEstimator()
         now = feed(book, 0.0, 3.0)
         before = book.pace(E, 4, Instant(now)).deviation
         now = feed(book, now, now + 0.4, 2.5)
@@ -77,7 +77,7 @@
 
     @params(2.2, 4.0)
     def test_a_fault_is_detected_within_a_second(self, factor: float) -> None:
-        book = book_module.LogPaceBook()
+        book = book_module.PaceEstimator()
         now = feed(book, 0.0, 3.0)
         usual = book.pace(E, 4, Instant(now)).pace
         now = feed(book, now, now + 1.0, factor)
@@ -91,7 +91,7 @@
         self.assertAlmostEqual(1.0, found / usual, 1)
 
     def test_a_fault_without_measurements_expires(self) -> None:
-        book = book_module.LogPaceBook()
+        book = book_module.PaceEstimator()
         now = feed(book, 0.0, 3.0)
         now = feed(book, now, now + 1.0, 3.0)
         later = Instant(now + 10.0)
@@ -99,7 +99,7 @@
 
     def test_a_faster_pace_is_adopted_soon(self) -> None:
         """Guards against a lasting pace learned during a fault."""
-        book = book_module.LogPaceBook()
+        book = book_module.PaceEstimator()
         now = feed(book, 0.0, 3.0, 2.5)
         now = feed(book, now, now + 1.5)
         found = book.pace(E, 4, Instant(now)).pace
@@ -107,7 +107,7 @@
         self.assertAlmostEqual(1.0, found / expected, delta=0.1)
 
     def test_the_slope_is_learned_from_all_targets(self) -> None:
-        book = book_module.LogPaceBook()
+        book = book_module.PaceEstimator()
         now = 0.0
         for step in range(60):
             for name in ('e', 'f', 'g'):
@@ -122,7 +122,7 @@
         self.assertAlmostEqual(SLOPE, book.slope, delta=0.3 * SLOPE)
 
     def test_an_unknown_target_gets_the_median_pace(self) -> None:
-        book = book_module.LogPaceBook()
+        book = book_module.PaceEstimator()
         now = Instant(0.0)
         for name, factor in (('a', 0.6), ('b', 1.0), ('c', 1.6)):
             now = Instant(feed(book, 0.0, 2.0, factor, TargetId(name)))
@@ -133,39 +133,39 @@
         self.assertIs(SpeedState.UNKNOWN, book.state(TargetId('new'), now))
 
     def test_a_restart_drops_the_estimate(self) -> None:
-        book = book_module.LogPaceBook()
-        book.follow(E, TargetStart(started_at=1))
+        book = book_module.PaceEstimator()
+        book.track_start(E, TargetStart(started_at=1))
         now = Instant(feed(book, 0.0, 2.0))
-        book.follow(E, TargetStart(started_at=1, heartbeats=3))
+        book.track_start(E, TargetStart(started_at=1, heartbeats=3))
         self.assertIs(SpeedState.USUAL, book.state(E, now))
-        book.follow(E, TargetStart(started_at=2))
+        book.track_start(E, TargetStart(started_at=2))
         self.assertIs(SpeedState.UNKNOWN, book.state(E, now))
 
     def test_a_successor_restores_the_estimate(self) -> None:
-        book = book_module.LogPaceBook()
-        book.follow(E, TargetStart(started_at=1))
+        book = book_module.PaceEstimator()
+        book.track_start(E, TargetStart(started_at=1))
         now = Instant(feed(book, 0.0, 2.0, 1.6))
         # The successor has a different clock.
         then = Instant(5000.0)
-        successor = book_module.LogPaceBook()
+        successor = book_module.PaceEstimator()
         for record in book.records(now):
             successor.restore(record, then)
-        successor.follow(E, TargetStart(started_at=1))
+        successor.track_start(E, TargetStart(started_at=1))
         known, found = book.pace(E, 0, now), successor.pace(E, 0, then)
         self.assertAlmostEqual(1.0, found.pace / known.pace, delta=0.1)
 
     def test_a_record_of_an_earlier_start_is_ignored(self) -> None:
-        book = book_module.LogPaceBook()
-        book.follow(E, TargetStart(started_at=1))
+        book = book_module.PaceEstimator()
+        book.track_start(E, TargetStart(started_at=1))
         now = Instant(feed(book, 0.0, 2.0, 1.6))
-        successor = book_module.LogPaceBook()
-        successor.follow(E, TargetStart(started_at=2))
+        successor = book_module.PaceEstimator()
+        successor.track_start(E, TargetStart(started_at=2))
         for record in book.records(now):
             successor.restore(record, now)
         self.assertIs(SpeedState.UNKNOWN, successor.state(E, now))
 
     def test_a_stale_estimate_has_a_higher_deviation(self) -> None:
-        book = book_module.LogPaceBook()
+        book = book_module.PaceEstimator()
         now = feed(book, 0.0, 2.0)
         soon = book.pace(E, 0, Instant(now)).deviation
         later = book.pace(E, 0, Instant(now + 60.0)).deviation
--- a/packages/yuccarill-core/tests/usage/test_counts.py
+++ b/packages/yuccarill-core/tests/usage/test_counts.py
@@ -17,7 +17,7 @@
 
 class OwnCountsTest(unittest.TestCase):
     def test_a_reported_window_is_closed(self) -> None:
-        own = counts.OwnCounts()
+        own = counts.LocalCounts()
         self.assertTrue(own.add(W, A))
         own.close(W)
         self.assertFalse(own.add(W, A))
@@ -25,26 +25,26 @@
         self.assertEqual({NEXT: {A: 1}}, own.counts_by_window)
 
     def test_unreported_windows_are_bounded(self) -> None:
-        own = counts.OwnCounts()
+        own = counts.LocalCounts()
         for window in range(counts.MAX_WINDOWS + 3):
             own.add(WindowNumber(window), A)
-        self.assertEqual(3, own.shed())
+        self.assertEqual(3, own.drop_excess())
         self.assertEqual(counts.MAX_WINDOWS, len(own.counts_by_window))
 
 
 class UsageBookTest(unittest.TestCase):
     def test_repeated_and_reordered_messages(self) -> None:
-        book = counts.UsageBook()
+        book = counts.UsageTotals()
         source = Incarnation('s')
-        self.assertTrue(book.take(source, {W: {A: 2}}))
-        self.assertFalse(book.take(source, {W: {A: 2}}))
-        self.assertFalse(book.take(source, {W: {A: 1}}))
+        self.assertTrue(book.merge_source(source, {W: {A: 2}}))
+        self.assertFalse(book.merge_source(source, {W: {A: 2}}))
+        self.assertFalse(book.merge_source(source, {W: {A: 1}}))
         self.assertEqual({A: 2}, book.totals(W))
 
     def test_a_restarted_process_adds_to_its_predecessor(self) -> None:
-        book = counts.UsageBook()
-        book.take(Incarnation('s1'), {W: {A: 2}})
-        book.take(Incarnation('s2'), {W: {A: 1}})
+        book = counts.UsageTotals()
+        book.merge_source(Incarnation('s1'), {W: {A: 2}})
+        book.merge_source(Incarnation('s2'), {W: {A: 1}})
         self.assertEqual({A: 3}, book.totals(W))
 
     def test_a_change_of_holder_keeps_the_counts(self) -> None:
@@ -55,8 +55,8 @@
         """
         for seed in range(50):
             draw = random.Random(seed)
-            processes = [counts.OwnCounts() for _ in range(10)]
-            book = counts.UsageBook()
+            processes = [counts.LocalCounts() for _ in range(10)]
+            book = counts.UsageTotals()
             in_flight: list = []
             for _ in range(300):
                 number = draw.randrange(10)
@@ -65,12 +65,14 @@
                 in_flight.append((Incarnation(f's{number}'), copied))
                 draw.shuffle(in_flight)
                 if draw.random() < 0.5:
-                    book.take(*in_flight.pop())
+                    book.merge_source(*in_flight.pop())
                 if draw.random() < 0.02:
-                    successor = counts.UsageBook()
+                    successor = counts.UsageTotals()
                     successor.merge(book.sources_by_window)
                     book = successor
             for number, own in enumerate(processes):
                 if own.counts_by_window:
-                    book.take(Incarnation(f's{number}'), own.counts_by_window)
+                    book.merge_source(
+                        Incarnation(f's{number}'), own.counts_by_window
+                    )
             self.assertEqual(300, sum(book.totals(W).values()))
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/admission.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/admission.py
@@ -10,9 +10,9 @@
 
 from yuccarill.core.accounts import credentials
 from yuccarill.core.accounts import decision
-from yuccarill.core.accounts.decision import KeyStanding
-from yuccarill.core.accounts.decision import Look
-from yuccarill.core.accounts.decision import Verdict
+from yuccarill.core.accounts.decision import KeyState
+from yuccarill.core.accounts.decision import KeyVerdict
+from yuccarill.core.accounts.decision import LookupResult
 from yuccarill.core import errors
 from yuccarill.daemon.gateway import meters
 
@@ -106,7 +106,7 @@
     async def _account(
         self, directory: AccountDirectory, key: KeyDigest
     ) -> Account:
-        look = Look.NOT_YET
+        look = LookupResult.NOT_YET
         while True:
             account = directory.find(key)
             verdict = decision.decide(
@@ -115,15 +115,15 @@
                 self._age(),
                 self._state.settings.revocation,
             )
-            if verdict is not Verdict.LOOK:
+            if verdict is not KeyVerdict.LOOK_UP:
                 meters.KEYS.labels(verdict.name.lower()).inc()
             match verdict:
-                case Verdict.LOOK:
+                case KeyVerdict.LOOK_UP:
                     look = await self._look.look()
                     directory = self._directory() or directory
-                case Verdict.ADMIT if account is not None:
+                case KeyVerdict.ADMIT if account is not None:
                     return account
-                case Verdict.PUT_OFF:
+                case KeyVerdict.DEFER:
                     raise errors.NotRun(
                         'The request was not run: its key can not be '
                         'judged here now.',
@@ -139,9 +139,9 @@
 
 def _standing(
     directory: AccountDirectory, key: KeyDigest, account: Account | None
-) -> KeyStanding:
+) -> KeyState:
     if account is not None:
-        return KeyStanding.HELD
+        return KeyState.HELD
     if directory.was_removed(key):
-        return KeyStanding.REMOVED
-    return KeyStanding.UNKNOWN
+        return KeyState.REMOVED
+    return KeyState.UNKNOWN
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/look.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/look.py
@@ -8,7 +8,7 @@
 from twisted.internet import defer
 from twisted.internet import task
 
-from yuccarill.core.accounts.decision import Look
+from yuccarill.core.accounts.decision import LookupResult
 from yuccarill.daemon import logs
 from yuccarill.platform import keys
 from yuccarill.platform import store as store_module
@@ -48,14 +48,14 @@
         self._on_read = on_read
         self._clock = clock
         self._next_at = 0.0
-        self._waiting: list[defer.Deferred[Look]] = []
+        self._waiting: list[defer.Deferred[LookupResult]] = []
 
-    async def look(self) -> Look:
+    async def look(self) -> LookupResult:
         """Tell how a look ended that began after this call."""
         if len(self._waiting) >= MAX_WAITING:
             log.warning('Not looked for a key: too many wait.')
-            return Look.FAILED
-        waiting: defer.Deferred[Look] = defer.Deferred()
+            return LookupResult.FAILED
+        waiting: defer.Deferred[LookupResult] = defer.Deferred()
         self._waiting.append(waiting)
         if len(self._waiting) == 1:
             reading = defer.Deferred.fromCoroutine(self._read())
@@ -68,13 +68,13 @@
             await task.deferLater(self._clock, left)
         self._next_at = self._clock.seconds() + self._pause()
         waiting, self._waiting = self._waiting, []
-        found = Look.FAILED
+        found = LookupResult.FAILED
         try:
             entry = await self._store.get(keys.CONFIGURATION)
         except (store_module.StoreRefused, store_module.StoreUnclear) as error:
             log.info('Configuration not read for a key.', cause=str(error))
         else:
-            found = Look.ANSWERED
+            found = LookupResult.ANSWERED
             if entry is not None:
                 self._on_read(entry)
         for each in waiting:
@@ -86,8 +86,8 @@
         return max(MIN_PAUSE, instances / FLEET_LOOKS)
 
     def _failed(self, failure: Any) -> None:
-        log.error('Look failed.', cause=failure.getTraceback())
+        log.error('LookupResult failed.', cause=failure.getTraceback())
         waiting, self._waiting = self._waiting, []
         for each in waiting:
             if not each.called:
-                each.callback(Look.FAILED)
+                each.callback(LookupResult.FAILED)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/port.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/port.py
@@ -115,7 +115,7 @@
         yield note
     finally:
         answer = note.answer
-        if answer is None or answer.is_other:
+        if answer is None or answer.is_from_other_process:
             capacity.gave_up(service)
         elif answer.not_run:
             capacity.refused(service)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/duties.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/duties.py
@@ -68,7 +68,7 @@
         # Whether there is anything to do under the duty.
         self._is_wanted = is_wanted or self._has_targets
         self._holders = holders
-        self.tenure: leadership.Tenure | None = None
+        self.tenure: leadership.HeldLease | None = None
         # Nobody else has held the duty since this process last held it.
         self.is_continued = False
         # The peer port of the last holder's standby, where it is known.
@@ -186,7 +186,7 @@
     def order(self) -> None:
         """Note that an order is sent."""
         if self.tenure is not None:
-            self.tenure.order(self._now())
+            self.tenure.record_order(self._now())
 
     async def release(self) -> None:
         """Give the duty back, telling when the last order was sent.
@@ -200,7 +200,7 @@
         self._on_change()
         now = self._now()
         idle = min(tenure.idle_seconds(now), LONG_AGO)
-        waits = max(0.0, tenure.orders_from - now)
+        waits = max(0.0, tenure.earliest_order_at - now)
         await self._keys.give_back(Revision(tenure.epoch), idle, waits)
         log.info('Duty given back.', service=self.service)
 
@@ -284,22 +284,22 @@
             return
         lease = await self._lease.open()
         last = self._state.last_holders_by_service.get(self.service)
-        orders_from = leadership.orders_from(
+        earliest_order_at = leadership.earliest_order_at(
             self._state.settings.instance, last, self._policy, self._now()
         )
-        waits = orders_from - self._now()
+        waits = earliest_order_at - self._now()
         self.last_standby = '' if last is None else last.standby
         self._keys.standby = ''
         revision = await self._keys.take(lease, holder, last, waits)
-        orders_from = Instant(self._now() + waits)
+        earliest_order_at = Instant(self._now() + waits)
         self.is_continued = (
             last is not None and last.incarnation == self._incarnation
         )
-        self.tenure = leadership.Tenure(
+        self.tenure = leadership.HeldLease(
             Epoch(revision),
             self._policy,
             self._lease.renewed_at,
-            orders_from,
+            earliest_order_at,
         )
         self._is_seen = False
         self._confirmed_at = self._lease.renewed_at
@@ -330,7 +330,7 @@
 
     def _describe(self) -> None:
         assert self.tenure is not None
-        waits = max(0.0, self.tenure.orders_from - self._now())
+        waits = max(0.0, self.tenure.earliest_order_at - self._now())
         writing = defer.Deferred.fromCoroutine(
             self._keys.describe(Revision(self.tenure.epoch), waits)
         )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/intake.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/intake.py
@@ -66,8 +66,8 @@
 # no time.
 DEFAULT_DUE = 30.0
 DEFAULT_RETENTION = 60.0
-_ACCEPTED = TargetAnswer(status=202, headers=(), body=b'', stamp=None)
-_REFUSED = TargetAnswer(status=503, headers=(), body=b'', stamp=None)
+_ACCEPTED = TargetAnswer(status=202, headers=(), body=b'', signature=None)
+_REFUSED = TargetAnswer(status=503, headers=(), body=b'', signature=None)
 
 
 @dataclasses.dataclass
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_holds.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_holds.py
@@ -27,7 +27,7 @@
     def __init__(
         self, service: ServiceName, board: JobBoard, guard: ContentGuard
     ) -> None:
-        self._service = partitions.service_of(service)
+        self._service = partitions.service_of_part(service)
         self._board = board
         self._guard = guard
         # Those that are quarantined.
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_runs.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_runs.py
@@ -17,7 +17,7 @@
 from yuccarill.core.jobs.placement import Placement
 from yuccarill.core.jobs import placing as placing_module
 from yuccarill.core.jobs import planning
-from yuccarill.core.speeds import book
+from yuccarill.core.speeds import pace_estimator
 from yuccarill.daemon.gateway.jobs import generation
 from yuccarill.daemon.gateway.jobs import item_holds
 from yuccarill.daemon.gateway.jobs import run_moves
@@ -63,9 +63,13 @@
         ...
 
 
-def speed_book(placement: Placement) -> book.LogPaceBook | None:
+def speed_book(placement: Placement) -> pace_estimator.PaceEstimator | None:
     """Return what learns engines' lasting paces, where that is asked."""
-    return book.LogPaceBook() if placement is Placement.FINISH else None
+    return (
+        pace_estimator.PaceEstimator()
+        if placement is Placement.FINISH
+        else None
+    )
 
 
 class Permission(enum.Enum):
@@ -210,7 +214,7 @@
         route = table.find(run.job.host, path) if table else None
         if route is None:
             return Permission.REVOKED
-        if partitions.service_of(self._service) in route.services:
+        if partitions.service_of_part(self._service) in route.services:
             return Permission.GRANTED
         return Permission.ELSEWHERE
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/run_moves.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/run_moves.py
@@ -11,7 +11,7 @@
 from yuccarill.core.jobs import engines as engines_module
 from yuccarill.core.jobs import placing as placing_module
 from yuccarill.core.jobs import planning
-from yuccarill.core.speeds import book
+from yuccarill.core.speeds import pace_estimator
 from yuccarill.daemon.gateway.jobs import generation
 from yuccarill.daemon.gateway import meters
 from yuccarill.daemon import logs
@@ -26,7 +26,7 @@
         self,
         engine: engines_module.EngineState,
         now: Instant,
-        speeds: book.LogPaceBook | None = None,
+        speeds: pace_estimator.PaceEstimator | None = None,
     ) -> None:
         self.engine = engine
         self.started_at = now
@@ -44,12 +44,14 @@
         self._has_event = True
         self.last_at = now
 
-    def _learn(self, speeds: book.LogPaceBook, now: Instant) -> None:
+    def _learn(
+        self, speeds: pace_estimator.PaceEstimator, now: Instant
+    ) -> None:
         # An engine that takes new weights stands still for a while.
         if not self.engine.switching:
             beside = max(0, self.engine.running - 1)
             gap = now - self.last_at
-            speeds.saw(self.engine.target.id, gap, beside, now)
+            speeds.record_unit(self.engine.target.id, gap, beside, now)
 
 
 class RunMoves:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/scoring.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/scoring.py
@@ -65,7 +65,7 @@
                     log.info('Not scored.', item=run.item.id, cause=str(error))
                     answer, pause = None, HELD_RETRY_SECONDS
                 if answer is not None and answer.is_success:
-                    return answer.stamp
+                    return answer.signature
                 if run.fail_scores(0, route.max_attempts):
                     return None
             await task.deferLater(self._clock, pause)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/service_work.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/service_work.py
@@ -99,7 +99,7 @@
             if found is None:
                 self._division.decide(service)
                 continue
-            for part in partitions.names(service.name, found.parts):
+            for part in partitions.part_names(service.name, found.parts):
                 if part not in self.duties_by_service:
                     self._add_duty(part)
         for duty in list(self.duties_by_service.values()):
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/trainers.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/trainers.py
@@ -114,4 +114,4 @@
 
 
 def _answer(headers: tuple[tuple[str, str], ...], body: bytes) -> TargetAnswer:
-    return TargetAnswer(status=200, headers=headers, body=body, stamp=None)
+    return TargetAnswer(status=200, headers=headers, body=body, signature=None)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/desk.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/desk.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from yuccarill.core import errors
-from yuccarill.core.gateway.end_ledger import QuarantinedContent
+from yuccarill.core.gateway.crash_ledger import QuarantinedContent
 from yuccarill.core.ids import ContentDigest
 from yuccarill.daemon.adapters.small_server import Page
 from yuccarill.daemon.gateway.quarantine import end_messages
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/end_messages.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/end_messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from yuccarill.core.gateway.end_ledger import EndReport
+from yuccarill.core.gateway.crash_ledger import CrashReport
 from yuccarill.core.ids import ContentDigest
 from yuccarill.core.ids import Instant
 
@@ -21,9 +21,9 @@
 class EndMessage(msgspec.Struct, frozen=True, kw_only=True):
     """Hold what one instance tells another."""
 
-    ends: tuple[EndReport, ...] = ()
+    ends: tuple[CrashReport, ...] = ()
     # Calls that were lost at targets which may have ended behind their ports.
-    doubts: tuple[EndReport, ...] = ()
+    doubts: tuple[CrashReport, ...] = ()
     # Contents of runs that a target finished.
     completed: tuple[ContentDigest, ...] = ()
     # Suspects that the sender has just sent on.
@@ -62,6 +62,6 @@
     )
 
 
-def _aged(report: EndReport, told: Told, now: Instant) -> EndReport:
+def _aged(report: CrashReport, told: Told, now: Instant) -> CrashReport:
     age = report.age + now - told.at
     return msgspec.structs.replace(report, age=age)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/guard.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/guard.py
@@ -9,11 +9,11 @@
 
 from yuccarill.core import errors
 from yuccarill.core.gateway import abandoned
-from yuccarill.core.gateway import doubts
-from yuccarill.core.gateway import end_ledger
-from yuccarill.core.gateway import parting
-from yuccarill.core.gateway import spared_targets
+from yuccarill.core.gateway import crash_ledger
+from yuccarill.core.gateway import last_target_guard
+from yuccarill.core.gateway import suspect_runs
 from yuccarill.core.gateway.suspicion import Verdict
+from yuccarill.core.gateway import unconfirmed_losses
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import RequestId
 from yuccarill.daemon.gateway import meters
@@ -24,7 +24,7 @@
     from collections.abc import Iterable
     from collections.abc import Mapping
 
-    from yuccarill.core.gateway.end_ledger import EndReport
+    from yuccarill.core.gateway.crash_ledger import CrashReport
     from yuccarill.core.ids import ContentDigest
     from yuccarill.core.ids import ServiceName
     from yuccarill.core.ids import TargetId
@@ -51,14 +51,14 @@
         self,
         state: GatewayState,
         clock: Any,
-        ledger: end_ledger.EndLedger | None = None,
+        ledger: crash_ledger.CrashLedger | None = None,
     ) -> None:
         self._state = state
         self._clock = clock
-        self.ledger = ledger or end_ledger.EndLedger()
+        self.ledger = ledger or crash_ledger.CrashLedger()
         # Called with what this instance has seen, and the others have not.
-        self.on_end: Callable[[EndReport], None] = lambda report: None
-        self.on_doubted: Callable[[tuple[EndReport, ...]], None] = (
+        self.on_end: Callable[[CrashReport], None] = lambda report: None
+        self.on_doubted: Callable[[tuple[CrashReport, ...]], None] = (
             lambda reports: None
         )
         self.on_completed: Callable[[ContentDigest], None] = lambda c: None
@@ -67,12 +67,14 @@
         # Called with what others have found.
         self.on_learnt: Callable[[ContentDigest], None] = lambda c: None
         # Called with ends that others have seen.
-        self.on_end_learnt: Callable[[EndReport], None] = lambda report: None
+        self.on_end_learnt: Callable[[CrashReport], None] = lambda report: None
         # Contents that are not clear and run for this instance.
-        self._parting = parting.Parting()
+        self._parting = suspect_runs.SuspectRuns()
         self.abandoned = abandoned.AbandonedRuns()
-        self.doubts = doubts.Doubts()
-        self._spared = spared_targets.SparedTargets(self.ledger, self.doubts)
+        self.doubts = unconfirmed_losses.UnconfirmedLosses()
+        self._spared = last_target_guard.LastTargetGuard(
+            self.ledger, self.doubts
+        )
         # Until when suspects are held back that others have sent on.
         self._tried_until: dict[ContentDigest, Instant] = {}
         self._names_by_content: dict[ContentDigest, str] = {}
@@ -109,7 +111,7 @@
         if verdict is Verdict.CLEAR and self.doubts.is_empty:
             return True
         ready = self._state.targets.ready(service).keys()
-        return not self._spared.are_at_risk(content, ready, self.now())
+        return not self._spared.must_hold(content, ready, self.now())
 
     def elsewhere(self, content: ContentDigest) -> frozenset[TargetId]:
         """Return the targets that a content had better not share.
@@ -122,11 +124,15 @@
     def may_run_twice(self, content: ContentDigest) -> bool:
         """Tell whether two targets may run a content at once."""
         is_clear = self.ledger.verdict(content) is Verdict.CLEAR
-        return is_clear and not self.doubts.lost(content, self.now())
+        return is_clear and not self.doubts.losses_of(content, self.now())
 
     def others(self, content: ContentDigest) -> Mapping[TargetId, int]:
         """Count the contents at each target that a content might end with."""
-        return {} if self.ledger.is_clear else self._parting.others(content)
+        return (
+            {}
+            if self.ledger.is_clear
+            else self._parting.other_counts_by_target(content)
+        )
 
     def barred(self, content: ContentDigest) -> frozenset[TargetId]:
         """Return the targets that a content may not share.
@@ -160,11 +166,11 @@
         began_at: Instant,
     ) -> None:
         """Note a run that is broken off here, and may go on there."""
-        self.abandoned.note(
+        self.abandoned.add(
             target, content, request, is_failed, began_at, self.now()
         )
 
-    def doubted_elsewhere(self, reports: Iterable[EndReport]) -> None:
+    def doubted_elsewhere(self, reports: Iterable[CrashReport]) -> None:
         """Take calls that another instance lost."""
         now = self.now()
         for report in reports:
@@ -175,9 +181,9 @@
 
     def is_unsettled(self, content: ContentDigest) -> bool:
         """Tell whether targets may yet end under runs that failed."""
-        count = self.abandoned.unsettled(content, self.now())
+        count = self.abandoned.failed_run_count(content, self.now())
         is_clear = self.ledger.verdict(content) is Verdict.CLEAR
-        return count >= (abandoned.MAX_UNSETTLED if is_clear else 1)
+        return count >= (abandoned.MAX_FAILED_RUNS if is_clear else 1)
 
     def tried_elsewhere(self, content: ContentDigest) -> None:
         """Hold a suspect back that another instance has sent on."""
@@ -208,7 +214,7 @@
         """Return host and path of a content, as far as they are known."""
         return self._names_by_content.get(content, '')
 
-    def target_ended(self, report: EndReport) -> None:
+    def target_ended(self, report: CrashReport) -> None:
         """Take an end that this instance has seen, and tell the others."""
         completed = self.ledger.known_completed(report.contents, self.now())
         suspected = tuple(c for c in report.contents if c not in completed)
@@ -219,7 +225,7 @@
         self.on_end(told)
         self._tell_quarantined()
 
-    def take(self, reports: Iterable[EndReport]) -> None:
+    def take(self, reports: Iterable[CrashReport]) -> None:
         """Take ends that others have seen."""
         now = self.now()
         for report in reports:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/records.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/records.py
@@ -9,7 +9,7 @@
 import msgspec
 from twisted.internet import defer
 
-from yuccarill.core.gateway import end_ledger
+from yuccarill.core.gateway import crash_ledger
 from yuccarill.core.gateway import watchers
 from yuccarill.core.ids import WallTime
 from yuccarill.daemon.gateway import state as state_module
@@ -75,7 +75,7 @@
             if left > 0.0:
                 self._guard.name(content, records[content].request)
                 self._guard.quarantine(
-                    content, min(left, end_ledger.QUARANTINE_SECONDS)
+                    content, min(left, crash_ledger.QUARANTINE_SECONDS)
                 )
 
     def write(self, content: ContentDigest) -> None:
@@ -109,7 +109,7 @@
             await self._store.transact(removals=[keys.quarantine(content)])
 
     async def _write(self, content: ContentDigest) -> None:
-        until = self._wall() + end_ledger.QUARANTINE_SECONDS
+        until = self._wall() + crash_ledger.QUARANTINE_SECONDS
         record = state_module.QuarantineRecord(
             request=self._guard.name_of(content),
             targets=self._guard.ledger.targets(content),
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/reports.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/reports.py
@@ -10,7 +10,7 @@
 from twisted.internet import defer
 from twisted.internet import task
 
-from yuccarill.core.gateway.end_ledger import EndReport
+from yuccarill.core.gateway.crash_ledger import CrashReport
 from yuccarill.core.ids import ContentDigest
 from yuccarill.core.ids import Instant
 from yuccarill.daemon.adapters.small_server import Page
@@ -158,10 +158,10 @@
             ),
         )
 
-    def _tell_end(self, report: EndReport) -> None:
+    def _tell_end(self, report: CrashReport) -> None:
         self.tell(EndMessage(ends=(report,)))
 
-    def _tell_doubts(self, doubts: tuple[EndReport, ...]) -> None:
+    def _tell_doubts(self, doubts: tuple[CrashReport, ...]) -> None:
         self.tell(EndMessage(doubts=doubts))
 
     def _tell_completed(self, content: ContentDigest) -> None:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/target_ends.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/target_ends.py
@@ -8,8 +8,8 @@
 
 from twisted.internet import defer
 
-from yuccarill.core.gateway.end_ledger import EndReport
-from yuccarill.core.gateway import spared_targets
+from yuccarill.core.gateway.crash_ledger import CrashReport
+from yuccarill.core.gateway import last_target_guard
 from yuccarill.core.gateway.targets import ListedTarget
 from yuccarill.core.ids import ContentDigest
 from yuccarill.core.ids import Instant
@@ -17,7 +17,7 @@
 from yuccarill.daemon import logs
 
 if TYPE_CHECKING:
-    from yuccarill.core.gateway.doubts import Doubt
+    from yuccarill.core.gateway.unconfirmed_losses import UnconfirmedLoss
     from yuccarill.core.ids import RequestId
     from yuccarill.core.ids import TargetId
     from yuccarill.daemon.gateway.quarantine.guard import ContentGuard
@@ -95,7 +95,7 @@
         if given_up:
             self._ended_given_up(target, given_up, 0.0)
 
-    def _learnt(self, report: EndReport) -> None:
+    def _learnt(self, report: CrashReport) -> None:
         """Add to an end what this instance had given up at the target."""
         ended_at = Instant(self._now() - report.age)
         given_up = self._given_up(report.target, ended_at)
@@ -114,7 +114,9 @@
     def _given_up(
         self, target: TargetId, ended_at: Instant
     ) -> dict[ContentDigest, RequestId]:
-        return self._guard.abandoned.take(target, ended_at, self._now())
+        return self._guard.abandoned.pop_running_at(
+            target, ended_at, self._now()
+        )
 
     def _ended_given_up(
         self,
@@ -128,7 +130,7 @@
             contents=tuple(given_up),
         )
         self._guard.target_ended(
-            EndReport(
+            CrashReport(
                 target=target,
                 contents=tuple(given_up),
                 requests_by_content=given_up,
@@ -159,7 +161,7 @@
         )
         if has_ended:
             self._guard.target_ended(
-                EndReport(
+                CrashReport(
                     target=target.id,
                     contents=contents,
                     requests_by_content=loss.requests_by_content,
@@ -188,7 +190,7 @@
         doubts.add(target, lost, now)
         for content in lost:
             told = doubts.reports(content, now)
-            if len(told) >= spared_targets.LOST_TARGETS:
+            if len(told) >= last_target_guard.LOST_TARGETS:
                 log.info(
                     'Lost at targets that are silent.',
                     content=content,
@@ -199,10 +201,10 @@
     def started(self, target: ListedTarget) -> None:
         """Take word of the list that a process has started somewhere."""
         now = self._now()
-        for doubt in self._guard.doubts.settle(target, now):
+        for doubt in self._guard.doubts.pop_confirmed(target, now):
             self._ended_behind(doubt, now)
 
-    def _ended_behind(self, doubt: Doubt, now: Instant) -> None:
+    def _ended_behind(self, doubt: UnconfirmedLoss, now: Instant) -> None:
         contents = tuple(doubt.requests_by_content)
         log.info(
             'Target ended behind its port.',
@@ -211,7 +213,7 @@
             contents=contents,
         )
         self._guard.target_ended(
-            EndReport(
+            CrashReport(
                 target=doubt.target.id,
                 contents=contents,
                 requests_by_content=doubt.requests_by_content,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/watched_calls.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/watched_calls.py
@@ -116,8 +116,8 @@
     def _answered(
         self, target: ListedTarget, call: TargetCall, answer: TargetAnswer
     ) -> None:
-        if not answer.is_other:
-            self._guard.doubts.answered(target.id)
+        if not answer.is_from_other_process:
+            self._guard.doubts.record_response(target.id)
         # A 500 may come from a target that fails whatever it gets, and a 504
         # from one that was stopped before it came to what ends it.
         if not answer.not_run and not answer.is_server_error:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/attempting.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/attempting.py
@@ -133,7 +133,7 @@
         answer: TargetAnswer,
         started_at: Instant,
     ) -> str:
-        if answer.is_other:
+        if answer.is_from_other_process:
             self._pools.note_gone(target, self.now())
         if answer.not_run and self._pools.is_current(target):
             pool.fail(target.id, pool_module.Failure.REFUSED, self.now())
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/exchange.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/exchange.py
@@ -185,7 +185,7 @@
 
     def _give_up(self) -> TargetAnswer:
         record = self._record
-        if record.failure is not None and record.failure.stamp is not None:
+        if record.failure is not None and record.failure.signature is not None:
             return record.failure
         cause = record.last_cause or 'no target answered in time'
         if record.may_have_run == 0 and self._plan.in_flight == 0:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/front.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/front.py
@@ -66,7 +66,7 @@
         Raises NotRun if no instance is known that takes requests.
         """
         places_by_address = {
-            record.client_address: directory.Place(
+            record.client_address: directory.InstanceLocation(
                 cores=record.cores,
                 data_centre=DataCentreId(record.data_centre),
             )
@@ -74,7 +74,7 @@
         }
         me = self._state.settings
         if self.is_ready():
-            places_by_address[me.client_address] = directory.Place(
+            places_by_address[me.client_address] = directory.InstanceLocation(
                 cores=me.cores, data_centre=me.data_centre
             )
         else:
@@ -83,7 +83,9 @@
             raise errors.NotRun('No instance is ready.', 1.0)
         validity = min(ADDRESS_VALIDITY, me.max_address_validity)
         return AddressList(
-            addresses=tuple(directory.named(places_by_address, data_centre)),
+            addresses=tuple(
+                directory.addresses_for_caller(places_by_address, data_centre)
+            ),
             validity=validity,
         )
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/relay.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/relay.py
@@ -72,7 +72,7 @@
         duties_by_service = self._state.duties_by_service
         holders = {
             duties_by_service[part].instance
-            for part in partitions.names(service, count)
+            for part in partitions.part_names(service, count)
             if part in duties_by_service
         }
         serving = self._state.serving_instances()
@@ -139,7 +139,7 @@
             status=reply.head.status,
             headers=headers,
             body=reply.body,
-            stamp=None,
+            signature=None,
         )
 
     def _service(self, host: str) -> ServiceName | None:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/scaling/parts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/scaling/parts.py
@@ -41,7 +41,7 @@
         address = self._state.settings.orders_address
         if self._mode is TargetOrderMode.OFF or address is None:
             return None
-        if partitions.service_of(duty.service) != duty.service:
+        if partitions.service_of_part(duty.service) != duty.service:
             # The holder of a part knows the work of that part alone.
             return None
         return scaler.Scaler(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/scaling/scaler.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/scaling/scaler.py
@@ -119,11 +119,11 @@
             if tenure is None or not self._duty.may_order():
                 return
             self._duty.order()
-            self._scaling.sent(order, self._now())
+            self._scaling.record_sent(order, self._now())
             end = await self._orders.send(
                 order, self._state.settings.instance, tenure.epoch
             )
-            self._scaling.ended(order, end, self._now())
+            self._scaling.record_result(order, end, self._now())
             meters.TARGET_ORDERS.labels(end.value).inc()
             log.info(
                 'Targets ordered.',
@@ -131,7 +131,7 @@
                 data_centre=order.data_centre,
                 kind=order.kind.value,
                 count=order.count,
-                wanted=round(self._measure.wanted, 1),
+                wanted=round(self._measure.demand, 1),
                 outcome=end.value,
                 epoch=tenure.epoch,
             )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/state.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/state.py
@@ -114,7 +114,7 @@
 
     def engines(self, part: ServiceName) -> list[ListedTarget]:
         """Return the ready engines of a service's part."""
-        service = partitions.service_of(part)
+        service = partitions.service_of_part(part)
         ready = self.targets.ready(service)
         count = self.division(service).parts
         if count == 1:
@@ -132,21 +132,21 @@
 
     def division(self, service: ServiceName) -> Division:
         """Return how a service is divided, as one while that is not known."""
-        return self.divisions_by_service.get(service, partitions.WHOLE)
+        return self.divisions_by_service.get(service, partitions.UNDIVIDED)
 
     def candidates(
         self, part: ServiceName, cores_by_name: dict[str, float] | None = None
     ) -> list[str]:
         """Return the instances in the order in which they take a part."""
-        service = partitions.service_of(part)
-        names = partitions.names(service, self.division(service).parts)
+        service = partitions.service_of_part(part)
+        names = partitions.part_names(service, self.division(service).parts)
         if cores_by_name is None:
             cores_by_name = self.cores_by_name()
         return candidates.ordered_for_part(cores_by_name, names, part)
 
     def follows(self, part: ServiceName, model: ModelName) -> bool:
         """Tell whether a part's engines follow a model's versions."""
-        service = partitions.service_of(part)
+        service = partitions.service_of_part(part)
         if self.division(service).is_by_items:
             return True
         return self.part_of(service, model) == part
@@ -165,7 +165,7 @@
         known = None if table is None else table.services_by_name.get(service)
         engine = None if known is None else known.engine
         models = () if engine is None else engine.models
-        return partitions.of_model(service, model, models, count)
+        return partitions.part_of_model(service, model, models, count)
 
     def remembered_instances(self) -> list[InstanceRecord]:
         """Return the instances that serve, or were listed until lately.
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/observer.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/observer.py
@@ -121,7 +121,7 @@
         accounts = decoded.table.accounts
         before = None if known is None else known.accounts
         if accounts is not None and before is not None:
-            accounts.follow(before)
+            accounts.record_removed_keys(before)
         self._state.table = decoded.table
         log.info(
             'Configuration in force.',
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/counter.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/counter.py
@@ -52,7 +52,7 @@
         peers: PeerCalls,
         clock: Any,
     ) -> None:
-        self.own = counts_module.OwnCounts()
+        self.own = counts_module.LocalCounts()
         self._policy = policy
         self._state = state
         self._fleet_clock = fleet_clock
@@ -91,7 +91,7 @@
         log.warning('Usage lost: its window is reported.', window=window)
 
     def _tick(self) -> None:
-        lost = self.own.shed()
+        lost = self.own.drop_excess()
         if lost:
             meters.USAGE_LOST.inc(lost)
             log.error('Usage lost: nobody reports it.', requests=lost)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/reporter.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/reporter.py
@@ -72,7 +72,7 @@
         self._billing = billing
         self._fleet_clock = fleet_clock
         self._clock = clock
-        self._book = counts_module.UsageBook()
+        self._book = counts_module.UsageTotals()
         # The hold under which what follows was read.
         self._read_under: Revision | None = None
         self._gathered_at = 0.0
@@ -123,7 +123,7 @@
             for window, counts in message.counts_by_window.items()
             if window >= self._following
         }
-        if self._book.take(message.source, still_open):
+        if self._book.merge_source(message.source, still_open):
             self._is_unsaved = True
         return messages.CountAnswer(
             now=self._fleet_clock.now(),
@@ -203,7 +203,7 @@
         self._reports_by_window = dict(found.reports_by_window)
         # Made up under an earlier hold: what stands in the store decides.
         self._chosen = None
-        self._book = counts_module.UsageBook()
+        self._book = counts_module.UsageTotals()
         if found.open is None:
             self._following = self._policy.window_at(self._fleet_clock.now())
             self._sent_through = WindowNumber(self._following - 1)
--- a/packages/yuccarill-daemon/tests/gateway/crash_world.py
+++ b/packages/yuccarill-daemon/tests/gateway/crash_world.py
@@ -36,7 +36,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from yuccarill.core.gateway.end_ledger import EndReport
+    from yuccarill.core.gateway.crash_ledger import CrashReport
 
 SERVICE = ServiceName('plain')
 # What a request begins with that ends the target which runs it.
@@ -95,7 +95,7 @@
 class NaiveGuard(guard.ContentGuard):
     """Know requests by their ids alone, and hold none back."""
 
-    def target_ended(self, report: EndReport) -> None:
+    def target_ended(self, report: CrashReport) -> None:
         pass
 
 
@@ -362,7 +362,9 @@
             await run
         finally:
             found.runs.remove(run)
-        return TargetAnswer(status=200, headers=(), body=b'', stamp='signed')
+        return TargetAnswer(
+            status=200, headers=(), body=b'', signature='signed'
+        )
 
     def _begin(
         self, target: Target, call: calls.TargetCall, run: defer.Deferred[None]
--- a/packages/yuccarill-daemon/tests/gateway/runner_world.py
+++ b/packages/yuccarill-daemon/tests/gateway/runner_world.py
@@ -119,7 +119,7 @@
             await self._sleep(progress_seconds)
             raise calls.CallFailed(calls.CallEnd.BROKEN, 'silent')
         answer = TargetAnswer(
-            status=found.status, headers=(), body=b'', stamp='signed'
+            status=found.status, headers=(), body=b'', signature='signed'
         )
         if found.status != 200:
             await self._sleep(0.01)
--- a/packages/yuccarill-daemon/tests/gateway/test_admission.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_admission.py
@@ -143,7 +143,7 @@
 
     def test_a_key_that_was_taken_away_needs_no_look(self) -> None:
         following = table(2, a='k3')
-        following.accounts.follow(self.known.table.accounts)
+        following.accounts.record_removed_keys(self.known.table.accounts)
         self.known.table = following
         self.refused_with(self.admit(KEY), errors.KeyUnknown)
         self.assertEqual(0, self.reads.reads)
--- a/packages/yuccarill-daemon/tests/gateway/test_capacity.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_capacity.py
@@ -114,7 +114,7 @@
                     status=503 if is_refused else 200,
                     headers=(),
                     body=b'',
-                    stamp=None,
+                    signature=None,
                     not_run=is_refused,
                 )
 
--- a/packages/yuccarill-daemon/tests/gateway/test_intake.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_intake.py
@@ -147,7 +147,7 @@
         )
         self.run_for(1.0)
         self.assertEqual({}, self.keys.entries_by_key)
-        state.divisions_by_service[world.SERVICE] = partitions.WHOLE
+        state.divisions_by_service[world.SERVICE] = partitions.UNDIVIDED
         self.run_for(0.1)
         self.assertEqual(202, work.result.status)
 
@@ -251,7 +251,7 @@
     def test_a_peer_accepts_where_this_instance_is_turned_away(self) -> None:
         self.memory.refuses = True
         self.peers.answer = TargetAnswer(
-            status=202, headers=(), body=b'', stamp=None
+            status=202, headers=(), body=b'', signature=None
         )
         self.assertEqual(202, self.submit().status)
 
--- a/packages/yuccarill-daemon/tests/gateway/test_observer.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_observer.py
@@ -82,7 +82,7 @@
 
     # What stands in the store, and what it means.
     @params(
-        (msgspec.msgpack.encode(1), partitions.WHOLE),
+        (msgspec.msgpack.encode(1), partitions.UNDIVIDED),
         (msgspec.msgpack.encode(3), partitions.Division(parts=3)),
         (
             partitions.encode(partitions.division_for(2667)),
--- a/packages/yuccarill-daemon/tests/gateway/test_quarantine.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_quarantine.py
@@ -9,8 +9,8 @@
 from twisted.internet import task
 
 from yuccarill.core import errors
-from yuccarill.core.gateway import end_ledger
-from yuccarill.core.gateway.end_ledger import EndReport
+from yuccarill.core.gateway import crash_ledger
+from yuccarill.core.gateway.crash_ledger import CrashReport
 from yuccarill.core.gateway.suspicion import Verdict
 from yuccarill.core.ids import ContentDigest
 from yuccarill.core.ids import RequestId
@@ -32,8 +32,8 @@
 SERVICE = world.SERVICE
 
 
-def report(number: int, *contents: str) -> EndReport:
-    return EndReport(
+def report(number: int, *contents: str) -> CrashReport:
+    return CrashReport(
         target=TargetId(f't{number}'),
         contents=tuple(ContentDigest(c) for c in contents or 'x'),
     )
@@ -56,7 +56,7 @@
         self.assertEqual(503, caught.exception.http_status)
         self.assertTrue(caught.exception.not_run)
         self.assertAlmostEqual(
-            end_ledger.QUARANTINE_SECONDS, caught.exception.retry_after
+            crash_ledger.QUARANTINE_SECONDS, caught.exception.retry_after
         )
         self.guarding.admit(ContentDigest('other'), SERVICE)
 
--- a/packages/yuccarill-daemon/tests/gateway/test_scaling.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_scaling.py
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass
-class Tenure:
+class HeldLease:
     epoch: Epoch = Epoch(7)
 
 
@@ -40,14 +40,14 @@
     service = world.SERVICE
 
     def __init__(self) -> None:
-        self.tenure: Tenure | None = Tenure()
+        self.tenure: HeldLease | None = HeldLease()
         self.is_usable = True
         self.orders = 0
 
     def may_order(self) -> bool:
         return self.tenure is not None and self.is_usable
 
-    def order(self) -> None:
+    def record_order(self) -> None:
         self.orders += 1
 
 
@@ -80,7 +80,7 @@
         self.platform = Platform(self.clock)
         self.state = state_module.GatewayState(world.settings('a'))
         self.state.targets.put(world.engine('e1'))
-        self.state.divisions_by_service[world.SERVICE] = partitions.WHOLE
+        self.state.divisions_by_service[world.SERVICE] = partitions.UNDIVIDED
         self.configure(plan.ScalingBounds(least=1, most=8, boot_seconds=0.0))
         self.work = (4, 20)
         self.scaler = scaler.Scaler(
--- a/packages/yuccarill-daemon/tests/gateway/test_sender.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_sender.py
@@ -12,7 +12,7 @@
 from yuccarill.core.calls import pool as pool_module
 from yuccarill.core import errors
 from yuccarill.core.gateway import attempts
-from yuccarill.core.gateway.end_ledger import EndReport
+from yuccarill.core.gateway.crash_ledger import CrashReport
 from yuccarill.core.gateway.requests import TargetAnswer
 from yuccarill.core.gateway.targets import ListedTarget
 from yuccarill.core.gateway.targets import TargetList
@@ -37,7 +37,7 @@
         status=status,
         headers=(),
         body=b'',
-        stamp='signed',
+        signature='signed',
         not_run=not_run,
     )
 
@@ -105,7 +105,7 @@
         self.guard = guard.ContentGuard(state, self.clock)
         for target in self.known_ends:
             self.guard.target_ended(
-                EndReport(target=TargetId(target), contents=(CALL.content,))
+                CrashReport(target=TargetId(target), contents=(CALL.content,))
             )
         sending = sender.Sender(
             pools.Pools(state), self.targets, self.guard, self.clock
@@ -252,9 +252,9 @@
             status=421,
             headers=(),
             body=b'',
-            stamp=None,
+            signature=None,
             not_run=True,
-            is_other=True,
+            is_from_other_process=True,
         ),
     )
     def test_they_are_asked_now_and_then(self, met: object) -> None:
--- a/packages/yuccarill-daemon/tests/gateway/test_shared_jobs.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_shared_jobs.py
@@ -61,7 +61,7 @@
         for number in range(3, 9):
             target = world.engine(f'e{number}')
             self.engines.engines_by_id[target.id] = runner_world.Engine(target)
-        self.parts = partitions.names(world.SERVICE, self.count)
+        self.parts = partitions.part_names(world.SERVICE, self.count)
         self.runners_by_part: dict[ServiceName, runner_module.Runner] = {}
         self.intake = self.intake_of('front')
 
@@ -244,7 +244,7 @@
         for number in range(12):
             world.list_instance(state, f'n{number}')
         for number in range(2):
-            part = partitions.name(world.SERVICE, number, 2)
+            part = partitions.part_name(world.SERVICE, number, 2)
             state.duties_by_service[part] = state_module.DutyRecord(
                 instance=InstanceId(f'n{number}')
             )
@@ -274,7 +274,7 @@
     # Where each part runs shares of every job, its engines follow all models.
     def test_which_models_a_part_follows(self) -> None:
         state = self.state('a')
-        parts = partitions.names(world.SERVICE, 3)
+        parts = partitions.part_names(world.SERVICE, 3)
         for is_by_items in (True, False):
             state.divisions_by_service[world.SERVICE] = partitions.Division(
                 parts=3, is_by_items=is_by_items
@@ -293,7 +293,7 @@
             state.targets.put(world.engine(f'more{number}'))
             found = [
                 engine.id
-                for part in partitions.names(world.SERVICE, 3)
+                for part in partitions.part_names(world.SERVICE, 3)
                 for engine in state.engines(part)
             ]
             self.assertEqual(
--- a/packages/yuccarill-daemon/tests/gateway/test_slow_readers.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_slow_readers.py
@@ -142,7 +142,7 @@
 
 
 _ANSWER = TargetAnswer(
-    status=200, headers=(('Request-Id', 'r'),), body=b'', stamp='s'
+    status=200, headers=(('Request-Id', 'r'),), body=b'', signature='s'
 )
 
 
--- a/packages/yuccarill-daemon/tests/gateway/test_streams.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_streams.py
@@ -82,9 +82,9 @@
         count = self.plan[len(self.begun_after) - 1]
         if count is None:
             return TargetAnswer(
-                status=503, headers=(), body=b'', stamp=None, not_run=True
+                status=503, headers=(), body=b'', signature=None, not_run=True
             )
-        answer = TargetAnswer(status=200, headers=(), body=b'', stamp='s')
+        answer = TargetAnswer(status=200, headers=(), body=b'', signature='s')
         try:
             sink.begin(answer, 1)
             first = (call.after_event or 0) + 1
--- a/packages/yuccarill-daemon/tests/gateway/test_target_ends.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_target_ends.py
@@ -8,7 +8,7 @@
 from twisted.internet import defer
 from twisted.internet import task
 
-from yuccarill.core.gateway.end_ledger import EndReport
+from yuccarill.core.gateway.crash_ledger import CrashReport
 from yuccarill.core.gateway.suspicion import Verdict
 from yuccarill.core.gateway.targets import ListedTarget
 from yuccarill.core.ids import ContentDigest
@@ -84,7 +84,7 @@
         self.ends(Looks(self.clock, has_listener=False))
         now = self.guard.now()
         self.guard.gave_up(TARGET.id, X, RequestId('r'), False, now)
-        other = EndReport(target=TARGET.id, contents=(ContentDigest('a'),))
+        other = CrashReport(target=TARGET.id, contents=(ContentDigest('a'),))
         self.guard.take([other])
         self.assertEqual(Verdict.WATCHED, self.guard.ledger.verdict(X))
 
--- a/packages/yuccarill-daemon/tests/gateway/test_trainers.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_trainers.py
@@ -86,20 +86,20 @@
         self.assertEqual(b'store', reading.result.body)
 
     def test_the_holder_is_asked_first(self) -> None:
-        told = TargetAnswer(status=200, headers=(), body=b'h', stamp=None)
+        told = TargetAnswer(status=200, headers=(), body=b'h', signature=None)
         desk = trainers.TrainerDesk(Intake(), Peers(told), dict().values)
         found = self.finish(desk.serve(QUERY, request()))
         self.assertEqual(b'h', found.body)
 
     def test_a_relayed_call_is_not_passed_on_again(self) -> None:
-        told = TargetAnswer(status=200, headers=(), body=b'h', stamp=None)
+        told = TargetAnswer(status=200, headers=(), body=b'h', signature=None)
         peers = Peers(told)
         desk = trainers.TrainerDesk(Intake(), peers, dict().values)
         found = self.finish(desk.serve(QUERY, request((relay.HEADER, '1'))))
         self.assertEqual((b'store', 0), (found.body, peers.asked))
 
     def test_a_holder_that_can_not_tell_leaves_it_to_the_store(self) -> None:
-        told = TargetAnswer(status=503, headers=(), body=b'', stamp=None)
+        told = TargetAnswer(status=503, headers=(), body=b'', signature=None)
         desk = trainers.TrainerDesk(Intake(), Peers(told), dict().values)
         found = self.finish(desk.serve(QUERY, request()))
         self.assertEqual(b'store', found.body)
--- a/packages/yuccarill-daemon/tests/gateway/test_watched_calls.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_watched_calls.py
@@ -6,7 +6,7 @@
 
 from nose2.tools import params
 
-from yuccarill.core.gateway.end_ledger import EndReport
+from yuccarill.core.gateway.crash_ledger import CrashReport
 from yuccarill.core.gateway.requests import TargetAnswer
 from yuccarill.core.gateway.suspicion import Verdict
 from yuccarill.core.gateway.targets import ListedTarget
@@ -26,7 +26,7 @@
 
 def answer(status: int, not_run: bool = False) -> TargetAnswer:
     return TargetAnswer(
-        status=status, headers=(), body=b'', stamp='s', not_run=not_run
+        status=status, headers=(), body=b'', signature='s', not_run=not_run
     )
 
 
@@ -50,7 +50,7 @@
         """Return the verdict on a content that was at one end before."""
         guarding = guard.ContentGuard(self.state('a'), self.clock)
         guarding.target_ended(
-            EndReport(target=TargetId('t0'), contents=(CALL.content,))
+            CrashReport(target=TargetId('t0'), contents=(CALL.content,))
         )
         plain = Calls(end)
         watched = watched_calls.WatchedCalls(
--- a/packages/yuccarill-daemon/tests/gateway/world.py
+++ b/packages/yuccarill-daemon/tests/gateway/world.py
@@ -117,7 +117,7 @@
     def state(self, name: str) -> state_module.GatewayState:
         found = state_module.GatewayState(settings(name), random.Random(name))
         found.is_current = True
-        found.divisions_by_service[SERVICE] = partitions.WHOLE
+        found.divisions_by_service[SERVICE] = partitions.UNDIVIDED
         found.targets.put(engine('e1'))
         return found
 
