--- a/packages/yuccarill-core/src/yuccarill/core/dissemination/disseminator.py
+++ b/packages/yuccarill-core/src/yuccarill/core/dissemination/disseminator.py
@@ -33,7 +33,7 @@
         self._position = tree.TreePosition(me, ())
 
     @property
-    def view(self) -> tree.TreePosition:
+    def position(self) -> tree.TreePosition:
         """Return this instance's position in the trees of known members."""
         if self._members is None:
             self.refresh()
@@ -48,31 +48,31 @@
 
     def publish(self, record: Record) -> list[Instance] | None:
         """Store a new record; return its receivers, None if stale."""
-        if not self.records.take(record):
+        if not self.records.store(record):
             return None
         # Sent to the watchers of all data centres, since the store may fail
         # after the write and notify none of them.
         self.refresh()
-        view = self.view
+        view = self.position
         return _distinct(view.watchers + view.children)
 
     def receive(self, record: Record) -> list[Instance] | None:
         """Store a received record; return its receivers, None if stale."""
-        if not self.records.take(record):
+        if not self.records.store(record):
             return None
-        return self.view.children
+        return self.position.children
 
     def exchange_order(self) -> list[Instance]:
         """Return the partners to compare versions with, in random order."""
         self.refresh()
-        partners = list(self.view.partners)
+        partners = list(self.position.partners)
         self._generator.shuffle(partners)
         return partners
 
     def fetch_order(self) -> list[Instance]:
         """Return the peers to fetch a whole document from, best first."""
         # Watchers receive a document first; near peers are cheapest to ask.
-        watchers = list(self.view.near_watchers)
+        watchers = list(self.position.near_watchers)
         self._generator.shuffle(watchers)
         partners = sorted(
             self.exchange_order(),
--- a/packages/yuccarill-core/src/yuccarill/core/dissemination/record.py
+++ b/packages/yuccarill-core/src/yuccarill/core/dissemination/record.py
@@ -34,7 +34,7 @@
     def __init__(self) -> None:
         self._records_by_key: dict[str, Record] = {}
 
-    def take(self, record: Record) -> bool:
+    def store(self, record: Record) -> bool:
         """Store a record if it is newer; return whether it was."""
         known = self._records_by_key.get(record.key)
         # Copies arrive over several paths and out of order; a late copy must
--- a/packages/yuccarill-core/src/yuccarill/core/leases/demand.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/claim_scheduler.py
@@ -12,8 +12,8 @@
     from yuccarill.core.ids import InstanceId
     from yuccarill.core.ids import SessionId
     from yuccarill.core.ids import ShardNumber
-    from yuccarill.core.leases.placing import ShardPlacement
     from yuccarill.core.leases.policy import LeasePolicy
+    from yuccarill.core.leases.shard_placement import ShardPlacement
     from yuccarill.core.leases.table import ShardEntry
     from yuccarill.core.leases.table import ShardTable
 
--- a/packages/yuccarill-core/src/yuccarill/core/leases/keeper.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/lease_manager.py
@@ -8,15 +8,15 @@
 import msgspec
 
 from yuccarill.core.ids import Instant
-from yuccarill.core.leases import demand as demand_module
+from yuccarill.core.leases import claim_scheduler as demand_module
 from yuccarill.core.leases import life_cycle
 from yuccarill.core.leases import operations
 from yuccarill.core.leases.operations import Step
 from yuccarill.core.leases import own_session
-from yuccarill.core.leases import placing
+from yuccarill.core.leases import shard_placement
 from yuccarill.core.leases.table import Holder
-from yuccarill.core.leases import table_keeper
-from yuccarill.core.leases import watching
+from yuccarill.core.leases import table_manager
+from yuccarill.core.leases import watched_sessions
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -31,7 +31,7 @@
     from yuccarill.core.leases.policy import LeasePolicy
 
 
-class Ask(msgspec.Struct, frozen=True):
+class TransferRequest(msgspec.Struct, frozen=True):
     """Request the transfer of shards from their holder to a session."""
 
     holder: InstanceId
@@ -39,7 +39,7 @@
     shards: tuple[ShardNumber, ...]
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Manage one instance's leases; the caller performs the store calls."""
 
     def __init__(
@@ -55,12 +55,14 @@
         self._session = own_session.OwnSession(
             instance, incarnation, policy, numbers
         )
-        self._tables = table_keeper.TableKeeper(policy, generator, numbers)
-        self._watched_sessions = watching.WatchedSessions(policy, numbers)
-        self._placement = placing.ShardPlacement(instance)
+        self._tables = table_manager.TableManager(policy, generator, numbers)
+        self._watched_sessions = watched_sessions.WatchedSessions(
+            policy, numbers
+        )
+        self._placement = shard_placement.ShardPlacement(instance)
         self._claims = demand_module.ClaimScheduler(policy, self._placement)
         self._pending_holders_by_shard: dict[ShardNumber, Holder | None] = {}
-        self._watches_by_number: dict[int, watching.SessionWatch] = {}
+        self._watches_by_number: dict[int, watched_sessions.SessionWatch] = {}
         self._session_needed_until = Instant(float('-inf'))
         self._is_leaving = False
         # The table or the live instances changed since the last refresh.
@@ -68,7 +70,7 @@
         self._ended: set[SessionId] = set()
 
     @property
-    def table(self) -> table_keeper.TableKeeper:
+    def table(self) -> table_manager.TableManager:
         return self._tables
 
     def set_live(self, live: Iterable[InstanceId]) -> None:
@@ -134,7 +136,7 @@
                     # a paused or partitioned process may miss the updates.
                     self._is_view_stale = True
                     self._tables.request_read()
-            case Step.READ_TABLE | Step.TAKE | Step.GIVE | Step.FREE:
+            case Step.READ_TABLE | Step.CLAIM | Step.TRANSFER | Step.RELEASE:
                 if self._tables.complete(operation, outcome, now):
                     self._is_view_stale = True
             case Step.READ_PEER | Step.REVOKE:
@@ -142,22 +144,22 @@
                 if watch is not None:
                     watch.complete(operation, outcome, now)
 
-    def want_session(self, until: Instant) -> None:
+    def keep_session_open(self, until: Instant) -> None:
         """Keep a session open until an instant, to receive shards."""
         self._session_needed_until = max(self._session_needed_until, until)
 
-    def due_asks(self, now: Instant) -> list[Ask]:
+    def due_transfer_requests(self, now: Instant) -> list[TransferRequest]:
         """Return the requests to send to holders, and mark them as sent."""
         session = self.usable_session(now)
         if session is None or self._is_leaving:
             return []
         shards_by_holder = self._claims.next_requests(now)
         return [
-            Ask(holder, session, tuple(numbers))
+            TransferRequest(holder, session, tuple(numbers))
             for holder, numbers in shards_by_holder.items()
         ]
 
-    def consent(
+    def transfer_requested(
         self,
         to: Holder,
         numbers: Iterable[ShardNumber],
@@ -173,10 +175,10 @@
             and shard not in busy
             and self._may_transfer(to.instance, shard)
         ]
-        self.give(dict.fromkeys(given, to))
+        self.transfer(dict.fromkeys(given, to))
         return given
 
-    def give(
+    def transfer(
         self, holders_by_shard: Mapping[ShardNumber, Holder | None]
     ) -> None:
         """Transfer or free shards with the next write of the table."""
@@ -186,7 +188,7 @@
         """Stop claiming; on request, transfer shards to any live peer."""
         self._is_leaving = True
 
-    def leave(self) -> dict[ShardNumber, InstanceId | None]:
+    def next_holders(self) -> dict[ShardNumber, InstanceId | None]:
         """Stop claiming shards; return the next holder of each held one."""
         self.begin_leaving()
         heirs_by_shard: dict[ShardNumber, InstanceId | None] = {}
@@ -217,7 +219,7 @@
         if self._is_leaving:
             return False
         if self.held() or self._claims.has_due_work(now):
-            self.want_session(Instant(now + self._policy.idle_time))
+            self.keep_session_open(Instant(now + self._policy.idle_time))
         if now < self._session_needed_until:
             return True
         self._session.close()
@@ -261,13 +263,13 @@
         }
         self._pending_holders_by_shard = holders_by_shard
         if holders_by_shard:
-            return self._tables.change(Step.GIVE, holders_by_shard, now)
+            return self._tables.change(Step.TRANSFER, holders_by_shard, now)
         ended = dict.fromkeys(self._claims.shards_of_ended_sessions(), None)
         claimed = self._claimed_holders(now)
         if claimed:
-            return self._tables.change(Step.TAKE, {**ended, **claimed}, now)
+            return self._tables.change(Step.CLAIM, {**ended, **claimed}, now)
         if ended:
-            return self._tables.change(Step.FREE, ended, now)
+            return self._tables.change(Step.RELEASE, ended, now)
         return None
 
     def _claimed_holders(self, now: Instant) -> dict[ShardNumber, Holder]:
--- a/packages/yuccarill-core/src/yuccarill/core/leases/operations.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/operations.py
@@ -21,14 +21,14 @@
     RENEW = 'renew session'
     CLOSE = 'close session'
     READ_TABLE = 'read table'
-    TAKE = 'take shards'
-    GIVE = 'give shards'
-    FREE = 'free shards of an ended session'
+    CLAIM = 'take shards'
+    TRANSFER = 'give shards'
+    RELEASE = 'free shards of an ended session'
     READ_PEER = "read a holder's session"
     REVOKE = "revoke a holder's session"
 
 
-TABLE_WRITES = frozenset({Step.TAKE, Step.GIVE, Step.FREE})
+TABLE_WRITES = frozenset({Step.CLAIM, Step.TRANSFER, Step.RELEASE})
 
 
 class Operation(msgspec.Struct, frozen=True, kw_only=True):
--- a/packages/yuccarill-core/src/yuccarill/core/leases/table_keeper.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/table_manager.py
@@ -19,7 +19,7 @@
     from yuccarill.core.leases.table import Holder
 
 
-class TableKeeper:
+class TableManager:
     """Cache the newest table and replace it by compare-and-swap."""
 
     def __init__(
@@ -71,7 +71,7 @@
         now: Instant,
     ) -> operations.Operation:
         """Return the compare-and-swap that sets new holders."""
-        if step is Step.GIVE:
+        if step is Step.TRANSFER:
             # This holder must not act from before the swap is sent until a
             # newer table shows whether the swap took effect: if the reply
             # is lost, the next holder may already act.
--- a/packages/yuccarill-core/src/yuccarill/core/membership/spreading.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/gossip.py
@@ -15,7 +15,7 @@
 MAX_RECORDS = 32
 
 
-class Spreading:
+class StatementGossip:
     """Track the statements that each neighbour has yet to confirm."""
 
     def __init__(self) -> None:
--- a/packages/yuccarill-core/src/yuccarill/core/membership/list_reading.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/list_merger.py
@@ -48,7 +48,7 @@
     return Instant(now + pause * generator.uniform(0.5, 1.5))
 
 
-class ListReading:
+class ListMerger:
     """Merge reads of the instance list into the view."""
 
     def __init__(self, view: View) -> None:
@@ -56,9 +56,9 @@
         self._state_by_id: dict[InstanceId, InstanceState] = {}
         self._missed_by_id: dict[InstanceId, int] = {}
         # Members in state GONE that the last read lists as live.
-        self.returned: list[Member] = []
+        self.relisted: list[Member] = []
 
-    def take(self, instances: Iterable[Instance]) -> list[Member]:
+    def merge(self, instances: Iterable[Instance]) -> list[Member]:
         """Merge one read of the list and return the members it changed."""
         listed_by_id = {instance.id: instance for instance in instances}
         changed = [
@@ -70,7 +70,7 @@
         self._state_by_id = {i.id: i.state for i in listed_by_id.values()}
         # The two sides of a network partition may each count the other as
         # gone, and would never probe each other again.
-        self.returned = [
+        self.relisted = [
             self._view.members_by_id[i.id]
             for i in listed_by_id.values()
             if i.state is InstanceState.LIVE
@@ -80,7 +80,7 @@
 
     def _merge_entry(self, instance: Instance) -> bool:
         view = self._view
-        has_changed = view.offer(member_module.from_instance(instance))
+        has_changed = view.merge(member_module.from_instance(instance))
         previous = self._state_by_id.get(instance.id)
         is_leaving = instance.state is InstanceState.LEAVING
         if instance.id == view.me.id and not is_leaving:
@@ -93,7 +93,9 @@
         # previous process as leaving after a restart, and would exclude the
         # new process on every read.
         if is_leaving and previous is not InstanceState.LEAVING:
-            has_changed |= view.mark(instance.id, MemberState.LISTED_LEAVING)
+            has_changed |= view.set_state(
+                instance.id, MemberState.LISTED_LEAVING
+            )
         return has_changed
 
     def _mark_missing_gone(
@@ -113,5 +115,5 @@
             if reads >= MISSED_READS
             # A member that answers probes is running; the list is stale.
             and view.members_by_id[member_id].state is not MemberState.ALIVE
-            and view.mark(member_id, MemberState.GONE)
+            and view.set_state(member_id, MemberState.GONE)
         ]
--- a/packages/yuccarill-core/src/yuccarill/core/membership/probing.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/probing.py
@@ -56,7 +56,7 @@
             self.step = ProbeStep.INDIRECT
         return self.step
 
-    def ask(self, helpers: int) -> ProbeStep:
+    def set_helper_count(self, helpers: int) -> ProbeStep:
         """Record how many helpers probe indirectly; return the next step."""
         self._helper_count = helpers
         if self.step is ProbeStep.INDIRECT:
--- a/packages/yuccarill-core/src/yuccarill/core/membership/shutdown.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/shutdown.py
@@ -46,7 +46,7 @@
     # Part of stop_timeout that is reserved to hand shards over.
     hand_over: float = 5.0
     # From a second signal to the end.
-    hurry: float = 1.0
+    second_signal_timeout: float = 1.0
     # Continuous time with nothing in flight before the end.
     quiet: float = 0.25
 
@@ -78,9 +78,9 @@
         self._quiet_since: Instant | None = None
         self._machine = StopMachine(self)
 
-    def hurry(self, now: Instant) -> None:
+    def shorten(self, now: Instant) -> None:
         """Process a second signal: end soon, even with work in flight."""
-        soon = Instant(now + self._policy.hurry)
+        soon = Instant(now + self._policy.second_signal_timeout)
         self._deadline = min(self._deadline, soon)
         self.serves_until = min(self.serves_until, now)
 
--- a/packages/yuccarill-core/src/yuccarill/core/membership/view.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/view.py
@@ -34,7 +34,7 @@
         self._gone_until_by_id: dict[InstanceId, Instant] = {}
         self.members_by_id: dict[InstanceId, Member] = {me.id: me}
         # Change counter, so that copies of the view can detect changes.
-        self.changes = 1
+        self.change_count = 1
         self.digest = _digest(me)
 
     @property
@@ -47,7 +47,7 @@
         members = self.members_by_id.values()
         return [m for m in members if m.state is MemberState.ALIVE]
 
-    def offer(self, offered: Member) -> bool:
+    def merge(self, offered: Member) -> bool:
         """Merge a statement; return whether the view changed."""
         if offered.id == self._me:
             return self._merge_own(offered)
@@ -57,22 +57,22 @@
         self._store(offered)
         return True
 
-    def offer_all(self, offered: Iterable[Member]) -> list[Member]:
+    def merge_all(self, offered: Iterable[Member]) -> list[Member]:
         """Merge statements; return the members that changed."""
         return [
-            self.members_by_id[each.id] for each in offered if self.offer(each)
+            self.members_by_id[each.id] for each in offered if self.merge(each)
         ]
 
-    def mark(self, member_id: InstanceId, state: MemberState) -> bool:
+    def set_state(self, member_id: InstanceId, state: MemberState) -> bool:
         """Set a state that the member may refute; return if it changed."""
         current = self.members_by_id.get(member_id)
-        return current is not None and self.offer(current.changed(state))
+        return current is not None and self.merge(current.changed(state))
 
     def leave(self) -> None:
         """Announce that this instance leaves; irrevocable."""
         self._supersede(self.me, MemberState.LEAVING)
 
-    def answer_suspicion(self) -> bool:
+    def refute_suspicion(self) -> bool:
         """Refute a suspicion of this instance; return if there was one.
 
         Call this only when a peer has reached this instance: an unreachable
@@ -105,7 +105,7 @@
         for member_id, gone_until in self._gone_until_by_id.items():
             if now >= gone_until:
                 del self.members_by_id[member_id]
-                self.changes += 1
+                self.change_count += 1
 
     def _merge_own(self, offered: Member) -> bool:
         mine = self.me
@@ -144,7 +144,7 @@
             self.digest ^= _digest(former)
         self.digest ^= _digest(statement)
         self.members_by_id[statement.id] = statement
-        self.changes += 1
+        self.change_count += 1
 
 
 def _digest(statement: Member) -> int:
--- a/packages/yuccarill-core/src/yuccarill/core/weights/desk.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/engine_orders.py
@@ -55,7 +55,7 @@
         return self.running is not None or now < self.busy_until
 
 
-class OrderDesk:
+class EngineOrders:
     """Track the engines that an instance holds, and their orders."""
 
     def __init__(self) -> None:
@@ -74,7 +74,7 @@
         self._epochs_by_model[model] = epoch
         return True
 
-    def hold(self, target: TargetId, epoch: Epoch, now: Instant) -> bool:
+    def set_epoch(self, target: TargetId, epoch: Epoch, now: Instant) -> bool:
         """Set the epoch under which a target is held; return if it is new."""
         entry = self._entries_by_id.get(target)
         if entry is not None and entry.epoch == epoch:
@@ -101,7 +101,9 @@
         entry = self._entries_by_id.get(target)
         return entry is not None and entry.state is not None
 
-    def see(self, target: TargetId, state: TargetState | None) -> None:
+    def record_state(
+        self, target: TargetId, state: TargetState | None
+    ) -> None:
         """Record the state read from a target, None if it did not answer."""
         entry = self._entries_by_id.get(target)
         if entry is None:
@@ -155,7 +157,7 @@
             outcome=entry.last_outcome,
         )
 
-    def news(self, now: Instant) -> list[Report]:
+    def changed_reports(self, now: Instant) -> list[Report]:
         """Return reports on the targets that changed since the last report."""
         reports = []
         for target in list(self._changed_targets):
@@ -168,7 +170,7 @@
                 reports.append(self.report(target, now))
         return [report for report in reports if report is not None]
 
-    def unreport(self, target: TargetId) -> None:
+    def repeat_report(self, target: TargetId) -> None:
         """Repeat the report on a target, after the last one was lost."""
         entry = self._entries_by_id.get(target)
         if entry is not None:
--- a/packages/yuccarill-core/src/yuccarill/core/weights/polling.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/polling.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from yuccarill.core.ids import Instant
-from yuccarill.core.weights.tokens import TokenSchedule
+from yuccarill.core.weights.token_bucket import TokenBucket
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -31,7 +31,7 @@
     """Spread reads over time; back off from unreachable targets."""
 
     def __init__(self, now: Instant, rate: float = READS_PER_SECOND) -> None:
-        self._tokens = TokenSchedule(rate, now, BURST_SECONDS)
+        self._tokens = TokenBucket(rate, now, BURST_SECONDS)
         self._states_by_id: dict[TargetId, _PollState] = {}
 
     def set_targets(self, targets: Iterable[TargetId], now: Instant) -> None:
@@ -50,13 +50,15 @@
         ]
         chosen = []
         for _, target in sorted(ready):
-            if not self._tokens.take(now):
+            if not self._tokens.try_consume(now):
                 break
             self._states_by_id[target].is_running = True
             chosen.append(target)
         return chosen
 
-    def done(self, target: TargetId, is_reachable: bool, now: Instant) -> None:
+    def finish(
+        self, target: TargetId, is_reachable: bool, now: Instant
+    ) -> None:
         """Record the end of a read and schedule the next one."""
         state = self._states_by_id.get(target)
         if state is None:
--- a/packages/yuccarill-core/src/yuccarill/core/weights/record.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/record.py
@@ -148,7 +148,7 @@
             self._end_order(OrderOutcome.NOT_SENT, now, retries)
             self._update_state(True, now)
 
-    def forget(self) -> None:
+    def mark_unknown(self) -> None:
         """Mark an idle engine's state as unknown after a holder change."""
         self.changed_targets.add(self.target)
         if self.order is None:
--- a/packages/yuccarill-core/src/yuccarill/core/weights/rollout.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/rollout.py
@@ -14,7 +14,7 @@
 from yuccarill.core.weights.orders import OrderKind
 from yuccarill.core.weights.record import TargetRecord
 from yuccarill.core.weights.retries import RetryPolicy
-from yuccarill.core.weights.tokens import TokenSchedule
+from yuccarill.core.weights.token_bucket import TokenBucket
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -42,7 +42,7 @@
         self,
         engines: Mapping[TargetId, DataCentreId],
         serving_part: float,
-        tokens: TokenSchedule,
+        tokens: TokenBucket,
         epoch: Epoch,
         retries: RetryPolicy | None = None,
     ) -> None:
@@ -74,7 +74,7 @@
         }
         self._index = EngineIndex(self.records_by_id.values())
 
-    def see_newest(self, version: WeightVersion, now: Instant) -> None:
+    def raise_newest(self, version: WeightVersion, now: Instant) -> None:
         """Set the newest version if the store or an engine has a newer one."""
         if version <= self.newest:
             return
@@ -98,7 +98,7 @@
         self._is_idle = False
         # The store may return an older version than engines already have;
         # engines must not be ordered back to it.
-        self.see_newest(record.best_version, now)
+        self.raise_newest(record.best_version, now)
 
     def decide(self, now: Instant) -> list[Order]:
         """Return the orders to send now."""
@@ -142,7 +142,7 @@
     def _stages(self, now: Instant) -> list[Order]:
         orders = []
         for position in self._index.stageable:
-            if not self.tokens.take(now):
+            if not self.tokens.try_consume(now):
                 break
             record = self._index.records[position]
             orders.append(
--- a/packages/yuccarill-core/src/yuccarill/core/weights/tokens.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/token_bucket.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass
-class TokenSchedule:
+class TokenBucket:
     """Token bucket that grants at most limit tokens in any second."""
 
     # Starts empty: a new holder's initial burst, added to the tokens that
@@ -29,7 +29,7 @@
         # in that second, so the burst less one token reduces the rate.
         return self.limit - (self._burst - 1.0)
 
-    def take(self, now: Instant, cost: float = 1.0) -> bool:
+    def try_consume(self, now: Instant, cost: float = 1.0) -> bool:
         """Take tokens if there are enough."""
         self._fill(now)
         if self.tokens < cost:
--- a/packages/yuccarill-core/tests/dissemination/test_tree.py
+++ b/packages/yuccarill-core/tests/dissemination/test_tree.py
@@ -38,7 +38,7 @@
         for member in live
     }
     waiting = [
-        member.id for member in live if by_id[member.id].view.is_watcher
+        member.id for member in live if by_id[member.id].position.is_watcher
     ]
     holders = set()
     while waiting:
@@ -91,8 +91,8 @@
 
     def test_compares_both_ways(self) -> None:
         table = disseminator.record_module.RecordTable()
-        table.take(Record('a', 5, b''))
-        table.take(Record('b', 1, b''))
+        table.store(Record('a', 5, b''))
+        table.store(Record('b', 1, b''))
         found = table.compare({'b': 2, 'c': 1})
         self.assertEqual((Record('a', 5, b''),), found.newer_here)
         self.assertEqual(('b', 'c'), found.newer_there)
--- a/packages/yuccarill-core/tests/leases/test_faults.py
+++ b/packages/yuccarill-core/tests/leases/test_faults.py
@@ -35,7 +35,7 @@
 
 
 # The steps at which the right to act changes.
-DECISIVE = (Step.OPEN, Step.RENEW, Step.TAKE, Step.GIVE, Step.REVOKE)
+DECISIVE = (Step.OPEN, Step.RENEW, Step.CLAIM, Step.TRANSFER, Step.REVOKE)
 CELLS = tuple(itertools.product(Step, Fault))
 PAIRS = tuple(
     (step, *pair)
@@ -61,7 +61,7 @@
         self.is_armed = self._step_at_fault in (Step.OPEN, Step.READ_TABLE)
         self.run(8)
         self.is_armed = True
-        if self._step_at_fault is Step.FREE:
+        if self._step_at_fault is Step.RELEASE:
             # Watchers that are leaving claim no shards but free them.
             for node in self.nodes_by_name.values():
                 node.keeper.begin_leaving()
--- a/packages/yuccarill-core/tests/leases/test_keeper.py
+++ b/packages/yuccarill-core/tests/leases/test_keeper.py
@@ -94,7 +94,7 @@
         )
         cluster.nodes_by_name['previous'] = previous
         previous.is_paused = True
-        cluster.start('d').keeper.want_session(Instant(float('inf')))
+        cluster.start('d').keeper.keep_session_open(Instant(float('inf')))
         cluster.run(3)
         previous.is_paused = False
         cluster.run(1)
@@ -131,11 +131,11 @@
         # holders still renew their sessions.
         cluster = settled()
         before = cluster.held()
-        writes = cluster.store.calls_by_step[Step.TAKE]
+        writes = cluster.store.calls_by_step[Step.CLAIM]
         cluster.nodes_by_name['a'].keeper.set_live(())
         cluster.run(30)
         self.assertEqual(before, cluster.held())
-        self.assertEqual(writes, cluster.store.calls_by_step[Step.TAKE])
+        self.assertEqual(writes, cluster.store.calls_by_step[Step.CLAIM])
 
     def test_new_instance_receives_its_shards_once(self) -> None:
         cluster = settled(SIX[:5])
@@ -162,8 +162,10 @@
         newcomer = cluster.start('f')
         keeper = cluster.nodes_by_name['a'].keeper
         to = Holder(newcomer.id, SessionId('s'))
-        placed = keeper.consent(to, keeper.held())
-        given = keeper.consent(to, keeper.held(), frozenset(placed[:1]))
+        placed = keeper.transfer_requested(to, keeper.held())
+        given = keeper.transfer_requested(
+            to, keeper.held(), frozenset(placed[:1])
+        )
         self.assertEqual(placed[1:], given)
 
     @params(0.0, 0.5)
--- a/packages/yuccarill-core/tests/leases/test_table_keeper.py
+++ b/packages/yuccarill-core/tests/leases/test_table_keeper.py
@@ -13,7 +13,7 @@
 from yuccarill.core.leases import operations
 from yuccarill.core.leases import policy
 from yuccarill.core.leases import table
-from yuccarill.core.leases import table_keeper
+from yuccarill.core.leases import table_manager
 
 SHARD = ShardNumber(3)
 OLD = table.EMPTY.moved(
@@ -25,7 +25,7 @@
 
 class TableKeeperTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.keeper = table_keeper.TableKeeper(
+        self.keeper = table_manager.TableManager(
             policy.LeasePolicy(), random.Random(1), itertools.count(1)
         )
 
@@ -42,7 +42,9 @@
         assert read is not None
         found = operations.Found(4, table.encode(OLD))
         self.keeper.complete(read, found, NOW)
-        change = self.keeper.change(operations.Step.GIVE, {SHARD: None}, NOW)
+        change = self.keeper.change(
+            operations.Step.TRANSFER, {SHARD: None}, NOW
+        )
         self.assertFalse(self.keeper.complete(read, found, NOW))
         self.assertFalse(self.keeper.can_write(NOW))
         self.keeper.complete(change, operations.Unknown(), NOW)
--- a/packages/yuccarill-core/tests/leases/world.py
+++ b/packages/yuccarill-core/tests/leases/world.py
@@ -12,7 +12,7 @@
 from yuccarill.core.ids import InstanceId
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import ShardNumber
-from yuccarill.core.leases import keeper as keeper_module
+from yuccarill.core.leases import lease_manager as keeper_module
 from yuccarill.core.leases import operations
 from yuccarill.core.leases.operations import Step
 from yuccarill.core.leases.policy import LeasePolicy
@@ -71,7 +71,7 @@
 
     def __init__(self, name: str, number: int, policy: LeasePolicy) -> None:
         self.id = InstanceId(name)
-        self.keeper = keeper_module.LeaseKeeper(
+        self.keeper = keeper_module.LeaseManager(
             self.id,
             Incarnation(f'{name}-{number}'),
             policy,
@@ -132,7 +132,7 @@
         """Begin a graceful shutdown: transfer the held shards."""
         keeper = self.nodes_by_name[name].keeper
         holders: dict[ShardNumber, Holder | None] = {}
-        for shard, peer in keeper.leave().items():
+        for shard, peer in keeper.next_holders().items():
             found = self.nodes_by_name.get(peer or '')
             session = None
             if found is not None and not found.is_dead:
@@ -140,7 +140,7 @@
             holders[shard] = (
                 Holder(peer, session) if session and peer else None
             )
-        keeper.give(holders)
+        keeper.transfer(holders)
 
     def has_left(self, name: str) -> bool:
         """Close the session of a leaving instance; return if it is closed."""
@@ -211,11 +211,13 @@
             return
         for operation in node.keeper.next_operations(node.clock(self.now)):
             self._send(node, operation)
-        for ask in node.keeper.due_asks(node.clock(self.now)):
+        for ask in node.keeper.due_transfer_requests(node.clock(self.now)):
             holder = self.nodes_by_name.get(ask.holder)
             if holder is None or holder.is_dead or holder.is_paused:
                 continue
-            holder.keeper.consent(Holder(node.id, ask.session), ask.shards)
+            holder.keeper.transfer_requested(
+                Holder(node.id, ask.session), ask.shards
+            )
 
     def _send(self, node: Node, operation: operations.Operation) -> None:
         mode = self.mode(node, operation)
--- a/packages/yuccarill-core/tests/membership/test_choices.py
+++ b/packages/yuccarill-core/tests/membership/test_choices.py
@@ -10,12 +10,12 @@
 
 from yuccarill.core.ids import InstanceId
 from yuccarill.core.membership import addresses
+from yuccarill.core.membership import gossip
 from yuccarill.core.membership.instances import InstanceState
-from yuccarill.core.membership import list_reading
+from yuccarill.core.membership import list_merger
 from yuccarill.core.membership.member import MemberState
 from yuccarill.core.membership import probing
 from yuccarill.core.membership import ring
-from yuccarill.core.membership import spreading
 from yuccarill.core.membership import view as view_module
 
 from .statements import statement
@@ -72,7 +72,7 @@
         probe_round = probing.ProbeRound()
         for was_reached in direct or [False, False]:
             probe_round.on_direct(was_reached)
-        probe_round.ask(helpers)
+        probe_round.set_helper_count(helpers)
         for answer in answers:
             probe_round.on_helper(answer)
         self.assertIs(expected, probe_round.step, name)
@@ -91,37 +91,38 @@
     def test_statement_is_resent_until_confirmed(self) -> None:
         # A batch is resent until confirmed, and the confirmation of an older
         # statement must not drop a newer one.
-        gossip = spreading.Spreading()
-        gossip.set_neighbours(['n', 'source'])
+        statement_gossip = gossip.StatementGossip()
+        statement_gossip.set_neighbours(['n', 'source'])
         old, new = statement('x', 1), statement('x', 2)
-        gossip.add([old], 'source')
+        statement_gossip.add([old], 'source')
         self.assertEqual(
-            ((old,), ()), (gossip.batch('n'), gossip.batch('source'))
+            ((old,), ()),
+            (statement_gossip.batch('n'), statement_gossip.batch('source')),
         )
-        sent = gossip.batch('n')
-        gossip.add([new], None)
-        gossip.confirm('n', sent)
-        self.assertEqual((new,), gossip.batch('n'))
-        gossip.confirm('n', (new,))
-        self.assertEqual((), gossip.batch('n'))
+        sent = statement_gossip.batch('n')
+        statement_gossip.add([new], None)
+        statement_gossip.confirm('n', sent)
+        self.assertEqual((new,), statement_gossip.batch('n'))
+        statement_gossip.confirm('n', (new,))
+        self.assertEqual((), statement_gossip.batch('n'))
 
     def test_one_message_is_bounded(self) -> None:
-        gossip = spreading.Spreading()
-        gossip.set_neighbours(['n'])
-        gossip.add(fleet(410).values(), None)
+        statement_gossip = gossip.StatementGossip()
+        statement_gossip.set_neighbours(['n'])
+        statement_gossip.add(fleet(410).values(), None)
         rounds = 0
-        while batch := gossip.batch('n'):
-            self.assertLessEqual(len(batch), spreading.MAX_RECORDS)
-            gossip.confirm('n', batch)
+        while batch := statement_gossip.batch('n'):
+            self.assertLessEqual(len(batch), gossip.MAX_RECORDS)
+            statement_gossip.confirm('n', batch)
             rounds += 1
-        self.assertEqual(-(-410 // spreading.MAX_RECORDS), rounds)
+        self.assertEqual(-(-410 // gossip.MAX_RECORDS), rounds)
 
 
 class ListReadingTest(unittest.TestCase):
     def setUp(self) -> None:
         self.view = view_module.View(statement('a'))
-        self.view.offer(statement('b', 1, S.SUSPECT))
-        self.reading = list_reading.ListReading(self.view)
+        self.view.merge(statement('b', 1, S.SUSPECT))
+        self.reading = list_merger.ListMerger(self.view)
 
     def state_of_b(self) -> MemberState:
         return self.view.members_by_id['b'].state
@@ -134,7 +135,7 @@
     def test_dropped_members(self, name, reads, expected) -> None:
         for ids in reads:
             listed = [statement(i).as_instance() for i in ids]
-            self.reading.take(listed)
+            self.reading.merge(listed)
         self.assertIs(expected, self.state_of_b(), name)
 
     def test_two_readers_per_data_centre(self) -> None:
@@ -142,17 +143,17 @@
         readers = collections.Counter()
         for member in members.values():
             view = view_module.View(member)
-            view.offer_all(members.values())
-            readers[member.data_centre] += list_reading.is_reader(view)
+            view.merge_all(members.values())
+            readers[member.data_centre] += list_merger.is_reader(view)
         self.assertEqual({2}, set(readers.values()))
 
     def test_leaving_in_the_list_is_a_change_only_once(self) -> None:
-        self.view.offer(statement('b', 2))
+        self.view.merge(statement('b', 2))
         leaving = statement('b').changed(S.LEAVING).as_instance()
-        self.reading.take([leaving])
+        self.reading.merge([leaving])
         self.assertIs(S.LISTED_LEAVING, self.state_of_b())
-        self.view.offer(statement('b', 3, incarnation='2'))
-        self.reading.take([leaving])
+        self.view.merge(statement('b', 3, incarnation='2'))
+        self.reading.merge([leaving])
         self.assertIs(S.ALIVE, self.state_of_b())
 
 
@@ -188,7 +189,7 @@
     def test_only_alive_members_are_live(self) -> None:
         view = view_module.View(statement('a'))
         for state in MemberState:
-            view.offer(statement(state.name, 1, state))
+            view.merge(statement(state.name, 1, state))
         live = {member.id for member in view.live()}
         self.assertEqual({'a', 'ALIVE'}, live)
         left = statement('a').changed(S.LEAVING).as_instance()
--- a/packages/yuccarill-core/tests/membership/test_shutdown.py
+++ b/packages/yuccarill-core/tests/membership/test_shutdown.py
@@ -29,7 +29,7 @@
         now = tick / 4
         in_flight = work_by_time.get(now, in_flight)
         if now == second_at:
-            stopping.hurry(Instant(now))
+            stopping.shorten(Instant(now))
         began.setdefault(stopping.advance(Instant(now), in_flight), now)
     return began, stopping.outcome
 
@@ -130,7 +130,7 @@
         began, _ = stop(work)
         at = began.get(step, 0.0)
         shortened, _ = stop(work, at)
-        latest = at + POLICY.hurry + 0.5
+        latest = at + POLICY.second_signal_timeout + 0.5
         self.assertLessEqual(shortened[S.ENDED], max(latest, began[S.ENDED]))
         if step not in (S.ENDED, S.FINISHING):
             self.assertLess(shortened[S.ENDED], began[S.ENDED])
--- a/packages/yuccarill-core/tests/membership/test_view.py
+++ b/packages/yuccarill-core/tests/membership/test_view.py
@@ -33,10 +33,10 @@
         ]
         view = view_module.View(statement('a'))
         for number in (*order, *order):
-            view.offer(said[number])
+            view.merge(said[number])
         self.assertEqual(said[2], view.members_by_id['b'])
         other = view_module.View(statement('a'))
-        other.offer(said[2])
+        other.merge(said[2])
         self.assertEqual(other.digest, view.digest)
 
     @params(
@@ -48,9 +48,9 @@
     )
     def test_answers(self, name, mine, said, reached, version, state) -> None:
         view = view_module.View(statement('a', 5, mine))
-        view.offer(statement('a', 5, said))
+        view.merge(statement('a', 5, said))
         if reached:
-            view.answer_suspicion()
+            view.refute_suspicion()
         found = view.me
         self.assertEqual((version, state), (found.version, found.state), name)
 
@@ -59,15 +59,15 @@
         # Statements about the previous process have a higher version, since
         # its clock was ahead; they must not exclude the new process.
         view = view_module.View(statement('a', 3, incarnation='new'))
-        view.offer(statement('a', 900, state, incarnation='old'))
+        view.merge(statement('a', 900, state, incarnation='old'))
         self.assertEqual(statement('a', 901, incarnation='new'), view.me)
 
     def test_gone_member_is_remembered_for_a_while(self) -> None:
         view = view_module.View(statement('a'))
-        view.offer(statement('b', 1, S.GONE))
+        view.merge(statement('b', 1, S.GONE))
         for now in (0.0, view_module.GONE_SECONDS - 1.0):
             view.sweep(Instant(now))
-        self.assertFalse(view.offer(statement('b', 1)))
+        self.assertFalse(view.merge(statement('b', 1)))
         view.sweep(Instant(view_module.GONE_SECONDS))
         self.assertNotIn('b', view.members_by_id)
 
@@ -92,12 +92,12 @@
 
     @stateful.rule(name=names, pick=strategies.integers(0, 10**6))
     def hear(self, name: str, pick: int) -> None:
-        self.views[name].offer(self.known[pick % len(self.known)])
+        self.views[name].merge(self.known[pick % len(self.known)])
 
     @stateful.rule(name=names, other=names)
     def suspect(self, name: str, other: str) -> None:
         if name != other:
-            self.views[name].mark(other, S.SUSPECT)
+            self.views[name].set_state(other, S.SUSPECT)
 
     @stateful.rule(name=names)
     def leave(self, name: str) -> None:
@@ -107,7 +107,7 @@
 
     @stateful.rule(name=names)
     def be_reached(self, name: str) -> None:
-        self.views[name].answer_suspicion()
+        self.views[name].refute_suspicion()
 
     @stateful.rule(name=names)
     def restart(self, name: str) -> None:
@@ -142,8 +142,8 @@
             for view in self.views.values():
                 heard = list(self.known)
                 generator.shuffle(heard)
-                view.offer_all(heard)
-                view.answer_suspicion()
+                view.merge_all(heard)
+                view.refute_suspicion()
         self.says_all()
         naive = {
             name: max(
--- a/packages/yuccarill-core/tests/weights/fleet.py
+++ b/packages/yuccarill-core/tests/weights/fleet.py
@@ -15,13 +15,13 @@
 from yuccarill.core.ids import TargetId
 from yuccarill.core.ids import WeightVersion
 from yuccarill.core.weights import capacity
-from yuccarill.core.weights import desk
+from yuccarill.core.weights import engine_orders
 from yuccarill.core.weights.orders import Order
 from yuccarill.core.weights.orders import OrderKind
 from yuccarill.core.weights.orders import OrderOutcome
 from yuccarill.core.weights.orders import TargetState
 from yuccarill.core.weights.rollout import ModelRollout
-from yuccarill.core.weights.tokens import TokenSchedule
+from yuccarill.core.weights.token_bucket import TokenBucket
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -72,7 +72,9 @@
     # A holder without a lease has no epoch for its orders.
     has_lease: bool = True
     polled_at: float = -POLL_SECONDS
-    desk: desk.OrderDesk = dataclasses.field(default_factory=desk.OrderDesk)
+    desk: engine_orders.EngineOrders = dataclasses.field(
+        default_factory=engine_orders.EngineOrders
+    )
 
 
 class Fleet:
@@ -137,7 +139,7 @@
         self.rollout = ModelRollout(
             {e.name: e.data_centre for e in self.engines},
             self.part,
-            TokenSchedule(self.rate, self.now),
+            TokenBucket(self.rate, self.now),
             self.model_epoch,
         )
         for holder in self.holders:
@@ -187,7 +189,7 @@
         )
 
     def _take_over(self, holder: Holder) -> None:
-        holder.desk = desk.OrderDesk()
+        holder.desk = engine_orders.EngineOrders()
         holder.epoch = Epoch(holder.epoch + 1)
         holder.is_up, holder.polled_at = True, -POLL_SECONDS
         self._query(holder)
@@ -196,8 +198,8 @@
         if self.rollout is None:
             return
         for engine in holder.engines:
-            self.rollout.records_by_id[engine.name].forget()
-            holder.desk.unreport(engine.name)
+            self.rollout.records_by_id[engine.name].mark_unknown()
+            holder.desk.repeat_report(engine.name)
         holder.desk.accept_model_epoch(MODEL, self.model_epoch)
 
     def _tick(self) -> None:
@@ -211,7 +213,9 @@
         if self.rollout is None:
             return
         if self.now >= self.store_fails_until:
-            self.rollout.see_newest(WeightVersion(self.store_newest), self.now)
+            self.rollout.raise_newest(
+                WeightVersion(self.store_newest), self.now
+            )
         self._decide()
 
     def _decide(self) -> None:
@@ -227,8 +231,8 @@
 
     def _poll(self, holder: Holder) -> None:
         for engine in holder.engines:
-            holder.desk.hold(engine.name, holder.epoch, self.now)
-            holder.desk.see(engine.name, self._read(engine))
+            holder.desk.set_epoch(engine.name, holder.epoch, self.now)
+            holder.desk.record_state(engine.name, self._read(engine))
 
     def _read(self, engine: FakeEngine) -> TargetState | None:
         if not engine.is_up or engine.frozen_until > self.now:
@@ -244,7 +248,7 @@
         )
 
     def _push(self, holder: Holder) -> None:
-        for report in holder.desk.news(self.now):
+        for report in holder.desk.changed_reports(self.now):
             self.at(LATENCY, lambda r=report: self._report(r))
 
     def _report(self, report: object) -> None:
@@ -273,7 +277,7 @@
         wait = max(LATENCY, engine.frozen_until - self.now)
         self.at(wait, lambda: self._arrive(engine, order, holder))
         self.at(
-            desk.ORDER_SECONDS,
+            engine_orders.ORDER_SECONDS,
             lambda: self._end(engine, holder, order, OrderOutcome.SILENT),
         )
 
@@ -333,7 +337,7 @@
         order: Order,
         outcome: OrderOutcome,
     ) -> None:
-        holder.desk.see(engine.name, self._read(engine))
+        holder.desk.record_state(engine.name, self._read(engine))
         holder.desk.finish(order, outcome)
         if holder.is_up:
             self._push(holder)
--- a/packages/yuccarill-core/tests/weights/test_desk.py
+++ b/packages/yuccarill-core/tests/weights/test_desk.py
@@ -11,7 +11,7 @@
 from yuccarill.core.ids import ModelName
 from yuccarill.core.ids import TargetId
 from yuccarill.core.ids import WeightVersion
-from yuccarill.core.weights import desk
+from yuccarill.core.weights import engine_orders
 from yuccarill.core.weights import orders
 
 TARGET = TargetId('e')
@@ -38,8 +38,8 @@
 
 class DeskTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.desk = desk.OrderDesk()
-        self.desk.hold(TARGET, Epoch(1), NOW)
+        self.desk = engine_orders.EngineOrders()
+        self.desk.set_epoch(TARGET, Epoch(1), NOW)
 
     # A delayed order must not return the engine to an older version, nor make
     # it download while out of service.
@@ -57,21 +57,21 @@
         (SWITCH, 3, state(2, 3), 2, NOT_SENT),
     )
     def test_begin(self, kind, version, read, epoch, expected) -> None:
-        self.desk.see(TARGET, read)
+        self.desk.record_state(TARGET, read)
         found = self.desk.begin(order(kind, version), epoch, NOW)
         self.assertIs(expected, found)
 
     def test_second_order_waits_for_the_first(self) -> None:
-        self.desk.see(TARGET, state(2, 3))
+        self.desk.record_state(TARGET, state(2, 3))
         self.assertIsNone(self.desk.begin(order(SWITCH, 3), Epoch(1), NOW))
         again = orders.Order(2, TARGET, STAGE, WeightVersion(4))
         self.assertIs(NOT_SENT, self.desk.begin(again, Epoch(1), NOW))
 
     def test_change_is_reported_once_unless_lost(self) -> None:
-        self.assertEqual([], self.desk.news(NOW))
-        self.desk.see(TARGET, state(2))
-        self.assertEqual(1, len(self.desk.news(NOW)))
-        self.desk.see(TARGET, state(2))
-        self.assertEqual([], self.desk.news(NOW))
-        self.desk.unreport(TARGET)
-        self.assertEqual(1, len(self.desk.news(NOW)))
+        self.assertEqual([], self.desk.changed_reports(NOW))
+        self.desk.record_state(TARGET, state(2))
+        self.assertEqual(1, len(self.desk.changed_reports(NOW)))
+        self.desk.record_state(TARGET, state(2))
+        self.assertEqual([], self.desk.changed_reports(NOW))
+        self.desk.repeat_report(TARGET)
+        self.assertEqual(1, len(self.desk.changed_reports(NOW)))
--- a/packages/yuccarill-core/tests/weights/test_index.py
+++ b/packages/yuccarill-core/tests/weights/test_index.py
@@ -18,7 +18,7 @@
 from yuccarill.core.weights import orders
 from yuccarill.core.weights import record as record_module
 from yuccarill.core.weights import rollout
-from yuccarill.core.weights import tokens
+from yuccarill.core.weights import token_bucket
 
 State = record_module.WeightState
 CENTRES = [DataCentreId('a'), DataCentreId('b')]
@@ -95,9 +95,9 @@
         # leave too few engines in service.
         self.now = Instant(100.0)
         self.plan = rollout.ModelRollout(
-            ENGINES, PART, tokens.TokenSchedule(10.0, self.now), Epoch(1)
+            ENGINES, PART, token_bucket.TokenBucket(10.0, self.now), Epoch(1)
         )
-        self.plan.see_newest(WeightVersion(3), self.now)
+        self.plan.raise_newest(WeightVersion(3), self.now)
         for number, step in enumerate(steps):
             self._do(number, *step)
             self.assertEqual(recount(self.plan), indexed(self.plan))
@@ -123,9 +123,9 @@
             case 'decide':
                 self.plan.decide(self.now)
             case 'newest':
-                self.plan.see_newest(WeightVersion(low + high), self.now)
+                self.plan.raise_newest(WeightVersion(low + high), self.now)
             case 'forget' if record:
-                record.forget()
+                record.mark_unknown()
             case 'drop' if order:
                 self.plan.drop([order], self.now)
             case 'engines':
--- a/packages/yuccarill-core/tests/weights/test_polling.py
+++ b/packages/yuccarill-core/tests/weights/test_polling.py
@@ -27,6 +27,6 @@
             now = Instant(tick * 0.25)
             for target in polls.due(now):
                 read.append(target)
-                polls.done(target, is_reachable, now)
+                polls.finish(target, is_reachable, now)
         self.assertAlmostEqual(expected, len(read), delta=expected * 0.12)
         self.assertEqual(min(count, len(read)), len(set(read)))
--- a/packages/yuccarill-core/tests/weights/test_record.py
+++ b/packages/yuccarill-core/tests/weights/test_record.py
@@ -16,7 +16,7 @@
 from yuccarill.core.weights import record
 from yuccarill.core.weights import retries
 from yuccarill.core.weights import rollout
-from yuccarill.core.weights import tokens
+from yuccarill.core.weights import token_bucket
 
 NOW = Instant(100.0)
 RETRIES = retries.RetryPolicy()
@@ -81,11 +81,11 @@
             plan = rollout.ModelRollout(
                 {TargetId('e'): DataCentreId('a')},
                 0.5,
-                tokens.TokenSchedule(10.0, NOW),
+                token_bucket.TokenBucket(10.0, NOW),
                 epoch,
             )
             plan.observe(report(1, 1), NOW)
-            plan.see_newest(WeightVersion(2), NOW)
+            plan.raise_newest(WeightVersion(2), NOW)
             numbers += [o.number for o in plan.decide(Instant(NOW + 1))]
         self.assertEqual(2, len(set(numbers)))
 
@@ -107,10 +107,10 @@
 
 class TokensTest(unittest.TestCase):
     def test_successor_adds_nothing_to_the_rate(self) -> None:
-        schedule = tokens.TokenSchedule(50.0, NOW)
-        self.assertFalse(schedule.take(NOW))
-        self.assertTrue(schedule.take(Instant(NOW + 0.03)))
+        schedule = token_bucket.TokenBucket(50.0, NOW)
+        self.assertFalse(schedule.try_consume(NOW))
+        self.assertTrue(schedule.try_consume(Instant(NOW + 0.03)))
 
     def test_shares_add_up(self) -> None:
-        shares = [tokens.model_limit(50.0, n, 10) for n in (1, 2, 7)]
+        shares = [token_bucket.model_limit(50.0, n, 10) for n in (1, 2, 7)]
         self.assertAlmostEqual(50.0, sum(shares))
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/engine_weights.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/engine_weights.py
@@ -11,7 +11,7 @@
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import ModelName
 from yuccarill.core.ids import WeightVersion
-from yuccarill.core.weights import desk
+from yuccarill.core.weights import engine_orders
 from yuccarill.core.weights.orders import NO_VERSION
 from yuccarill.core.weights.orders import Order
 from yuccarill.core.weights.orders import OrderOutcome
@@ -73,7 +73,7 @@
             response = await self._client.request(
                 'POST',
                 f'http://{address}/v1/orders',
-                seconds=desk.ORDER_SECONDS,
+                seconds=engine_orders.ORDER_SECONDS,
                 data=msgspec.json.encode(body),
             )
             state = self._state(await http.body(response, BODY_SECONDS))
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/dissemination.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/dissemination.py
@@ -67,7 +67,7 @@
     @property
     def is_watcher(self) -> bool:
         """Tell whether this instance watches keys for its data centre."""
-        return self._disseminator.view.is_watcher
+        return self._disseminator.position.is_watcher
 
     def partners(self) -> list[Instance]:
         """Return the few peers to ask, in an order drawn anew."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/leases.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/leases.py
@@ -11,7 +11,7 @@
 from yuccarill.core.dissemination.record import Record
 from yuccarill.core import errors
 from yuccarill.core.ids import Instant
-from yuccarill.core.leases import keeper as keeper_module
+from yuccarill.core.leases import lease_manager as keeper_module
 from yuccarill.core.leases import operations
 from yuccarill.core.leases import policy as policy_module
 from yuccarill.core.leases import shards
@@ -85,7 +85,7 @@
         # Duties whose shard stays while they are in the middle of work;
         # set by those who do the work. A graceful shutdown gives all.
         self.busy_duties: Callable[[], list[str]] = list
-        self._keeper = keeper_module.LeaseKeeper(
+        self._keeper = keeper_module.LeaseManager(
             blackboard.own_instance.id,
             incarnation,
             policy or policy_module.LeasePolicy(),
@@ -140,7 +140,7 @@
             self._keeper.begin_leaving()
         for operation in self._keeper.next_operations(now):
             self._spawn(self._run(operation))
-        for ask in self._keeper.due_asks(now):
+        for ask in self._keeper.due_transfer_requests(now):
             self._spawn(self._ask(ask))
 
     async def handle(
@@ -155,10 +155,10 @@
 
     async def release_all(self) -> None:
         """Hand all shards over and end the session, on a graceful stop."""
-        heirs_by_shard = self._keeper.leave()
+        heirs_by_shard = self._keeper.next_holders()
         log.info('Handing shards over.', shards=len(heirs_by_shard))
         sessions_by_id = await self._invite(set(heirs_by_shard.values()))
-        self._keeper.give(
+        self._keeper.transfer(
             {
                 shard: sessions_by_id.get(heir) if heir else None
                 for shard, heir in heirs_by_shard.items()
@@ -212,7 +212,7 @@
             )
         self._is_store_failing = True
 
-    async def _ask(self, ask: keeper_module.Ask) -> None:
+    async def _ask(self, ask: keeper_module.TransferRequest) -> None:
         holder = self._blackboard.instances_by_id.get(ask.holder)
         if holder is None:
             return
@@ -231,7 +231,7 @@
 
     async def _give(self, ask: messages.LeaseAsk) -> messages.Body:
         busy = frozenset(map(shards.shard_of, self.busy_duties()))
-        given = self._keeper.consent(
+        given = self._keeper.transfer_requested(
             Holder(ask.instance, ask.session), ask.shards, busy
         )
         deadline = self._now() + PEER_SECONDS / 2
@@ -242,7 +242,7 @@
 
     async def _session(self) -> SessionId | None:
         deadline = self._now() + PEER_SECONDS / 2
-        self._keeper.want_session(Instant(self._now() + INVITED_SECONDS))
+        self._keeper.keep_session_open(Instant(self._now() + INVITED_SECONDS))
         while self._now() < deadline:
             self.tick()
             session = self._keeper.usable_session(self._now())
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/membership.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/membership.py
@@ -14,7 +14,7 @@
 from yuccarill.core import errors
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import WallTime
-from yuccarill.core.membership import list_reading
+from yuccarill.core.membership import list_merger
 from yuccarill.core.membership import member as member_module
 from yuccarill.core.membership.member import MemberState
 from yuccarill.core.membership import view as view_module
@@ -53,7 +53,7 @@
             blackboard.own_instance, incarnation, int(time.time() * 1000)
         )
         self._view = view_module.View(me)
-        self._listing = list_reading.ListReading(self._view)
+        self._listing = list_merger.ListMerger(self._view)
         self._probes = probing.ProbeController(
             self._view, peers, self._chance, clock
         )
@@ -88,8 +88,8 @@
         """
         # Others ask several times a second, and each time would build an
         # object for each member.
-        if self._live_changes != self._view.changes:
-            self._live_changes = self._view.changes
+        if self._live_changes != self._view.change_count:
+            self._live_changes = self._view.change_count
             self._live = [m.as_instance() for m in self._view.live()]
         return self._live
 
@@ -124,9 +124,9 @@
     def _is_read_due(self) -> bool:
         # Ranking the data centre's instances costs more than all the rest
         # of an idle second; it changes with the view alone.
-        if self._ranked_changes != self._view.changes:
-            self._ranked_changes = self._view.changes
-            is_reader = list_reading.is_reader(self._view)
+        if self._ranked_changes != self._view.change_count:
+            self._ranked_changes = self._view.change_count
+            is_reader = list_merger.is_reader(self._view)
             if is_reader and not self._was_reader:
                 self._read_at = Instant(self._clock.seconds())
             self._was_reader = is_reader
@@ -144,18 +144,16 @@
             self._is_list_down = True
         else:
             self._is_list_down = False
-            self._probes.spread(self._listing.take(instances))
-            self._probes.look_again(self._listing.returned)
+            self._probes.spread(self._listing.merge(instances))
+            self._probes.look_again(self._listing.relisted)
         self._is_reading = False
         now = Instant(self._clock.seconds())
-        self._read_at = list_reading.next_read_at(
-            self._view, now, self._chance
-        )
+        self._read_at = list_merger.next_read_at(self._view, now, self._chance)
 
     def _show(self) -> None:
-        if self._shown_changes == self._view.changes:
+        if self._shown_changes == self._view.change_count:
             return
-        self._shown_changes = self._view.changes
+        self._shown_changes = self._view.change_count
         members = self._view.members_by_id
         self._blackboard.members_by_id = members
         self._blackboard.instances_by_id = {
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/probing.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/probing.py
@@ -9,10 +9,10 @@
 
 from yuccarill.core import errors
 from yuccarill.core.ids import Instant
+from yuccarill.core.membership import gossip
 from yuccarill.core.membership.member import MemberState
 from yuccarill.core.membership import probing
 from yuccarill.core.membership import ring
-from yuccarill.core.membership import spreading
 from yuccarill.daemon import logs
 from yuccarill.wire import messages
 
@@ -48,7 +48,7 @@
         self._peers = peers
         self._chance = chance
         self._clock = clock
-        self._spreading = spreading.Spreading()
+        self._spreading = gossip.StatementGossip()
         self._neighbours: list[InstanceId] = []
         self._ring_of_changes = 0
         self._judged: set[InstanceId] = set()
@@ -88,8 +88,8 @@
 
     def take_probe(self, probe: messages.Probe) -> messages.ProbeReply:
         """Answer a peer that has reached this instance."""
-        news = self._view.offer_all(probe.records)
-        if self._view.answer_suspicion():
+        news = self._view.merge_all(probe.records)
+        if self._view.refute_suspicion():
             log.info('Refuted a suspicion.', peer=probe.sender)
             news.append(self._view.me)
         self.spread(news, probe.sender)
@@ -127,7 +127,7 @@
         # The member may have answered for itself while it was judged.
         if self._view.members_by_id.get(target.id) != target:
             return
-        if self._view.mark(target.id, MemberState.SUSPECT):
+        if self._view.set_state(target.id, MemberState.SUSPECT):
             log.warning('Instance suspected.', peer=target.id)
             self.spread([self._view.members_by_id[target.id]])
 
@@ -144,7 +144,7 @@
                 target.id,
                 self._chance,
             )
-            walk.ask(len(helpers))
+            walk.set_helper_count(len(helpers))
             answers = [
                 defer.ensureDeferred(self._ask(helper, target))
                 for helper in helpers
@@ -169,7 +169,7 @@
         if reply is None:
             return False
         self._spreading.confirm(target.id, told)
-        self.spread(self._view.offer_all(reply.records), target.id)
+        self.spread(self._view.merge_all(reply.records), target.id)
         self._compare(target, reply.digest)
         return True
 
@@ -202,7 +202,7 @@
             return
         self._has_pulled = True
         theirs = {record.id: record for record in reply.records}
-        self.spread(self._view.offer_all(reply.records), peer.id)
+        self.spread(self._view.merge_all(reply.records), peer.id)
         lacking = [
             mine
             for mine in self._view.members_by_id.values()
@@ -227,9 +227,9 @@
             self._push_soon()
 
     def _follow_ring(self) -> None:
-        if self._ring_of_changes == self._view.changes:
+        if self._ring_of_changes == self._view.change_count:
             return
-        self._ring_of_changes = self._view.changes
+        self._ring_of_changes = self._view.change_count
         members = self._view.members_by_id
         self._neighbours = ring.neighbours(
             self._view.me.id, ring.order(members), members
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/shutdown.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/shutdown.py
@@ -61,7 +61,7 @@
         """Stop gracefully; asked a second time, end soon."""
         if self._shutdown is not None:
             log.warning('Second signal; ending soon.')
-            self._shutdown.hurry(self._now())
+            self._shutdown.shorten(self._now())
             self._site.is_refusing = True
             self._calls.refuse_waiting()
             return self._shutdown.outcome
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/targets.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/targets.py
@@ -12,7 +12,7 @@
 from yuccarill.core import errors
 from yuccarill.core.ids import Instant
 from yuccarill.core.leases import shards
-from yuccarill.core.weights import desk
+from yuccarill.core.weights import engine_orders
 from yuccarill.core.weights.orders import OrderOutcome
 from yuccarill.core.weights import polling
 from yuccarill.daemon import logs
@@ -57,7 +57,7 @@
         self._engines = engines
         self._peers = peers
         self._clock = clock
-        self._desk = desk.OrderDesk()
+        self._desk = engine_orders.EngineOrders()
         self._polls = polling.PollSchedule(self._now())
         self._snapshot: Snapshot | None = None
         self._engines_by_shard: dict[ShardNumber, list[Engine]] = {}
@@ -123,7 +123,7 @@
         for shard, epoch in epochs_by_shard.items():
             for engine in self._engines_by_shard[shard]:
                 held.add(engine.id)
-                self._desk.hold(engine.id, epoch, now)
+                self._desk.set_epoch(engine.id, epoch, now)
         states = self._blackboard.targets_by_id
         for target in self._desk.targets() - held:
             self._desk.release(target)
@@ -138,10 +138,10 @@
                 state = await self._engines.read(engine.address)
             self._see(target, state)
         finally:
-            self._polls.done(target, state is not None, self._now())
+            self._polls.finish(target, state is not None, self._now())
 
     def _see(self, target: TargetId, state: Any) -> None:
-        self._desk.see(target, state)
+        self._desk.record_state(target, state)
         if state is not None and target in self._desk.targets():
             self._blackboard.targets_by_id[target] = state
 
@@ -185,7 +185,7 @@
 
     def _push(self) -> None:
         by_model: dict[Any, list[Report]] = collections.defaultdict(list)
-        for report in self._desk.news(self._now()):
+        for report in self._desk.changed_reports(self._now()):
             by_model[self._model(report.target)].append(report)
         for model, reports in by_model.items():
             if model is not None:
@@ -204,7 +204,7 @@
         except errors.YuccarillError:
             await task.deferLater(self._clock, HOLD_SECONDS, lambda: None)
             for report in reports:
-                self._desk.unreport(report.target)
+                self._desk.repeat_report(report.target)
 
     def _epoch(self, target: TargetId) -> Epoch | None:
         return self._leases.epoch_for(shards.target_duty(target))
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/weights.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/weights.py
@@ -15,7 +15,7 @@
 from yuccarill.core.leases import shards
 from yuccarill.core.weights.record import WeightState
 from yuccarill.core.weights import rollout as rollout_module
-from yuccarill.core.weights import tokens
+from yuccarill.core.weights import token_bucket
 from yuccarill.daemon import logs
 from yuccarill.wire import messages
 
@@ -161,7 +161,7 @@
         rollout = rollout_module.ModelRollout(
             _data_centres(snapshot, model),
             snapshot.models_by_name[model].serving_part,
-            tokens.TokenSchedule(self._limit(snapshot, model), now),
+            token_bucket.TokenBucket(self._limit(snapshot, model), now),
             epoch,
         )
         shard_targets = _targets_by_shard(snapshot, model)
@@ -210,7 +210,7 @@
             return
         if version > held.rollout.newest:
             log.info('Version found.', model=held.model, version=version)
-        held.rollout.see_newest(version, self._now())
+        held.rollout.raise_newest(version, self._now())
 
     def _query(self, held: _Held) -> None:
         """Ask the holders of targets of which nothing is known yet."""
@@ -224,7 +224,7 @@
                 held.holders_by_shard[shard] = holder.id
                 held.ask_at_by_holder.pop(holder.id, None)
                 for record in records:
-                    record.forget()
+                    record.mark_unknown()
             # A report may have gone to another instance that still took
             # itself for the model's holder; it would never come here.
             if any(r.state is WeightState.UNKNOWN for r in records):
@@ -272,7 +272,7 @@
         return await self._peers.request(holder, body, SEND_SECONDS)
 
     def _limit(self, snapshot: Snapshot, model: ModelName) -> float:
-        return tokens.model_limit(
+        return token_bucket.model_limit(
             self._downloads_per_second,
             len(snapshot.engines_by_model.get(model, ())),
             len(snapshot.inventory.engines),
--- a/packages/yuccarill-daemon/tests/controllers/test_membership.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_membership.py
@@ -198,7 +198,7 @@
         news = msgspec.structs.replace(
             view.members_by_id['i1'], version=10**15, incarnation='new'
         )
-        view.offer(news)
+        view.merge(news)
         fleet.pass_time(1.1)
         self.assertEqual(news, view.members_by_id['i1'])
 
--- a/tools/lease_fleet.py
+++ b/tools/lease_fleet.py
@@ -12,7 +12,7 @@
 from yuccarill.core.ids import Incarnation
 from yuccarill.core.ids import InstanceId
 from yuccarill.core.ids import Instant
-from yuccarill.core.leases import keeper
+from yuccarill.core.leases import lease_manager
 from yuccarill.core.leases import operations
 from yuccarill.core.leases import policy as policy_module
 from yuccarill.core.leases import shards
@@ -38,7 +38,7 @@
     def __init__(self, name: InstanceId, serial: int, seed: int) -> None:
         self.id = name
         self.is_dead = False
-        self.keeper = keeper.LeaseKeeper(
+        self.keeper = lease_manager.LeaseManager(
             name,
             Incarnation(f'{name}-{serial}'),
             policy_module.LeasePolicy(),
@@ -80,15 +80,15 @@
         """Stop an instance gracefully; the others detect it at once."""
         leaving = self.nodes_by_id[name].keeper
         handovers: dict[int, table.Holder | None] = {}
-        for shard, successor in leaving.leave().items():
+        for shard, successor in leaving.next_holders().items():
             assert successor is not None
             peer = self.nodes_by_id[successor].keeper
-            peer.want_session(Instant(self.now + 10))
+            peer.keep_session_open(Instant(self.now + 10))
             session = self._time(lambda k=peer: k.usable_session(self.now))
             handovers[shard] = (
                 table.Holder(successor, session) if session else None
             )
-        leaving.give(handovers)
+        leaving.transfer(handovers)
         while not leaving.close():
             self.run(TICK_SECONDS)
         self.nodes_by_id[name].is_dead = True
@@ -144,11 +144,11 @@
         now = Instant(self.now)
         for operation in self._time(lambda: node.keeper.next_operations(now)):
             self._schedule(STORE_SECONDS, self._apply, node, operation)
-        for ask in self._time(lambda: node.keeper.due_asks(now)):
+        for ask in self._time(lambda: node.keeper.due_transfer_requests(now)):
             holder = self.nodes_by_id.get(ask.holder)
             if holder is not None and not holder.is_dead:
                 to = table.Holder(node.id, ask.session)
-                holder.keeper.consent(to, ask.shards)
+                holder.keeper.transfer_requested(to, ask.shards)
 
     def _apply(self, node: Node, operation: operations.Operation) -> None:
         outcome = self._execute(operation)
--- a/tools/measure_membership.py
+++ b/tools/measure_membership.py
@@ -221,7 +221,7 @@
 
     for process in fleet.up():
         view = process.controller._view
-        view.mark = watch(view.mark)
+        view.set_state = watch(view.set_state)
     fleet.loss = LOSS_RATE
     fleet.pass_time(LOSS_SECONDS)
     print(
--- a/tools/measure_weights.py
+++ b/tools/measure_weights.py
@@ -166,13 +166,19 @@
 @main.command()
 def decisions() -> None:
     """Measure the processor time of decisions by number of engines."""
-    from yuccarill.core.weights import desk
+    from yuccarill.core.weights import engine_orders
     from yuccarill.core.weights import rollout
 
     model_holder, holders = Stopwatch(), Stopwatch()
     model_holder.wrap(rollout.ModelRollout, 'decide', 'observe')
     holders.wrap(
-        desk.OrderDesk, 'begin', 'finish', 'see', 'news', 'hold', 'report'
+        engine_orders.EngineOrders,
+        'begin',
+        'finish',
+        'record_state',
+        'changed_reports',
+        'set_epoch',
+        'report',
     )
     for engines in (100, 325, 650, 1300):
         model_holder.seconds = holders.seconds = 0.0
