--- a/packages/yuccarill-core/src/yuccarill/core/calls/admission.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/admission.py
@@ -32,7 +32,7 @@
     latency: float = 0.1
 
 
-class Waiting(msgspec.Struct, Generic[T], eq=False):
+class QueuedCall(msgspec.Struct, Generic[T], eq=False):
     """Describe a call that is offered for admission."""
 
     item: T
@@ -48,13 +48,13 @@
 
     def __init__(self) -> None:
         self._waiting_by_caller: dict[
-            CallerId, collections.deque[Waiting[T]]
+            CallerId, collections.deque[QueuedCall[T]]
         ] = {}
         self._virtual_time_by_caller: dict[CallerId, float] = {}
         self._virtual_time = 0.0
         self.count = 0
 
-    def push(self, waiting: Waiting[T]) -> None:
+    def push(self, waiting: QueuedCall[T]) -> None:
         queue = self._waiting_by_caller.get(waiting.caller)
         if queue is None:
             queue = collections.deque()
@@ -63,7 +63,7 @@
         queue.append(waiting)
         self.count += 1
 
-    def pop(self) -> Waiting[T] | None:
+    def pop(self) -> QueuedCall[T] | None:
         """Remove and return the next call of the caller served least."""
         while self._waiting_by_caller:
             caller = min(
@@ -82,7 +82,7 @@
                 return waiting
         return None
 
-    def shed(self) -> Waiting[T] | None:
+    def shed(self) -> QueuedCall[T] | None:
         """Remove and return the newest call of the caller with most queued."""
         while self._waiting_by_caller:
             caller = max(
@@ -124,11 +124,11 @@
 
     def offer(
         self,
-        waiting: Waiting[T],
+        waiting: QueuedCall[T],
         limit: float,
         latency: float,
         now: Instant,
-    ) -> list[Waiting[T]]:
+    ) -> list[QueuedCall[T]]:
         """Queue or refuse a call; return the refused calls.
 
         If the queue is full, a queued call may be refused instead.
@@ -153,11 +153,11 @@
 
     def admit(
         self, limit: float, latency: float, now: Instant
-    ) -> tuple[list[Waiting[T]], list[Waiting[T]]]:
+    ) -> tuple[list[QueuedCall[T]], list[QueuedCall[T]]]:
         """Return the calls to start now and those given up as too late."""
         latency = latency or self._policy.latency
-        admitted: list[Waiting[T]] = []
-        given_up: list[Waiting[T]] = []
+        admitted: list[QueuedCall[T]] = []
+        given_up: list[QueuedCall[T]] = []
         while (waiting := self._pop_next(limit)) is not None:
             waiting.is_queued = False
             if now + latency > waiting.deadline:
@@ -168,11 +168,11 @@
             self._record_admission(now)
         return admitted, given_up
 
-    def finish(self) -> None:
+    def release(self) -> None:
         """Release the slot of an admitted call."""
         self.in_flight -= 1
 
-    def withdraw(self, waiting: Waiting[T]) -> None:
+    def withdraw(self, waiting: QueuedCall[T]) -> None:
         """Remove a call from the queue if it is still queued."""
         if waiting.is_queued:
             waiting.is_queued = False
@@ -197,7 +197,7 @@
             return self._policy.headroom
         return 1.0
 
-    def _pop_next(self, limit: float) -> Waiting[T] | None:
+    def _pop_next(self, limit: float) -> QueuedCall[T] | None:
         latency_queue = self._queues[CallerClass.LATENCY]
         if self.in_flight >= limit:
             if self.in_flight < limit * self._policy.headroom:
--- a/packages/yuccarill-core/src/yuccarill/core/calls/dispatcher.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/dispatcher.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from yuccarill.core.calls import admission
-from yuccarill.core.calls import budget
+from yuccarill.core.calls import attempt_budget
 from yuccarill.core.calls import hedging
 from yuccarill.core.calls import limit
 from yuccarill.core.calls import pool
@@ -30,8 +30,12 @@
     routing: pool.RoutingPolicy = pool.RoutingPolicy()
     admission: admission.AdmissionPolicy = admission.AdmissionPolicy()
     limit: limit.LimitPolicy = limit.LimitPolicy()
-    retries: budget.BudgetPolicy = budget.BudgetPolicy(ratio=0.1)
-    hedges: budget.BudgetPolicy = budget.BudgetPolicy(ratio=0.03)
+    retries: attempt_budget.BudgetPolicy = attempt_budget.BudgetPolicy(
+        ratio=0.1
+    )
+    hedges: attempt_budget.BudgetPolicy = attempt_budget.BudgetPolicy(
+        ratio=0.03
+    )
     hedging: hedging.HedgePolicy = hedging.HedgePolicy()
     attempts: int = 3
 
@@ -43,8 +47,8 @@
         self.policy = policy
         self.pool = pool.Pool(policy.routing, generator)
         self.limit = limit.ConcurrencyLimit(policy.limit)
-        self.retries = budget.AttemptBudget(policy.retries)
-        self.hedges = budget.AttemptBudget(policy.hedges)
+        self.retries = attempt_budget.AttemptBudget(policy.retries)
+        self.hedges = attempt_budget.AttemptBudget(policy.hedges)
         self._admission = admission.Admission[T](policy.admission)
         self._hedge_timer = hedging.HedgeTimer(policy.hedging)
 
@@ -57,39 +61,39 @@
         return self._admission.queued
 
     @property
-    def expected(self) -> float:
+    def expected_latency(self) -> float:
         """Return the mean latency in seconds, 0 if unknown."""
         return self.pool.latency
 
     def offer(
-        self, waiting: admission.Waiting[T], now: Instant
-    ) -> list[admission.Waiting[T]]:
+        self, waiting: admission.QueuedCall[T], now: Instant
+    ) -> list[admission.QueuedCall[T]]:
         """Queue or refuse a call; return the refused calls."""
         return self._admission.offer(
-            waiting, self.limit.value, self.expected, now
+            waiting, self.limit.value, self.expected_latency, now
         )
 
     def admit(
         self, now: Instant
-    ) -> tuple[list[admission.Waiting[T]], list[admission.Waiting[T]]]:
+    ) -> tuple[list[admission.QueuedCall[T]], list[admission.QueuedCall[T]]]:
         """Return the calls to start now and those given up as too late."""
         admitted, given_up = self._admission.admit(
-            self.limit.value, self.expected, now
+            self.limit.value, self.expected_latency, now
         )
         for _ in admitted:
             self.retries.deposit()
             self.hedges.deposit()
         return admitted, given_up
 
-    def withdraw(self, waiting: admission.Waiting[T]) -> None:
+    def withdraw(self, waiting: admission.QueuedCall[T]) -> None:
         """Remove a call from the queue if it is still queued."""
         self._admission.withdraw(waiting)
 
-    def finish(self) -> None:
+    def release(self) -> None:
         """Release the slot of an admitted call."""
-        self._admission.finish()
+        self._admission.release()
 
-    def retry_after(self, waiting: admission.Waiting[T]) -> float:
+    def retry_after(self, waiting: admission.QueuedCall[T]) -> float:
         """Return the seconds after which a refused caller should retry."""
         wait = self._admission.expected_wait(waiting.caller_class)
         return admission.retry_after(wait)
@@ -101,7 +105,7 @@
             return None
         return self._hedge_timer.delay()
 
-    def answer(
+    def record_answer(
         self,
         target: TargetId,
         seconds: float,
@@ -109,11 +113,11 @@
         now: Instant,
     ) -> None:
         """Record an answered attempt."""
-        self.pool.answer(target, seconds, report, now)
+        self.pool.record_answer(target, seconds, report, now)
         self._hedge_timer.record_latency(seconds)
         self.limit.record_answer(seconds, report, self.in_flight, now)
 
-    def fail(
+    def record_failure(
         self,
         target: TargetId,
         failure: pool.Failure,
@@ -121,7 +125,7 @@
         now: Instant,
     ) -> None:
         """Record a failed attempt."""
-        self.pool.fail(target, failure, now)
+        self.pool.record_failure(target, failure, now)
         if failure is pool.Failure.TIMED_OUT:
             # Without timeouts, the limit would see only fast answers and
             # grow while every slow call is given up.
--- a/packages/yuccarill-core/src/yuccarill/core/calls/ledger.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/ledger.py
@@ -19,7 +19,7 @@
 FULL_RETRY_SECONDS = 5.0
 
 
-class Stage(enum.Enum):
+class RecordState(enum.Enum):
     """List the states of a recorded request."""
 
     RUNNING = 'running'
@@ -40,7 +40,7 @@
     """Store the state of one request."""
 
     digest: int
-    stage: Stage = Stage.RUNNING
+    stage: RecordState = RecordState.RUNNING
     # Dropped before the record if answers exceed their memory limit.
     answer: Answer | None = None
 
@@ -123,7 +123,7 @@
         self,
         ticket: Ticket,
         request_id: RequestId,
-        stage: Stage,
+        stage: RecordState,
         answer: Answer | None = None,
     ) -> None:
         """Record how a started request ended."""
@@ -189,7 +189,7 @@
                 break
             entry = self._entries_by_ticket[ticket]
             records = entry.records_by_id.values()
-            if any(r.stage is Stage.RUNNING for r in records):
+            if any(r.stage is RecordState.RUNNING for r in records):
                 break
             heapq.heappop(self._expiries)
             del self._entries_by_ticket[ticket]
--- a/packages/yuccarill-core/src/yuccarill/core/calls/pool.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/pool.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from yuccarill.core.calls import member as member_module
-from yuccarill.core.calls.member import Member
+from yuccarill.core.calls import pool_member as member_module
+from yuccarill.core.calls.pool_member import Member
 from yuccarill.core.calls import prefixes
 from yuccarill.core.ids import DataCentreId
 from yuccarill.core.ids import Instant
@@ -29,7 +29,7 @@
     """List the ways in which a target fails an attempt."""
 
     NOT_CONNECTED = 'not connected'
-    CUT = 'cut'
+    DISCONNECTED = 'cut'
     TIMED_OUT = 'timed out'
     REFUSED = 'refused'
 
@@ -57,7 +57,7 @@
 # A timeout may be caused by a long call, so one alone ejects no target.
 _WEIGHT_BY_FAILURE = {
     Failure.NOT_CONNECTED: 2,
-    Failure.CUT: 2,
+    Failure.DISCONNECTED: 2,
     Failure.TIMED_OUT: 1,
     Failure.REFUSED: 1,
 }
@@ -126,7 +126,7 @@
         near = [m.id for m in self._near]
         self._ring.update(near or list(self._members_by_id))
 
-    def forget(self, target: TargetId) -> None:
+    def remove(self, target: TargetId) -> None:
         """Remove a target, so that the next update adds it as new."""
         member = self._members_by_id.pop(target, None)
         if member is not None:
@@ -170,19 +170,19 @@
             now, self._mean_others
         )
 
-    def send(self, target: TargetId) -> None:
+    def record_send(self, target: TargetId) -> None:
         """Count an attempt; call this before its first byte is sent."""
         member = self._members_by_id.get(target)
         if member is not None:
             member.load.own += 1
 
-    def give_up(self, target: TargetId) -> None:
+    def cancel_attempt(self, target: TargetId) -> None:
         """Stop counting an attempt that was neither answered nor failed."""
         member = self._members_by_id.get(target)
         if member is not None:
             member.load.own = max(0, member.load.own - 1)
 
-    def answer(
+    def record_answer(
         self,
         target: TargetId,
         seconds: float,
@@ -190,7 +190,7 @@
         now: Instant,
     ) -> None:
         """Record an answered attempt."""
-        self.give_up(target)
+        self.cancel_attempt(target)
         member = self._members_by_id.get(target)
         if member is None:
             return
@@ -204,9 +204,11 @@
             if others <= self._mean_others and member.group is not None:
                 self._lightly_loaded.append(member)
 
-    def fail(self, target: TargetId, failure: Failure, now: Instant) -> None:
+    def record_failure(
+        self, target: TargetId, failure: Failure, now: Instant
+    ) -> None:
         """Record a failed attempt."""
-        self.give_up(target)
+        self.cancel_attempt(target)
         member = self._members_by_id.get(target)
         if member is None:
             return
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/broker.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/broker.py
@@ -136,7 +136,7 @@
             for key, offered in self._totals.offered_by_class.items()
         )
 
-    def lent(self) -> float:
+    def lent_rate(self) -> float:
         """Return the requests a second lent by all leases."""
         return sum(lease.rate for lease in self.leases_by_instance.values())
 
@@ -222,7 +222,7 @@
         """Return the fraction of a rate that is not lent to others."""
         if rate <= 0.0:
             return 1.0
-        others = self.lent() - self.leases_by_instance[instance].rate
+        others = self.lent_rate() - self.leases_by_instance[instance].rate
         return min(1.0, max(0.0, self._lendable - others) / rate)
 
     def _second_rate(self, report: DemandReport) -> float:
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/congestion.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/congestion.py
@@ -25,7 +25,7 @@
     average: float = 0.35
 
 
-class CongestionSigns:
+class CongestionDetector:
     """Detect from attempts whether a service is congested."""
 
     def __init__(self, policy: CongestionPolicy, now: Instant) -> None:
@@ -40,7 +40,7 @@
         self._in_flight_meter = meters.LevelMeter(policy.average, now)
         self.in_flight = 0
         # Requests that all targets can run at once, 0 if unknown.
-        self.places = 0
+        self.slots = 0
 
     @property
     def service_seconds(self) -> float | None:
@@ -59,19 +59,19 @@
     def refused_rate(self, now: Instant) -> float:
         return self._refused.rate(now)
 
-    def started(self, now: Instant) -> None:
+    def record_start(self, now: Instant) -> None:
         """Record that an attempt is sent."""
         self.in_flight += 1
         self._in_flight_meter.set(self.in_flight, now)
-        if self.in_flight > self.places > 0:
+        if self.in_flight > self.slots > 0:
             self._mark_congested(now)
 
-    def ended(self, now: Instant) -> None:
+    def record_end(self, now: Instant) -> None:
         """Record that an attempt is over."""
         self.in_flight = max(0, self.in_flight - 1)
         self._in_flight_meter.set(self.in_flight, now)
 
-    def finished(self, seconds: float, now: Instant) -> None:
+    def record_answer(self, seconds: float, now: Instant) -> None:
         """Record the service time of an answered attempt."""
         self._finished.record(now)
         self._service_time.record(now, seconds)
@@ -85,12 +85,12 @@
         if not self.is_congested(now):
             self._usual += self._policy.usual_part * (seconds - self._usual)
 
-    def refused(self, now: Instant) -> None:
+    def record_refusal(self, now: Instant) -> None:
         """Record that a target refused an attempt for lack of capacity."""
         self._refused.record(now)
         self._mark_congested(now)
 
-    def told(self, now: Instant) -> None:
+    def record_notice(self, now: Instant) -> None:
         """Record another instance's notice that the service is congested."""
         self._mark_congested(now)
 
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/gate.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/gate.py
@@ -11,7 +11,7 @@
 from yuccarill.core.ids import RequestId
 
 
-class Answer(enum.Enum):
+class GateVerdict(enum.Enum):
     """List the possible decisions on a request."""
 
     SEND = 'send'
@@ -31,10 +31,10 @@
     deadline: Instant
 
 
-class Ruling(msgspec.Struct, frozen=True, kw_only=True):
+class GateDecision(msgspec.Struct, frozen=True, kw_only=True):
     """Store a decision on a request and the prediction behind it."""
 
-    answer: Answer
+    answer: GateVerdict
     # Seconds that the request is expected to wait.
     predicted_wait: float = 0.0
     # Seconds after which a refused caller should retry.
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/gate_policy.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/gate_policy.py
@@ -7,7 +7,7 @@
 from yuccarill.core.capacity import congestion
 from yuccarill.core.capacity import demand
 from yuccarill.core.capacity import lanes
-from yuccarill.core.capacity import local_limit
+from yuccarill.core.capacity import local_throttle
 from yuccarill.core.capacity import second_attempts
 
 
@@ -16,7 +16,7 @@
 
     demand: demand.DemandPolicy = demand.DemandPolicy()
     signs: congestion.CongestionPolicy = congestion.CongestionPolicy()
-    throttle: local_limit.ThrottlePolicy = local_limit.ThrottlePolicy()
+    throttle: local_throttle.ThrottlePolicy = local_throttle.ThrottlePolicy()
     lanes: lanes.LanePolicy = lanes.LanePolicy()
     second: second_attempts.SecondPolicy = second_attempts.SecondPolicy()
     # Multiple of the mean service time allowed for an answer to be in time.
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/lanes.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/lanes.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from yuccarill.core.capacity import bucket
 from yuccarill.core.capacity.overview import ClassOverview
+from yuccarill.core.capacity import token_bucket
 from yuccarill.core.ids import Instant
 
 if TYPE_CHECKING:
@@ -38,7 +38,7 @@
 class Lane(msgspec.Struct, kw_only=True, eq=False):
     """Store one class's rate limit and waiting requests."""
 
-    bucket: bucket.RateBucket
+    bucket: token_bucket.RateBucket
     waiting: collections.deque[CapacityRequest]
 
     def wait_for_next(self, now: Instant) -> float:
@@ -185,6 +185,6 @@
         self, rate: float, depth: float, tokens: float, now: Instant
     ) -> Lane:
         return Lane(
-            bucket=bucket.RateBucket(rate, depth, tokens, now),
+            bucket=token_bucket.RateBucket(rate, depth, tokens, now),
             waiting=collections.deque(),
         )
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/second_attempts.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/second_attempts.py
@@ -4,16 +4,20 @@
 
 import msgspec
 
-from yuccarill.core.calls import budget
-from yuccarill.core.capacity import bucket
+from yuccarill.core.calls import attempt_budget
+from yuccarill.core.capacity import token_bucket
 from yuccarill.core.ids import Instant
 
 
 class SecondPolicy(msgspec.Struct, frozen=True, kw_only=True):
     """Configure an instance's own budgets, used without a grant."""
 
-    retries: budget.BudgetPolicy = budget.BudgetPolicy(ratio=0.04, reserve=1.0)
-    hedges: budget.BudgetPolicy = budget.BudgetPolicy(ratio=0.01, reserve=1.0)
+    retries: attempt_budget.BudgetPolicy = attempt_budget.BudgetPolicy(
+        ratio=0.04, reserve=1.0
+    )
+    hedges: attempt_budget.BudgetPolicy = attempt_budget.BudgetPolicy(
+        ratio=0.01, reserve=1.0
+    )
     # Maximum number of saved second attempts from the lent rate.
     lent_burst: float = 4.0
     # Fraction of a retry deposit that is credited without free capacity.
@@ -25,9 +29,9 @@
 
     def __init__(self, policy: SecondPolicy, now: Instant) -> None:
         self._policy = policy
-        self._retries = budget.AttemptBudget(policy.retries)
-        self._hedges = budget.AttemptBudget(policy.hedges)
-        self._lent = bucket.RateBucket(0.0, policy.lent_burst, 0.0, now)
+        self._retries = attempt_budget.AttemptBudget(policy.retries)
+        self._hedges = attempt_budget.AttemptBudget(policy.hedges)
+        self._lent = token_bucket.RateBucket(0.0, policy.lent_burst, 0.0, now)
         self._was_limited = False
 
     def deposit(self, free_part: float) -> None:
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/service_gate.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/service_gate.py
@@ -7,12 +7,12 @@
 
 from yuccarill.core.capacity import congestion
 from yuccarill.core.capacity import demand
-from yuccarill.core.capacity.gate import Answer
 from yuccarill.core.capacity.gate import CapacityRequest
-from yuccarill.core.capacity.gate import Ruling
+from yuccarill.core.capacity.gate import GateDecision
+from yuccarill.core.capacity.gate import GateVerdict
 from yuccarill.core.capacity.gate_policy import GatePolicy
 from yuccarill.core.capacity import lanes
-from yuccarill.core.capacity import local_limit
+from yuccarill.core.capacity import local_throttle
 from yuccarill.core.capacity.messages import CapacityGrant
 from yuccarill.core.capacity.messages import DemandReport
 from yuccarill.core.capacity.overview import ClassOverview
@@ -25,7 +25,7 @@
     from yuccarill.core.ids import InstanceId
     from yuccarill.core.ids import ServiceName
 
-_SEND = Ruling(answer=Answer.SEND)
+_SEND = GateDecision(answer=GateVerdict.SEND)
 
 
 class ServiceGate:
@@ -43,10 +43,10 @@
         self._instance = instance
         self._policy = policy
         self._generator = generator
-        self.signs = congestion.CongestionSigns(policy.signs, now)
+        self.congestion = congestion.CongestionDetector(policy.signs, now)
         self._demand_meter = demand.DemandMeter(policy.demand)
         self._refused_meter = demand.DemandMeter(policy.demand)
-        self._throttle = local_limit.LocalThrottle(
+        self._throttle = local_throttle.LocalThrottle(
             policy.throttle, generator, now
         )
         self._lanes = lanes.Lanes(policy.lanes, generator)
@@ -59,7 +59,7 @@
         # Seconds within which callers want their answers.
         self._wanted_seconds = 0.0
 
-    def offer(self, request: CapacityRequest, now: Instant) -> Ruling:
+    def offer(self, request: CapacityRequest, now: Instant) -> GateDecision:
         """Return the ruling on a new request."""
         # Counted last: a request must not raise the demand it is judged by.
         ruling = self._rule(request, now)
@@ -68,7 +68,7 @@
         self._wanted_seconds += 0.1 * (wanted - self._wanted_seconds)
         return ruling
 
-    def _rule(self, request: CapacityRequest, now: Instant) -> Ruling:
+    def _rule(self, request: CapacityRequest, now: Instant) -> GateDecision:
         if not self.is_congested(now):
             self._throttle.record(now)
             return _SEND
@@ -80,7 +80,9 @@
             return self._allow()
         return self._rule_by_lane(request, now)
 
-    def admit(self, now: Instant) -> list[tuple[CapacityRequest, Ruling]]:
+    def admit(
+        self, now: Instant
+    ) -> list[tuple[CapacityRequest, GateDecision]]:
         """Return waiting requests to send or refuse now, with rulings."""
         if self._grant is not None and self._valid_grant(now) is None:
             self._released += self._lanes.clear()
@@ -90,7 +92,7 @@
             ruled += self._admit_from_lane(lane, now)
         return ruled
 
-    def wakes_at(self, now: Instant) -> Instant | None:
+    def next_wakeup(self, now: Instant) -> Instant | None:
         """Return when to call `admit` next, None if no request waits."""
         if self._released:
             return now
@@ -116,7 +118,7 @@
                 lane.waiting.remove(request)
                 return
 
-    def may_try_again(self, request: CapacityRequest, now: Instant) -> bool:
+    def take_retry(self, request: CapacityRequest, now: Instant) -> bool:
         """Return whether a second attempt may be sent, and count it."""
         if not self._is_limited(now):
             return True
@@ -128,28 +130,28 @@
             return False
         return self._budget.take_lent(now)
 
-    def may_hedge(self, request: CapacityRequest, now: Instant) -> bool:
+    def take_hedge(self, request: CapacityRequest, now: Instant) -> bool:
         """Return whether a request may be hedged, and count the hedge."""
         return not self._is_limited(now) or self._budget.take_hedge()
 
-    def started(self, now: Instant) -> None:
+    def record_start(self, now: Instant) -> None:
         """Record that an attempt is sent."""
-        self.signs.started(now)
+        self.congestion.record_start(now)
 
-    def finished(self, seconds: float, now: Instant) -> None:
+    def record_answer(self, seconds: float, now: Instant) -> None:
         """Record an attempt that a target answered."""
-        self.signs.ended(now)
-        self.signs.finished(seconds, now)
+        self.congestion.record_end(now)
+        self.congestion.record_answer(seconds, now)
 
-    def refused(self, now: Instant) -> None:
+    def record_refusal(self, now: Instant) -> None:
         """Record an attempt that a target refused for lack of capacity."""
-        self.signs.ended(now)
-        self.signs.refused(now)
+        self.congestion.record_end(now)
+        self.congestion.record_refusal(now)
         self._throttle.record_refusal(now)
 
-    def gave_up(self, now: Instant) -> None:
+    def record_abandoned(self, now: Instant) -> None:
         """Record an attempt whose target neither answered nor refused."""
-        self.signs.ended(now)
+        self.congestion.record_end(now)
 
     def report(self, now: Instant) -> DemandReport | None:
         """Return a report for the broker, None without congestion."""
@@ -161,13 +163,13 @@
             instance=self._instance,
             number=self._report_number,
             demands=self._demand_meter.demands(now),
-            in_flight=self.signs.mean_in_flight(now),
+            in_flight=self.congestion.mean_in_flight(now),
             wanted_seconds=self._wanted_seconds,
-            finished=self.signs.finished_rate(now),
-            refused=self.signs.refused_rate(now),
+            finished=self.congestion.finished_rate(now),
+            refused=self.congestion.refused_rate(now),
         )
 
-    def grant(self, grant: CapacityGrant, sent_at: Instant) -> None:
+    def apply_grant(self, grant: CapacityGrant, sent_at: Instant) -> None:
         """Apply the broker's grant for a report sent at `sent_at`."""
         previous = self._grant
         if previous is not None and grant.number <= previous.number:
@@ -179,7 +181,9 @@
 
     def is_congested(self, now: Instant) -> bool:
         """Return whether this instance or the broker detects congestion."""
-        return self.signs.is_congested(now) or self._has_congested_grant(now)
+        return self.congestion.is_congested(now) or self._has_congested_grant(
+            now
+        )
 
     def _is_limited(self, now: Instant) -> bool:
         """Return whether second attempts are limited by a budget."""
@@ -224,16 +228,22 @@
     def _valid_grant(self, now: Instant) -> CapacityGrant | None:
         return self._grant if now < self._grant_until else None
 
-    def _rule_locally(self, request: CapacityRequest, now: Instant) -> Ruling:
-        is_late = (self.signs.service_seconds or 0.0) > self._wanted_seconds
+    def _rule_locally(
+        self, request: CapacityRequest, now: Instant
+    ) -> GateDecision:
+        is_late = (
+            self.congestion.service_seconds or 0.0
+        ) > self._wanted_seconds
         if self._throttle.offer(
             request.demand_class, self._demand_meter, is_late, now
         ):
             return self._allow()
         return self._refuse(request, 0.0, 'the targets are overloaded', now)
 
-    def _rule_by_lane(self, request: CapacityRequest, now: Instant) -> Ruling:
-        seconds = self.signs.service_seconds or 0.0
+    def _rule_by_lane(
+        self, request: CapacityRequest, now: Instant
+    ) -> GateDecision:
+        seconds = self.congestion.service_seconds or 0.0
         if now + seconds > request.deadline:
             return self._refuse(request, 0.0, 'the deadline is too close', now)
         match self._lanes.draw_admission(request.demand_class):
@@ -250,12 +260,12 @@
         if now + wait > self._latest_start(request):
             return self._refuse(request, wait, 'no capacity in time', now)
         lane.waiting.append(request)
-        return Ruling(answer=Answer.WAIT, predicted_wait=wait)
+        return GateDecision(answer=GateVerdict.WAIT, predicted_wait=wait)
 
     def _admit_from_lane(
         self, lane: lanes.Lane, now: Instant
-    ) -> list[tuple[CapacityRequest, Ruling]]:
-        ruled: list[tuple[CapacityRequest, Ruling]] = []
+    ) -> list[tuple[CapacityRequest, GateDecision]]:
+        ruled: list[tuple[CapacityRequest, GateDecision]] = []
         while lane.waiting:
             head = lane.waiting[0]
             latest = self._latest_start(head)
@@ -271,22 +281,22 @@
 
     def _latest_start(self, request: CapacityRequest) -> Instant:
         """Return the latest start for an answer within the wanted time."""
-        seconds = self.signs.service_seconds or 0.0
+        seconds = self.congestion.service_seconds or 0.0
         # The mean alone would make about half of the answers late.
         latest = request.wanted_by - self._policy.margin * seconds
         return Instant(max(request.arrived_at, latest))
 
-    def _allow(self) -> Ruling:
+    def _allow(self) -> GateDecision:
         free_part = 0.0 if self._grant is None else self._grant.free_part
         self._budget.deposit(free_part)
         return _SEND
 
     def _refuse(
         self, request: CapacityRequest, wait: float, cause: str, now: Instant
-    ) -> Ruling:
+    ) -> GateDecision:
         self._refused_meter.record(request.demand_class, now)
-        return Ruling(
-            answer=Answer.REFUSE,
+        return GateDecision(
+            answer=GateVerdict.REFUSE,
             predicted_wait=wait,
             retry_after=self.retry_after(request, now),
             cause=cause,
--- a/packages/yuccarill-core/src/yuccarill/core/flow/body_deadline.py
+++ b/packages/yuccarill-core/src/yuccarill/core/flow/body_deadline.py
@@ -33,7 +33,7 @@
         return min(self.ends_at, self.goes_on_by)
 
 
-def begin(now: Instant) -> BodyDeadline:
+def start_deadline(now: Instant) -> BodyDeadline:
     """Return the deadline of a body whose header was just received."""
     return BodyDeadline(
         ends_at=Instant(now + BODY_SECONDS),
--- a/packages/yuccarill-core/src/yuccarill/core/flow/budget.py
+++ b/packages/yuccarill-core/src/yuccarill/core/flow/memory_budget.py
@@ -48,7 +48,7 @@
     )
 
 
-class Holding(enum.Enum):
+class BufferKind(enum.Enum):
     """List the kinds of buffered data."""
 
     # A body that is incomplete or not yet sent to a target.
@@ -67,7 +67,7 @@
     DROP = 'drop'
 
 
-class Stage(enum.Enum):
+class RequestStage(enum.Enum):
     """List the stages of a request."""
 
     # The body is incomplete; nothing has run.
@@ -82,7 +82,11 @@
 
 # Stages that may be dropped, the least harmful first: a client can resume its
 # answer, an arriving request has not run, any other unread answer is lost.
-DROP_ORDER = (Stage.RESUMABLE, Stage.ARRIVING, Stage.ANSWERED)
+DROP_ORDER = (
+    RequestStage.RESUMABLE,
+    RequestStage.ARRIVING,
+    RequestStage.ANSWERED,
+)
 
 
 @dataclasses.dataclass
@@ -91,8 +95,8 @@
 
     id: HolderId
     account: AccountName | None = None
-    stage: Stage = Stage.ARRIVING
-    bytes_by_holding: dict[Holding, int] = dataclasses.field(
+    stage: RequestStage = RequestStage.ARRIVING
+    bytes_by_holding: dict[BufferKind, int] = dataclasses.field(
         default_factory=dict
     )
 
@@ -112,7 +116,7 @@
     """Name a holder to drop and the exceeded bound."""
 
     holder: HolderId
-    stage: Stage
+    stage: RequestStage
     scope: Scope
 
 
@@ -125,7 +129,9 @@
         self._holders_by_id: dict[HolderId, Holder] = {}
         self._held_by_account: dict[AccountName, int] = {}
 
-    def hold(self, holder: Holder, holding: Holding, count: int) -> Pressure:
+    def set_buffered(
+        self, holder: Holder, holding: BufferKind, count: int
+    ) -> Pressure:
         """Set a holder's buffered bytes of one kind; return the pressure."""
         before = holder.bytes_by_holding.get(holding, 0)
         if count:
@@ -138,7 +144,7 @@
         self._add_bytes(holder.account, count - before)
         return self._pressure(holder, holding, count)
 
-    def own(self, holder: Holder, account: AccountName | None) -> None:
+    def set_account(self, holder: Holder, account: AccountName | None) -> None:
         """Set the client account of a holder's request."""
         if account != holder.account:
             held = holder.held
@@ -149,9 +155,9 @@
     def release(self, holder: Holder) -> None:
         """Remove a holder whose request has ended."""
         for holding in list(holder.bytes_by_holding):
-            self.hold(holder, holding, 0)
+            self.set_buffered(holder, holding, 0)
 
-    def drops(self) -> list[Drop]:
+    def choose_drops(self) -> list[Drop]:
         """Return the holders to drop, in order, to meet every bound."""
         found: list[Drop] = []
         for account, held in self._held_by_account.items():
@@ -192,7 +198,7 @@
         return found
 
     def _pressure(
-        self, holder: Holder, holding: Holding, count: int
+        self, holder: Holder, holding: BufferKind, count: int
     ) -> Pressure:
         of_account = (
             0
@@ -201,14 +207,14 @@
         )
         if self.held > self.bounds.process or of_account > self.bounds.account:
             return Pressure.DROP
-        if holding is Holding.REQUEST_BODY or not count:
+        if holding is BufferKind.REQUEST_BODY or not count:
             # A paused body could wait indefinitely for other requests.
             return Pressure.NONE
         # A target disconnects if its answer stays unread, so an answer that
         # can't be resumed is buffered up to a larger bound.
         ahead_bound = (
             self.bounds.request
-            if holder.stage is Stage.RESUMABLE
+            if holder.stage is RequestStage.RESUMABLE
             else self.bounds.connection
         )
         should_pause = (
--- a/packages/yuccarill-core/tests/calls/test_admission.py
+++ b/packages/yuccarill-core/tests/calls/test_admission.py
@@ -26,9 +26,9 @@
     caller_class: CallerClass = LATENCY,
     share: int = 1,
     seconds: float = 10.0,
-) -> admission.Waiting[str]:
+) -> admission.QueuedCall[str]:
     deadline = Instant(NOW + seconds)
-    return admission.Waiting(
+    return admission.QueuedCall(
         caller, CallerId(caller), caller_class, share, deadline
     )
 
@@ -37,7 +37,7 @@
     def setUp(self) -> None:
         self.admission = admission.Admission[str](POLICY)
 
-    def offer(self, waiting: admission.Waiting[str]) -> list[str]:
+    def offer(self, waiting: admission.QueuedCall[str]) -> list[str]:
         refused = self.admission.offer(waiting, 1.0, 0.1, NOW)
         return [w.item for w in refused]
 
@@ -48,7 +48,7 @@
         for _ in range(3):
             self.offer(call('a'))
         self.assertEqual(['a', 'a'], self.admit(2.0))
-        self.admission.finish()
+        self.admission.release()
         self.assertEqual(['a'], self.admit(2.0))
 
     def test_latency_class_goes_first(self) -> None:
@@ -73,7 +73,7 @@
         for _ in range(30):
             self.offer(call('app'))
             counts.update(self.admit())
-            self.admission.finish()
+            self.admission.release()
         self.assertEqual(3, counts['feed'])
 
     def test_sheds_the_internal_class_and_largest_caller_first(self) -> None:
@@ -89,7 +89,7 @@
         self.admit()
         for n in range(60):
             self.offer(call('app', seconds=1000.0))
-            self.admission.finish()
+            self.admission.release()
             self.admit(1.0, Instant(NOW + 2.0 * n))
             self.offer(call('app', seconds=1000.0))
         refused = self.offer(call('late', seconds=5.0))
@@ -120,10 +120,10 @@
         # Model: a plain list. Each call ends exactly once, and a caller's
         # calls are admitted in the order of arrival.
         queue = admission.Admission[int](POLICY)
-        waiting: list[admission.Waiting[int]] = []
+        waiting: list[admission.QueuedCall[int]] = []
         for number, (operation, who, caller_class) in enumerate(operations):
             if operation == 'offer':
-                new = admission.Waiting(
+                new = admission.QueuedCall(
                     number,
                     CallerId(f'{caller_class}{who}'),
                     caller_class,
@@ -142,7 +142,7 @@
                     of_caller = [w for w in waiting if w.caller == one.caller]
                     self.assertIs(of_caller[0], one)
                     waiting.remove(one)
-                    queue.finish()
+                    queue.release()
             elif waiting:
                 withdrawn = waiting.pop(who % len(waiting))
                 queue.withdraw(withdrawn)
--- a/packages/yuccarill-core/tests/calls/test_extra_attempts.py
+++ b/packages/yuccarill-core/tests/calls/test_extra_attempts.py
@@ -6,7 +6,7 @@
 
 from nose2.tools import params
 
-from yuccarill.core.calls import budget
+from yuccarill.core.calls import attempt_budget
 from yuccarill.core.calls import deadlines
 from yuccarill.core.calls import hedging
 from yuccarill.core.ids import Instant
@@ -15,11 +15,11 @@
 class BudgetTest(unittest.TestCase):
     def test_extra_attempts_are_limited_to_a_fraction(self) -> None:
         # Guard against retries that multiply the load of failing targets.
-        attempt_budget = budget.AttemptBudget(budget.BudgetPolicy())
+        budget = attempt_budget.AttemptBudget(attempt_budget.BudgetPolicy())
         extra = 0
         for _ in range(1000):
-            attempt_budget.deposit()
-            extra += attempt_budget.withdraw()
+            budget.deposit()
+            extra += budget.withdraw()
         self.assertLessEqual(extra, 110)
 
 
--- a/packages/yuccarill-core/tests/calls/test_ledger.py
+++ b/packages/yuccarill-core/tests/calls/test_ledger.py
@@ -42,7 +42,7 @@
         )
 
     def finish(
-        self, stage: ledger.Stage, answer: ledger.Answer | None = None
+        self, stage: ledger.RecordState, answer: ledger.Answer | None = None
     ) -> None:
         self.ledger.finish(self.ticket, REQUEST, stage, answer)
 
@@ -52,11 +52,11 @@
         self.assertIsNone(self.begin())
         record = self.begin()
         assert record is not None
-        self.assertIs(ledger.Stage.RUNNING, record.stage)
+        self.assertIs(ledger.RecordState.RUNNING, record.stage)
 
     def test_repeat_gets_the_first_answer(self) -> None:
         self.begin()
-        self.finish(ledger.Stage.ANSWERED, ANSWER)
+        self.finish(ledger.RecordState.ANSWERED, ANSWER)
         record = self.begin()
         assert record is not None
         self.assertEqual(ANSWER, record.answer)
@@ -65,10 +65,10 @@
         # Guard against a delayed copy that starts after the caller was
         # answered that the request has not run.
         self.begin()
-        self.finish(ledger.Stage.NOT_RUN)
+        self.finish(ledger.RecordState.NOT_RUN)
         record = self.begin()
         assert record is not None
-        self.assertIs(ledger.Stage.NOT_RUN, record.stage)
+        self.assertIs(ledger.RecordState.NOT_RUN, record.stage)
 
     def test_refuses_another_request_under_the_same_number(self) -> None:
         self.begin()
@@ -84,7 +84,7 @@
 
     def test_records_are_dropped_some_time_after_their_ticket(self) -> None:
         self.begin()
-        self.finish(ledger.Stage.ANSWERED, ANSWER)
+        self.finish(ledger.RecordState.ANSWERED, ANSWER)
         self.assertIsNotNone(self.begin(now=START + 29.0))
         with self.assertRaises(errors.TicketExpired):
             self.begin(now=START + 31.0)
@@ -114,7 +114,9 @@
         with self.assertRaises(errors.Overloaded):
             self.begin(now=START + 9.0)
         for name in 'xyz':
-            self.ledger.finish(early, RequestId(name), ledger.Stage.NOT_RUN)
+            self.ledger.finish(
+                early, RequestId(name), ledger.RecordState.NOT_RUN
+            )
         self.ticket = self.issue(WallTime(START + 12.0))
         self.assertIsNone(self.begin('new', START + 13.0))
         self.ticket = later
@@ -125,12 +127,15 @@
         for name in 'xyz':
             self.begin(name)
             self.ledger.finish(
-                self.ticket, RequestId(name), ledger.Stage.ANSWERED, ANSWER
+                self.ticket,
+                RequestId(name),
+                ledger.RecordState.ANSWERED,
+                ANSWER,
             )
         oldest = self.begin('x')
         assert oldest is not None
         self.assertIsNone(oldest.answer)
-        self.assertIs(ledger.Stage.ANSWERED, oldest.stage)
+        self.assertIs(ledger.RecordState.ANSWERED, oldest.stage)
 
     @seed(5)
     @settings(deadline=None, database=None, max_examples=200)
@@ -140,13 +145,13 @@
                 strategies.sampled_from(['issue', 'begin', 'finish', 'wait']),
                 strategies.integers(0, 3),
                 strategies.integers(0, 3),
-                strategies.sampled_from(list(ledger.Stage)[1:]),
+                strategies.sampled_from(list(ledger.RecordState)[1:]),
             ),
             max_size=60,
         )
     )
     def test_matches_a_ledger_without_expiry(
-        self, operations: list[tuple[str, int, int, ledger.Stage]]
+        self, operations: list[tuple[str, int, int, ledger.RecordState]]
     ) -> None:
         # Model: sets of all started and all refused requests. No request
         # of either set may start.
@@ -166,7 +171,7 @@
                 now = WallTime(now + 4.0 * name)
             elif operation == 'finish':
                 record = real_ledger.find(*key)
-                if record and record.stage is ledger.Stage.RUNNING:
+                if record and record.stage is ledger.RecordState.RUNNING:
                     real_ledger.finish(*key, stage, ANSWER)
             elif operation == 'begin':
                 try:
--- a/packages/yuccarill-core/tests/calls/test_pool.py
+++ b/packages/yuccarill-core/tests/calls/test_pool.py
@@ -37,7 +37,7 @@
         for _ in range(calls):
             target = self.pool.choose(Instant(now))
             assert target is not None
-            self.pool.send(target)
+            self.pool.record_send(target)
             found[target] += 1
         return found
 
@@ -60,16 +60,16 @@
         # flight ends.
         self.pool.update(targets(3), HERE, START)
         removed = TargetId('here0')
-        self.pool.send(removed)
+        self.pool.record_send(removed)
         self.pool.update(
             {t: HERE for t in targets(3) if t != removed}, HERE, START
         )
-        self.pool.answer(removed, 0.1, IDLE, START)
+        self.pool.record_answer(removed, 0.1, IDLE, START)
         self.assertNotIn(removed, self.counts(20))
 
     @params(
         ([pool.Failure.NOT_CONNECTED], True),
-        ([pool.Failure.CUT], True),
+        ([pool.Failure.DISCONNECTED], True),
         ([pool.Failure.TIMED_OUT], False),
         ([pool.Failure.TIMED_OUT, pool.Failure.TIMED_OUT], True),
         ([pool.Failure.TIMED_OUT, None, pool.Failure.TIMED_OUT], False),
@@ -80,18 +80,18 @@
         self.pool.update(targets(4), HERE, START)
         failing = TargetId('here0')
         for outcome in outcomes:
-            self.pool.send(failing)
+            self.pool.record_send(failing)
             if outcome is None:
-                self.pool.answer(failing, 0.1, None, START)
+                self.pool.record_answer(failing, 0.1, None, START)
             else:
-                self.pool.fail(failing, outcome, START)
+                self.pool.record_failure(failing, outcome, START)
         self.assertEqual(3 if expected else 4, self.pool.usable)
 
     def test_keeps_a_floor_if_all_targets_fail(self) -> None:
         # Guard against a network partition that ejects every target.
         self.pool.update(targets(10), HERE, START)
         for target in targets(10):
-            self.pool.fail(target, pool.Failure.NOT_CONNECTED, START)
+            self.pool.record_failure(target, pool.Failure.NOT_CONNECTED, START)
         self.assertEqual(5, self.pool.usable)
 
     def test_ramps_up_an_ejected_target(self) -> None:
@@ -99,7 +99,7 @@
         # calls.
         self.pool.update(targets(2), HERE, START)
         failing = TargetId('here0')
-        self.pool.fail(failing, pool.Failure.NOT_CONNECTED, START)
+        self.pool.record_failure(failing, pool.Failure.NOT_CONNECTED, START)
         self.assertEqual({'here1': 2}, self.counts(2))
         returned = self.counts(2, START + 1.1)
         self.assertEqual(2, self.pool.usable)
@@ -112,16 +112,16 @@
         # A slow target answers fewer calls in the same time.
         outcomes = [('here0', 5.0)] + [('here1', 0.1)] * 5
         for target, seconds in outcomes * 5:
-            self.pool.send(TargetId(target))
-            self.pool.answer(TargetId(target), seconds, None, START)
+            self.pool.record_send(TargetId(target))
+            self.pool.record_answer(TargetId(target), seconds, None, START)
         self.assertEqual({'here1': 3}, self.counts(3))
 
     def test_adds_calls_sent_since_a_report(self) -> None:
         # Guard against sending all calls to a target with an outdated idle
         # report.
         self.pool.update(targets(2), HERE, START)
-        self.pool.send(TargetId('here0'))
-        self.pool.answer(TargetId('here0'), 0.1, IDLE, START)
+        self.pool.record_send(TargetId('here0'))
+        self.pool.record_answer(TargetId('here0'), 0.1, IDLE, START)
         counts = self.counts(10)
         self.assertEqual(5, counts['here0'])
 
@@ -157,7 +157,9 @@
                 name = sorted(known)[value % len(known)]
                 before = tested_pool.usable
                 tested_pool.choose(now)
-                tested_pool.fail(name, pool.Failure.CUT, now)
+                tested_pool.record_failure(
+                    name, pool.Failure.DISCONNECTED, now
+                )
                 if name not in ejected and tested_pool.usable < before:
                     ejected[name] = Instant(now + 1.0)
             usable = known - set(ejected)
@@ -169,9 +171,11 @@
             else:
                 self.assertIn(target, known - tried)
                 if operation == 'send':
-                    tested_pool.send(target)
+                    tested_pool.record_send(target)
                 elif operation == 'end':
-                    tested_pool.answer(target, 0.1, LoadReport(value, 0), now)
+                    tested_pool.record_answer(
+                        target, 0.1, LoadReport(value, 0), now
+                    )
 
 
 class ConnectedTest(unittest.TestCase):
@@ -190,23 +194,25 @@
         self.assertEqual({self.connected}, found)
 
     def test_does_not_queue_for_an_open_connection(self) -> None:
-        self.pool.send(self.connected)
+        self.pool.record_send(self.connected)
         self.assertNotIn(self.connected, {self.choose() for _ in range(50)})
 
     def test_does_not_prefer_a_slow_target(self) -> None:
         for target in targets(17):
             seconds = 0.4 if target == self.connected else 0.1
             for _ in range(20):
-                self.pool.send(target)
-                self.pool.answer(target, seconds, None, START)
+                self.pool.record_send(target)
+                self.pool.record_answer(target, seconds, None, START)
         self.assertNotIn(self.connected, {self.choose() for _ in range(50)})
 
     def test_does_not_choose_a_tried_or_ejected_target(self) -> None:
         self.assertNotEqual(
             self.connected, self.choose(tried=frozenset({self.connected}))
         )
-        self.pool.send(self.connected)
-        self.pool.fail(self.connected, pool.Failure.CUT, START)
+        self.pool.record_send(self.connected)
+        self.pool.record_failure(
+            self.connected, pool.Failure.DISCONNECTED, START
+        )
         self.assertNotEqual(self.connected, self.choose())
 
     def test_does_not_choose_a_removed_target(self) -> None:
--- a/packages/yuccarill-core/tests/capacity/load.py
+++ b/packages/yuccarill-core/tests/capacity/load.py
@@ -18,9 +18,9 @@
 
 from yuccarill.core.calls import pool
 from yuccarill.core.capacity import broker
-from yuccarill.core.capacity.gate import Answer
 from yuccarill.core.capacity.gate import CapacityRequest
-from yuccarill.core.capacity.gate import Ruling
+from yuccarill.core.capacity.gate import GateDecision
+from yuccarill.core.capacity.gate import GateVerdict
 from yuccarill.core.capacity import gate_policy
 from yuccarill.core.capacity.messages import DemandClass
 from yuccarill.core.capacity import service_gate
@@ -239,21 +239,21 @@
             self._send(arrival, frozenset())
             return
         gate = self.gates[arrival.instance]
-        gate.signs.places = self.setting.places
+        gate.congestion.slots = self.setting.places
         self._rule(arrival, gate.offer(arrival.request, self.now))
         self._schedule_wakeup(arrival.instance)
 
-    def _rule(self, arrival: Arrival, ruling: Ruling) -> None:
+    def _rule(self, arrival: Arrival, ruling: GateDecision) -> None:
         match ruling.answer:
-            case Answer.SEND:
+            case GateVerdict.SEND:
                 self._send(arrival, frozenset())
-            case Answer.REFUSE:
+            case GateVerdict.REFUSE:
                 self._refuse(arrival, ruling.retry_after)
-            case Answer.WAIT:
+            case GateVerdict.WAIT:
                 self._waiting_by_id[arrival.request.id] = arrival
 
     def _schedule_wakeup(self, number: int) -> None:
-        at = self.gates[number].wakes_at(self.now)
+        at = self.gates[number].next_wakeup(self.now)
         if at is not None:
             self.call_at(max(at, self.now) + 1e-6, lambda: self._admit(number))
 
@@ -290,8 +290,8 @@
         self.sent += 1
         times = self.second_at if arrival.attempts > 1 else self.first_at
         times.append(self.now)
-        self.pools[number].send(chosen)
-        self.gates[number].started(self.now)
+        self.pools[number].record_send(chosen)
+        self.gates[number].record_start(self.now)
         sent_at = self.now
         self.call_at(
             self.now + ONE_WAY,
@@ -338,22 +338,24 @@
     ) -> None:
         seconds = self.now - sent_at
         arrival.ended_at = self.now + ONE_WAY
-        self.pools[arrival.instance].answer(chosen, seconds, None, self.now)
-        self.gates[arrival.instance].finished(seconds, self.now)
+        self.pools[arrival.instance].record_answer(
+            chosen, seconds, None, self.now
+        )
+        self.gates[arrival.instance].record_answer(seconds, self.now)
 
     def _refused(
         self, arrival: Arrival, chosen: TargetId, tried: frozenset[TargetId]
     ) -> None:
         gate = self.gates[arrival.instance]
-        gate.refused(self.now)
-        self.pools[arrival.instance].fail(
+        gate.record_refusal(self.now)
+        self.pools[arrival.instance].record_failure(
             chosen, pool.Failure.REFUSED, self.now
         )
         if not self.setting.has_gates:
             if arrival.attempts < 5:
                 self._send(arrival, tried)
             return
-        if gate.may_try_again(arrival.request, self.now):
+        if gate.take_retry(arrival.request, self.now):
             self._send(arrival, tried)
         else:
             self._refuse(arrival, gate.retry_after(arrival.request, self.now))
@@ -389,7 +391,7 @@
         self.call_at(
             self.now + ONE_WAY,
             lambda: (
-                self.gates[number].grant(grant, sent_at),
+                self.gates[number].apply_grant(grant, sent_at),
                 self._schedule_wakeup(number),
             ),
         )
@@ -404,4 +406,4 @@
         for number, name in enumerate(self.names):
             if name not in leases and not self.is_cut(number, rank, self.now):
                 self.messages += 1
-                self.gates[number].signs.told(self.now)
+                self.gates[number].congestion.record_notice(self.now)
--- a/packages/yuccarill-core/tests/capacity/test_service_gate.py
+++ b/packages/yuccarill-core/tests/capacity/test_service_gate.py
@@ -8,8 +8,8 @@
 from nose2.tools import params
 
 from yuccarill.core.capacity import demand
-from yuccarill.core.capacity.gate import Answer
 from yuccarill.core.capacity.gate import CapacityRequest
+from yuccarill.core.capacity.gate import GateVerdict
 from yuccarill.core.capacity import gate_policy
 from yuccarill.core.capacity.messages import CapacityGrant
 from yuccarill.core.capacity.messages import ClassGrant
@@ -53,14 +53,14 @@
             Instant(0.0),
         )
         for step in range(20):
-            self.gate.started(Instant(step * 0.1))
-            self.gate.finished(WORK_SECONDS, Instant(step * 0.1))
+            self.gate.record_start(Instant(step * 0.1))
+            self.gate.record_answer(WORK_SECONDS, Instant(step * 0.1))
 
     def congest(self, rate: float, at: float = 10.0) -> None:
         """Report congestion and grant a rate to the flooding account."""
-        self.gate.started(Instant(at))
-        self.gate.refused(Instant(at))
-        self.gate.grant(
+        self.gate.record_start(Instant(at))
+        self.gate.record_refusal(Instant(at))
+        self.gate.apply_grant(
             CapacityGrant(
                 service=SERVICE,
                 number=1,
@@ -72,57 +72,57 @@
             Instant(at),
         )
 
-    def answer(self, offered: CapacityRequest) -> Answer:
+    def answer(self, offered: CapacityRequest) -> GateVerdict:
         return self.gate.offer(offered, offered.arrived_at).answer
 
     def test_no_limits_without_congestion(self) -> None:
         """Guard against limits and messages without congestion."""
         for step in range(500):
             at = 10.0 + step * 0.001
-            self.assertIs(Answer.SEND, self.answer(request(at=at)))
+            self.assertIs(GateVerdict.SEND, self.answer(request(at=at)))
         offered = request()
         for _ in range(20):
-            self.assertTrue(self.gate.may_try_again(offered, Instant(10.5)))
-            self.assertTrue(self.gate.may_hedge(offered, Instant(10.5)))
+            self.assertTrue(self.gate.take_retry(offered, Instant(10.5)))
+            self.assertTrue(self.gate.take_hedge(offered, Instant(10.5)))
         self.assertIsNone(self.gate.report(Instant(10.5)))
 
     def test_a_stopping_target_is_no_congestion(self) -> None:
         """Guard against refusing callers because one target refuses."""
         offered = request()
         self.answer(offered)
-        self.gate.started(Instant(10.0))
-        self.gate.refused(Instant(10.0))
-        self.assertTrue(self.gate.may_try_again(offered, Instant(10.0)))
+        self.gate.record_start(Instant(10.0))
+        self.gate.record_refusal(Instant(10.0))
+        self.assertTrue(self.gate.take_retry(offered, Instant(10.0)))
         for step in range(20):
             at = 10.0 + step * 0.1
-            self.assertIs(Answer.SEND, self.answer(request(at=at)))
+            self.assertIs(GateVerdict.SEND, self.answer(request(at=at)))
 
     def test_one_slow_answer_is_no_congestion(self) -> None:
         """Guard against reports for work that varies in length."""
-        self.gate.started(Instant(10.0))
-        self.gate.finished(10.0 * WORK_SECONDS, Instant(10.0))
+        self.gate.record_start(Instant(10.0))
+        self.gate.record_answer(10.0 * WORK_SECONDS, Instant(10.0))
         self.assertIsNone(self.gate.report(Instant(10.0)))
 
     def test_many_slow_answers_are_reported(self) -> None:
         for step in range(20):
             at = Instant(10.0 + step * 0.01)
-            self.gate.started(at)
-            self.gate.finished(10.0 * WORK_SECONDS, at)
+            self.gate.record_start(at)
+            self.gate.record_answer(10.0 * WORK_SECONDS, at)
         self.assertIsNotNone(self.gate.report(Instant(10.2)))
 
     @params(
         # There is time to wait for the next token.
-        (20.0, 0.15, Answer.WAIT),
+        (20.0, 0.15, GateVerdict.WAIT),
         # The answer would be late.
-        (20.0, 0.03, Answer.REFUSE),
-        (0.0, 0.15, Answer.REFUSE),
+        (20.0, 0.03, GateVerdict.REFUSE),
+        (0.0, 0.15, GateVerdict.REFUSE),
     )
     def test_class_above_its_share(
-        self, rate: float, wanted_in: float, expected: Answer
+        self, rate: float, wanted_in: float, expected: GateVerdict
     ) -> None:
         self.congest(rate)
         offered = request(wanted_in=wanted_in)
-        while (found := self.answer(offered)) is Answer.SEND:
+        while (found := self.answer(offered)) is GateVerdict.SEND:
             pass
         self.assertIs(expected, found)
 
@@ -130,36 +130,36 @@
         """Guard against refusals of accounts within their share."""
         self.congest(0.0)
         self.answer(request())
-        self.assertIs(Answer.SEND, self.answer(request(SMALL)))
+        self.assertIs(GateVerdict.SEND, self.answer(request(SMALL)))
 
     def test_waiting_requests_are_sent_in_time(self) -> None:
         self.congest(20.0)
         offered = request()
-        while self.answer(offered) is not Answer.WAIT:
+        while self.answer(offered) is not GateVerdict.WAIT:
             pass
-        wakes_at = self.gate.wakes_at(Instant(10.0))
+        wakes_at = self.gate.next_wakeup(Instant(10.0))
         self.assertLessEqual(wakes_at, offered.wanted_by)
         ((found, ruling),) = self.gate.admit(Instant(wakes_at + 1e-6))
         self.assertIs(offered, found)
-        self.assertIs(Answer.SEND, ruling.answer)
+        self.assertIs(GateVerdict.SEND, ruling.answer)
 
     def test_an_expired_grant_limits_no_request(self) -> None:
         """Guard against requests blocked by a lost broker's grant."""
         self.congest(20.0)
         offered = request()
-        while self.answer(offered) is not Answer.WAIT:
+        while self.answer(offered) is not GateVerdict.WAIT:
             pass
         ((_, ruling),) = self.gate.admit(Instant(11.0))
-        self.assertIs(Answer.SEND, ruling.answer)
-        self.assertIs(Answer.SEND, self.answer(request(at=11.1)))
+        self.assertIs(GateVerdict.SEND, ruling.answer)
+        self.assertIs(GateVerdict.SEND, self.answer(request(at=11.1)))
 
     def test_an_unlimited_grant_releases_waiting_requests(self) -> None:
         """Guard against requests that wait in a removed lane."""
         self.congest(20.0)
         offered = request()
-        while self.answer(offered) is not Answer.WAIT:
+        while self.answer(offered) is not GateVerdict.WAIT:
             pass
-        self.gate.grant(
+        self.gate.apply_grant(
             CapacityGrant(
                 service=SERVICE,
                 number=2,
@@ -169,18 +169,18 @@
             ),
             Instant(10.01),
         )
-        self.assertEqual(10.01, self.gate.wakes_at(Instant(10.01)))
+        self.assertEqual(10.01, self.gate.next_wakeup(Instant(10.01)))
         ((found, ruling),) = self.gate.admit(Instant(10.01))
         self.assertIs(offered, found)
-        self.assertIs(Answer.SEND, ruling.answer)
+        self.assertIs(GateVerdict.SEND, ruling.answer)
 
     def test_waiting_requests_are_refused_once_too_late(self) -> None:
         """Guard against requests that wait longer than is useful."""
         self.congest(20.0)
         offered = request()
-        while self.answer(offered) is not Answer.WAIT:
+        while self.answer(offered) is not GateVerdict.WAIT:
             pass
-        self.gate.grant(
+        self.gate.apply_grant(
             CapacityGrant(
                 service=SERVICE,
                 number=2,
@@ -189,10 +189,10 @@
             ),
             Instant(10.001),
         )
-        wakes_at = self.gate.wakes_at(Instant(10.001))
+        wakes_at = self.gate.next_wakeup(Instant(10.001))
         self.assertLessEqual(wakes_at, offered.wanted_by)
         ((found, ruling),) = self.gate.admit(Instant(wakes_at + 1e-6))
-        self.assertIs(Answer.REFUSE, ruling.answer)
+        self.assertIs(GateVerdict.REFUSE, ruling.answer)
 
     @params(0.3, 1.0, 2.0)
     def test_refused_callers_retry_in_time(self, left: float) -> None:
@@ -209,7 +209,7 @@
         """Guard against requests that wait until their deadline."""
         self.congest(20.0)
         late = request(SMALL, deadline_in=WORK_SECONDS / 2)
-        self.assertIs(Answer.REFUSE, self.answer(late))
+        self.assertIs(GateVerdict.REFUSE, self.answer(late))
 
     def test_second_attempts_while_targets_are_full(self) -> None:
         """Guard against retries that multiply the load of full targets."""
@@ -217,15 +217,15 @@
         for step in range(200):
             at = 10.0 + step * 0.01
             offered = request(at=at)
-            if self.answer(offered) is not Answer.SEND:
+            if self.answer(offered) is not GateVerdict.SEND:
                 continue
             for attempt in range(5):
                 now = Instant(at)
-                if attempt and not self.gate.may_try_again(offered, now):
+                if attempt and not self.gate.take_retry(offered, now):
                     break
                 sends += 1
-                self.gate.started(now)
-                self.gate.refused(now)
+                self.gate.record_start(now)
+                self.gate.record_refusal(now)
         self.assertLessEqual(sends, 200 * 1.1)
 
 
--- a/packages/yuccarill-core/tests/flow/test_body_deadline.py
+++ b/packages/yuccarill-core/tests/flow/test_body_deadline.py
@@ -26,7 +26,7 @@
         ([512] * 50, body_deadline.BODY_SECONDS),
     )
     def test_ends(self, parts: list[int], expected: float) -> None:
-        deadline = body_deadline.begin(Instant(0.0))
+        deadline = body_deadline.start_deadline(Instant(0.0))
         received = 0
         for number, count in enumerate(parts, 1):
             now = Instant(number * STEP - EARLY)
--- a/packages/yuccarill-core/tests/flow/test_budget.py
+++ b/packages/yuccarill-core/tests/flow/test_budget.py
@@ -6,26 +6,28 @@
 
 from nose2.tools import params
 
-from yuccarill.core.flow import budget
-from yuccarill.core.flow.budget import Holding
-from yuccarill.core.flow.budget import Pressure
-from yuccarill.core.flow.budget import Stage
+from yuccarill.core.flow import memory_budget
+from yuccarill.core.flow.memory_budget import BufferKind
+from yuccarill.core.flow.memory_budget import Pressure
+from yuccarill.core.flow.memory_budget import RequestStage
 from yuccarill.core.ids import AccountName
 
-BOUNDS = budget.MemoryBounds(
+BOUNDS = memory_budget.MemoryBounds(
     request=10, connection=40, account=100, process=200
 )
-ANSWER = Holding.ANSWER
-BODY = Holding.REQUEST_BODY
-ARRIVING = Stage.ARRIVING
-SERVED = Stage.SERVED
-ANSWERED = Stage.ANSWERED
-RESUMABLE = Stage.RESUMABLE
-
-
-def holder(number: int, stage: Stage, account: str = '') -> budget.Holder:
-    return budget.Holder(
-        id=budget.HolderId(number),
+ANSWER = BufferKind.ANSWER
+BODY = BufferKind.REQUEST_BODY
+ARRIVING = RequestStage.ARRIVING
+SERVED = RequestStage.SERVED
+ANSWERED = RequestStage.ANSWERED
+RESUMABLE = RequestStage.RESUMABLE
+
+
+def holder(
+    number: int, stage: RequestStage, account: str = ''
+) -> memory_budget.Holder:
+    return memory_budget.Holder(
+        id=memory_budget.HolderId(number),
         account=AccountName(account) if account else None,
         stage=stage,
     )
@@ -33,18 +35,20 @@
 
 class BudgetTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.budget = budget.MemoryBudget(BOUNDS)
+        self.budget = memory_budget.MemoryBudget(BOUNDS)
 
-    def hold(self, *rows: tuple[Stage, Holding, int, str]) -> Pressure:
+    def hold(
+        self, *rows: tuple[RequestStage, BufferKind, int, str]
+    ) -> Pressure:
         """Buffer bytes for one holder per row; return the last pressure."""
         found = Pressure.NONE
         for number, (stage, holding, count, account) in enumerate(rows):
             each = holder(number, stage, account)
-            found = self.budget.hold(each, holding, count)
+            found = self.budget.set_buffered(each, holding, count)
         return found
 
     def dropped(self) -> list[int]:
-        return [int(drop.holder) for drop in self.budget.drops()]
+        return [int(drop.holder) for drop in self.budget.choose_drops()]
 
     # The expected pressure is that of the last row's holder.
     @params(
@@ -123,28 +127,36 @@
             (ANSWERED, ANSWER, 50, 'a'),
         )
         self.assertEqual([1], self.dropped())
-        self.assertIs(budget.Scope.ACCOUNT, self.budget.drops()[0].scope)
+        self.assertIs(
+            memory_budget.Scope.ACCOUNT, self.budget.choose_drops()[0].scope
+        )
 
     def test_released_bytes_are_not_counted(self) -> None:
         """Guard against bytes that stay counted after a request has ended."""
         first = holder(1, ANSWERED, 'a')
-        self.budget.hold(first, ANSWER, 70)
-        self.budget.hold(first, BODY, 20)
-        self.budget.own(first, AccountName('b'))
-        self.budget.hold(first, BODY, 0)
+        self.budget.set_buffered(first, ANSWER, 70)
+        self.budget.set_buffered(first, BODY, 20)
+        self.budget.set_account(first, AccountName('b'))
+        self.budget.set_buffered(first, BODY, 0)
         self.assertEqual(70, self.budget.held)
         self.budget.release(first)
         self.assertEqual(0, self.budget.held)
         again = holder(2, ARRIVING, 'b')
-        self.assertIs(Pressure.NONE, self.budget.hold(again, BODY, 100))
+        self.assertIs(
+            Pressure.NONE, self.budget.set_buffered(again, BODY, 100)
+        )
 
     @params(160e6, 300e6, 552e6)
     def test_a_body_of_maximum_length_fits_twice(self, memory: float) -> None:
-        found = budget.bounds(int(memory))
+        found = memory_budget.bounds(int(memory))
         self.assertGreater(found.process, 32 << 20)
-        self.assertLessEqual(budget.BASE_BYTES + 2 * found.process, memory)
+        self.assertLessEqual(
+            memory_budget.BASE_BYTES + 2 * found.process, memory
+        )
         self.assertLess(found.request, found.connection)
         self.assertLess(found.connection, found.account)
 
     def test_a_very_small_machine_has_a_minimum_bound(self) -> None:
-        self.assertEqual(budget.MIN_PROCESS_BYTES, budget.bounds(1).process)
+        self.assertEqual(
+            memory_budget.MIN_PROCESS_BYTES, memory_budget.bounds(1).process
+        )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/attempts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/attempts.py
@@ -218,7 +218,7 @@
         if not attempt_module.may_have_run(step):
             return Failure.NOT_CONNECTED
         if self._now() < self._call.deadline:
-            return Failure.CUT
+            return Failure.DISCONNECTED
         metrics.count(metrics.Metric.CALLS_SILENT)
         return Failure.TIMED_OUT
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/generations.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/generations.py
@@ -166,7 +166,9 @@
             self._line.answer(engine.id, begun_at, report)
         except errors.YuccarillError as error:
             is_over = True
-            failure = Failure.REFUSED if error.not_run else Failure.CUT
+            failure = (
+                Failure.REFUSED if error.not_run else Failure.DISCONNECTED
+            )
             self._line.fail(engine.id, begun_at, failure)
             raise
         finally:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/lines.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/lines.py
@@ -68,7 +68,7 @@
         self._clock = clock
         self._is_admitting = False
         self._snapshot: Snapshot | None = None
-        self._waiting: set[admission.Waiting[defer.Deferred[None]]] = set()
+        self._waiting: set[admission.QueuedCall[defer.Deferred[None]]] = set()
         self._targets_by_id: dict[TargetId, Engine | Target] = {}
         self.dispatcher = dispatcher.Dispatcher[defer.Deferred[None]](
             policy, random.Random()
@@ -81,7 +81,7 @@
         """
         self._follow()
         admitted: defer.Deferred[None] = defer.Deferred()
-        waiting = admission.Waiting(
+        waiting = admission.QueuedCall(
             admitted,
             entry.caller.id,
             entry.caller.caller_class,
@@ -95,7 +95,7 @@
         self._admit()
         timer = None
         if waiting.is_queued:
-            patience = entry.deadline - self.dispatcher.expected
+            patience = entry.deadline - self.dispatcher.expected_latency
             left = max(_MIN_SECONDS, patience - begun_at)
             timer = self._clock.callLater(left, self._give_up, waiting)
         try:
@@ -111,7 +111,7 @@
 
     def leave(self) -> None:
         """Free the place of a call that entered."""
-        self.dispatcher.finish()
+        self.dispatcher.release()
         self._admit()
 
     def refuse_waiting(self) -> None:
@@ -136,7 +136,7 @@
     def send(self, target: TargetId) -> None:
         """Count an attempt from before its first byte."""
         self._blackboard.in_flight_by_id[target] += 1
-        self.dispatcher.pool.send(target)
+        self.dispatcher.pool.record_send(target)
         metrics.count(metrics.Metric.CALLS_ATTEMPTS)
 
     def answer(
@@ -145,7 +145,7 @@
         """Learn from an attempt that was answered."""
         self._blackboard.in_flight_by_id[target] -= 1
         now = self._now()
-        self.dispatcher.answer(target, now - begun_at, report, now)
+        self.dispatcher.record_answer(target, now - begun_at, report, now)
 
     def fail(
         self, target: TargetId, begun_at: Instant, failure: Failure
@@ -153,12 +153,12 @@
         """Learn from an attempt that failed."""
         self._blackboard.in_flight_by_id[target] -= 1
         now = self._now()
-        self.dispatcher.fail(target, failure, now - begun_at, now)
+        self.dispatcher.record_failure(target, failure, now - begun_at, now)
 
     def give_up(self, target: TargetId) -> None:
         """Take back an attempt that was not needed any more."""
         self._blackboard.in_flight_by_id[target] -= 1
-        self.dispatcher.pool.give_up(target)
+        self.dispatcher.pool.cancel_attempt(target)
 
     def _follow(self) -> None:
         snapshot = self._blackboard.snapshot
@@ -191,11 +191,11 @@
             waiting.item.callback(None)
         return bool(admitted or given_up)
 
-    def _give_up(self, waiting: admission.Waiting[Any]) -> None:
+    def _give_up(self, waiting: admission.QueuedCall[Any]) -> None:
         self.dispatcher.withdraw(waiting)
         self._refuse(waiting)
 
-    def _refuse(self, waiting: admission.Waiting[Any]) -> None:
+    def _refuse(self, waiting: admission.QueuedCall[Any]) -> None:
         metrics.count(metrics.Metric.CALLS_REFUSED)
         wait = self.dispatcher.retry_after(waiting)
         waiting.item.errback(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/once.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/once.py
@@ -14,7 +14,7 @@
 from yuccarill.core.calls.ledger import Answer
 from yuccarill.core.calls.ledger import Ledger
 from yuccarill.core.calls.ledger import Record
-from yuccarill.core.calls.ledger import Stage
+from yuccarill.core.calls.ledger import RecordState
 from yuccarill.core.calls import ticket as ticket_module
 from yuccarill.core.calls.ticket import Ticket
 from yuccarill.core import errors
@@ -94,7 +94,7 @@
             defer.ensureDeferred(self._work(call, key))
             record = self._ledger.find(*key)
         assert record is not None
-        if record.stage is Stage.RUNNING:
+        if record.stage is RecordState.RUNNING:
             return await self._wait(key, call.deadline)
         return _verdict(record)
 
@@ -127,15 +127,17 @@
         return ticket
 
     async def _work(self, call: Call, key: _Key) -> None:
-        stage, answer = Stage.UNKNOWN, None
+        stage, answer = RecordState.UNKNOWN, None
         error = errors.YuccarillError('Internal error; the call may have run.')
         self.active += 1
         try:
             answer = await self._attempts.run(call, is_repeatable=False)
-            stage = Stage.ANSWERED
+            stage = RecordState.ANSWERED
         except errors.YuccarillError as failure:
             error = failure
-            stage = Stage.NOT_RUN if failure.not_run else Stage.UNKNOWN
+            stage = (
+                RecordState.NOT_RUN if failure.not_run else RecordState.UNKNOWN
+            )
         except Exception as failure:
             log.error('Call failed.', cause=repr(failure))
         finally:
@@ -166,11 +168,11 @@
     if record.answer is not None:
         return record.answer
     match record.stage:
-        case Stage.ANSWERED:
+        case RecordState.ANSWERED:
             raise errors.OutcomeUnknown(
                 'The call ran and was answered; the answer is not kept.'
             )
-        case Stage.NOT_RUN:
+        case RecordState.NOT_RUN:
             raise errors.NotRun(
                 'The call was refused and has not run; number a new try anew.'
             )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/broker_desk.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/broker_desk.py
@@ -70,7 +70,7 @@
             Instant(self._clock.seconds()),
         )
         meters.CAPACITY_PLACES.labels(service).set(places)
-        meters.CAPACITY_LENT.labels(service).set(lending.lent())
+        meters.CAPACITY_LENT.labels(service).set(lending.lent_rate())
         meters.CAPACITY_RATE.labels(service).set(lending.capacity)
         if grant.is_congested:
             self._notify(service, lending)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/control.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/control.py
@@ -8,7 +8,7 @@
 import msgspec
 from twisted.internet import defer
 
-from yuccarill.core.capacity.gate import Answer
+from yuccarill.core.capacity.gate import GateVerdict
 from yuccarill.core.capacity import gate_policy
 from yuccarill.core.capacity.overview import ServiceOverview
 from yuccarill.core.capacity import service_gate
@@ -24,7 +24,7 @@
 
 if TYPE_CHECKING:
     from yuccarill.core.capacity.gate import CapacityRequest
-    from yuccarill.core.capacity.gate import Ruling
+    from yuccarill.core.capacity.gate import GateDecision
     from yuccarill.core.ids import ServiceName
     from yuccarill.daemon.adapters.small_server import SmallRequest
     from yuccarill.daemon.gateway.peer_call import PeerCalls
@@ -47,7 +47,7 @@
         )
         self.gates_by_service: dict[ServiceName, service_gate.ServiceGate] = {}
         self.waiting_by_service: dict[
-            ServiceName, dict[CapacityRequest, defer.Deferred[Ruling]]
+            ServiceName, dict[CapacityRequest, defer.Deferred[GateDecision]]
         ] = {}
         self._timers_by_service: dict[ServiceName, Any] = {}
 
@@ -59,27 +59,27 @@
             # Their places are given by the holder of the duty.
             return port.OPEN
         gate = self._gate(service)
-        gate.signs.places = self.desk.places(service)
+        gate.congestion.slots = self.desk.places(service)
         ruling = gate.offer(request, self._now())
-        if ruling.answer is Answer.WAIT:
+        if ruling.answer is GateVerdict.WAIT:
             ruling = await self._wait(service, gate, request)
-        if ruling.answer is Answer.REFUSE:
+        if ruling.answer is GateVerdict.REFUSE:
             raise self._refusal(service, request, ruling)
         return _GateEntry(gate, service, request, self._clock)
 
     def started(self, service: ServiceName) -> None:
-        self._gate(service).started(self._now())
+        self._gate(service).record_start(self._now())
 
     def finished(self, service: ServiceName, seconds: float) -> None:
-        self._gate(service).finished(seconds, self._now())
+        self._gate(service).record_answer(seconds, self._now())
         self._check(service)
 
     def refused(self, service: ServiceName) -> None:
-        self._gate(service).refused(self._now())
+        self._gate(service).record_refusal(self._now())
         self._check(service)
 
     def gave_up(self, service: ServiceName) -> None:
-        self._gate(service).gave_up(self._now())
+        self._gate(service).record_abandoned(self._now())
 
     def handles(self, path: str) -> bool:
         """Tell whether a page of the peer port is answered here."""
@@ -111,11 +111,11 @@
             is_congested=gate.is_congested(now),
             broker=self._reporter.broker_of(service, gate),
             places=self.desk.places(service),
-            in_flight=gate.signs.in_flight,
-            service_seconds=gate.signs.service_seconds,
+            in_flight=gate.congestion.in_flight,
+            service_seconds=gate.congestion.service_seconds,
             classes=gate.overview(now),
             capacity=None if lending is None else lending.capacity,
-            lent=None if lending is None else lending.lent(),
+            lent=None if lending is None else lending.lent_rate(),
             fleet=() if lending is None else lending.overview(),
         )
 
@@ -127,7 +127,7 @@
         except msgspec.MsgspecError as error:
             log.warning('Notice not read.', cause=str(error))
             return Page(status=400)
-        self._gate(notice.service).signs.told(self._now())
+        self._gate(notice.service).congestion.record_notice(self._now())
         self._check(notice.service)
         return Page(status=200)
 
@@ -159,9 +159,9 @@
         service: ServiceName,
         gate: service_gate.ServiceGate,
         request: CapacityRequest,
-    ) -> Ruling:
+    ) -> GateDecision:
         waiting = self.waiting_by_service.setdefault(service, {})
-        ruled: defer.Deferred[Ruling] = defer.Deferred()
+        ruled: defer.Deferred[GateDecision] = defer.Deferred()
         waiting[request] = ruled
         self._set_timer(service, gate)
         meters.CAPACITY_WAITING.labels(service).set(len(waiting))
@@ -179,7 +179,7 @@
         timer = self._timers_by_service.pop(service, None)
         if timer is not None and timer.active():
             timer.cancel()
-        at = gate.wakes_at(self._now())
+        at = gate.next_wakeup(self._now())
         if at is not None:
             self._timers_by_service[service] = self._clock.callLater(
                 max(0.0, at - self._now()), self._admit, service
@@ -195,7 +195,10 @@
         self._set_timer(service, gate)
 
     def _refusal(
-        self, service: ServiceName, request: CapacityRequest, ruling: Ruling
+        self,
+        service: ServiceName,
+        request: CapacityRequest,
+        ruling: GateDecision,
     ) -> errors.Overloaded:
         return _overloaded(
             service,
@@ -225,10 +228,10 @@
         self._clock = clock
 
     def may_try_again(self) -> bool:
-        return self._gate.may_try_again(self._request, self._now())
+        return self._gate.take_retry(self._request, self._now())
 
     def may_hedge(self) -> bool:
-        return self._gate.may_hedge(self._request, self._now())
+        return self._gate.take_hedge(self._request, self._now())
 
     def refusal(self, cause: str) -> errors.NotRun:
         now = self._now()
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/reporting.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/reporting.py
@@ -106,7 +106,7 @@
             if asked is None:
                 return
             grant = asked
-        gate.grant(grant, sent_at)
+        gate.apply_grant(grant, sent_at)
         self._on_grant(report.service)
 
     async def _ask_peer(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/flow/desk.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/flow/desk.py
@@ -5,19 +5,19 @@
 import itertools
 from typing import TYPE_CHECKING
 
-from yuccarill.core.flow import budget as budget_module
-from yuccarill.core.flow.budget import HolderId
-from yuccarill.core.flow.budget import Pressure
+from yuccarill.core.flow import memory_budget as budget_module
+from yuccarill.core.flow.memory_budget import HolderId
+from yuccarill.core.flow.memory_budget import Pressure
 from yuccarill.daemon.gateway import meters
 from yuccarill.daemon import logs
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from yuccarill.core.flow.budget import Drop
-    from yuccarill.core.flow.budget import Holding
-    from yuccarill.core.flow.budget import MemoryBudget
-    from yuccarill.core.flow.budget import Stage
+    from yuccarill.core.flow.memory_budget import BufferKind
+    from yuccarill.core.flow.memory_budget import Drop
+    from yuccarill.core.flow.memory_budget import MemoryBudget
+    from yuccarill.core.flow.memory_budget import RequestStage
     from yuccarill.core.ids import AccountName
 
 log = logs.for_part('flow')
@@ -47,7 +47,7 @@
 
     def free(self) -> None:
         """Give up connections until every bound holds."""
-        for drop in self.budget.drops():
+        for drop in self.budget.choose_drops():
             held = self._held_by_id[drop.holder]
             log.warning(
                 'Request given up for memory.',
@@ -77,7 +77,7 @@
         self._is_open = True
         self._is_paused = False
 
-    def hold(self, holding: Holding, count: int) -> bool:
+    def hold(self, holding: BufferKind, count: int) -> bool:
         """Note how many bytes of a kind are held now.
 
         Returns whether no more of them should be taken in.
@@ -85,7 +85,7 @@
         if not self._is_open:
             return False
         budget = self._desk.budget
-        pressure = budget.hold(self.holder, holding, count)
+        pressure = budget.set_buffered(self.holder, holding, count)
         if pressure is Pressure.DROP:
             self._desk.free()
         meters.HELD_BYTES.set(budget.held)
@@ -93,14 +93,14 @@
         self._note_pause(should_pause and holding is _ANSWER)
         return should_pause
 
-    def enter(self, stage: Stage) -> None:
+    def enter(self, stage: RequestStage) -> None:
         """Note how far the connection's request is."""
         self.holder.stage = stage
 
     def own(self, account: AccountName | None) -> None:
         """Note whose request it is."""
         if self._is_open:
-            self._desk.budget.own(self.holder, account)
+            self._desk.budget.set_account(self.holder, account)
 
     def close(self) -> None:
         """Hold nothing any more."""
@@ -127,10 +127,10 @@
 class NothingHeld:
     """Account for nothing."""
 
-    def hold(self, holding: Holding, count: int) -> bool:
+    def hold(self, holding: BufferKind, count: int) -> bool:
         return False
 
-    def enter(self, stage: Stage) -> None:
+    def enter(self, stage: RequestStage) -> None:
         pass
 
     def own(self, account: AccountName | None) -> None:
@@ -140,7 +140,7 @@
         pass
 
 
-_ANSWER = budget_module.Holding.ANSWER
+_ANSWER = budget_module.BufferKind.ANSWER
 
 
 def for_memory(memory: int | None) -> FlowDesk | NoFlow:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/attempting.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/attempting.py
@@ -87,7 +87,7 @@
     ) -> TargetAnswer:
         """Send one attempt and let the pool learn from it."""
         pool = self._pools.pool(target.service, self.now())
-        pool.send(target.id)
+        pool.record_send(target.id)
         started_at = self.now()
         end, cause = 'cancelled', ''
         try:
@@ -101,12 +101,12 @@
         except calls_module.CallFailed as error:
             end, cause = error.end.value, str(error)
             if self._pools.is_current(target):
-                pool.fail(target.id, _failure(error), self.now())
+                pool.record_failure(target.id, _failure(error), self.now())
             if error.is_refused:
                 self._pools.note_gone(target, self.now())
             raise
         except defer.CancelledError:
-            pool.give_up(target.id)
+            pool.cancel_attempt(target.id)
             raise
         finally:
             seconds = self.now() - started_at
@@ -136,12 +136,14 @@
         if answer.is_from_other_process:
             self._pools.note_gone(target, self.now())
         if answer.not_run and self._pools.is_current(target):
-            pool.fail(target.id, pool_module.Failure.REFUSED, self.now())
+            pool.record_failure(
+                target.id, pool_module.Failure.REFUSED, self.now()
+            )
             return 'refused'
         seconds = self.now() - started_at
         if not self._pools.is_current(target):
             return f'status {answer.status}'
-        pool.answer(target.id, seconds, None, self.now())
+        pool.record_answer(target.id, seconds, None, self.now())
         return f'status {answer.status}'
 
 
@@ -150,4 +152,4 @@
         case calls_module.CallEnd.NOT_SENT:
             return pool_module.Failure.NOT_CONNECTED
         case calls_module.CallEnd.BROKEN:
-            return pool_module.Failure.CUT
+            return pool_module.Failure.DISCONNECTED
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/pools.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/pools.py
@@ -56,7 +56,7 @@
             taken = self._taken_by_service.get(service, {})
             self._taken_by_service[service] = ready
             for target_id in _started_again(taken, ready):
-                pool.forget(target_id)
+                pool.remove(target_id)
                 self._gone_until.pop(target_id, None)
             centres_by_id = {t.id: t.data_centre for t in ready.values()}
             pool.update(centres_by_id, here, now)
--- a/packages/yuccarill-daemon/tests/gateway/test_capacity.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_capacity.py
@@ -200,4 +200,4 @@
             each.cancel()
         self.assertEqual({}, made.waiting_by_service.get(world.SERVICE, {}))
         gate = made.gates_by_service[world.SERVICE]
-        self.assertIsNone(gate.wakes_at(Instant(self.clock.seconds())))
+        self.assertIsNone(gate.next_wakeup(Instant(self.clock.seconds())))
--- a/packages/yuccarill-daemon/tests/gateway/test_sender.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_sender.py
@@ -332,7 +332,9 @@
         for target in (self.old, world.started('t1', 1)):
             self.listed.put(target)
         self.pool = self.pools.pool(world.SERVICE, NOW)
-        self.pool.fail(self.old.id, pool_module.Failure.CUT, NOW)
+        self.pool.record_failure(
+            self.old.id, pool_module.Failure.DISCONNECTED, NOW
+        )
 
     def test_it_is_not_left_out_for_its_predecessor(self) -> None:
         self.assertEqual(1, self.pool.usable)
--- a/packages/yuccarill-daemon/tests/gateway/test_slow_readers.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_slow_readers.py
@@ -18,7 +18,7 @@
 from zope import interface
 
 from yuccarill.core import errors
-from yuccarill.core.flow import budget
+from yuccarill.core.flow import memory_budget
 from yuccarill.core.gateway.requests import ClientRequest
 from yuccarill.core.gateway.requests import TargetAnswer
 from yuccarill.core.gateway import routes
@@ -313,7 +313,7 @@
         channel, _ = self.ask(1, False)
         for _ in range(EVENTS):
             self.targets.step()
-        self.assertGreater(self.flow.budget.held, budget.REQUEST_BYTES)
+        self.assertGreater(self.flow.budget.held, memory_budget.REQUEST_BYTES)
         channel.connectionLost(failure.Failure(error.ConnectionLost()))
         self.assertEqual(0, self.flow.budget.held)
 
@@ -349,9 +349,9 @@
         socket = self.answer_whole()
         self.channel.dataReceived(REQUEST[:30])
         other = self.flow.open(lambda drop: None)
-        other.enter(budget.Stage.SERVED)
+        other.enter(memory_budget.RequestStage.SERVED)
         bound = self.flow.budget.bounds.process
-        other.hold(budget.Holding.REQUEST_BODY, bound)
+        other.hold(memory_budget.BufferKind.REQUEST_BODY, bound)
         self.assertTrue(socket.is_aborted)
         self.assertEqual(bound, self.flow.budget.held)
 
--- a/tools/calls_policies.py
+++ b/tools/calls_policies.py
@@ -66,7 +66,7 @@
 
     def arrive(self, request: calls_model.Request) -> None:
         router = self.dispatchers[request.instance]
-        waiting = admission.Waiting(
+        waiting = admission.QueuedCall(
             request,
             CallerId(request.caller_class.value),
             request.caller_class,
@@ -77,7 +77,7 @@
             self._refuse(refused)
         self._admit(request.instance)
         if waiting.is_queued:
-            latest_start = request.deadline - router.expected
+            latest_start = request.deadline - router.expected_latency
             delay = max(0.0, latest_start - self._loop.now)
             self._loop.schedule(delay, self._expire, waiting)
 
@@ -111,7 +111,7 @@
         attempt = Attempt(run, target, now)
         run.tried |= {target}
         run.open += 1
-        router.pool.send(target)
+        router.pool.record_send(target)
         attempts_left = max(1, router.policy.attempts - len(run.tried) + 1)
         retry_at = deadlines.attempt_deadline(
             now, request.deadline, attempts_left, router.limit.unloaded
@@ -159,10 +159,12 @@
             seconds = now - attempt.started_at
             # Targets other than engines report no load.
             known = report if self._world.size.has_priorities else None
-            router.answer(attempt.target, seconds, known, now)
+            router.record_answer(attempt.target, seconds, known, now)
             self._end(run, True)
         else:
-            router.fail(attempt.target, Failure.NOT_CONNECTED, 0.0, now)
+            router.record_failure(
+                attempt.target, Failure.NOT_CONNECTED, 0.0, now
+            )
             self._retry(run)
 
     def _time_out(self, attempt: Attempt) -> None:
@@ -174,7 +176,7 @@
         router = self.dispatchers[run.request.instance]
         now = self._loop.now
         seconds = now - attempt.started_at
-        router.fail(attempt.target, Failure.TIMED_OUT, seconds, now)
+        router.record_failure(attempt.target, Failure.TIMED_OUT, seconds, now)
         self._retry(run)
 
     def _retry(self, run: Run) -> None:
@@ -199,7 +201,7 @@
         run.request.ended_at = self._loop.now
         run.request.is_answered = is_answered
         instance = run.request.instance
-        self.dispatchers[instance].finish()
+        self.dispatchers[instance].release()
         self._admit(instance)
 
 
--- a/tools/measure_calls.py
+++ b/tools/measure_calls.py
@@ -142,8 +142,8 @@
             now = Instant(n * 0.001)
             target = router.pool.choose(now)
             assert target is not None
-            router.pool.send(target)
-            router.answer(target, 0.1, None, now)
+            router.pool.record_send(target)
+            router.record_answer(target, 0.1, None, now)
         seconds = (time.perf_counter() - started_at) / DECISIONS
         click.echo(f'| {count} | {seconds * 1e6:.1f} |')
 
--- a/tools/measure_prefixes.py
+++ b/tools/measure_prefixes.py
@@ -73,7 +73,7 @@
             loop.now, prefix=prompt if uses_prefix else None
         )
         assert target is not None
-        chosen.send(target)
+        chosen.record_send(target)
         counts['calls'] += 1
         counts['hits'] += engines[target].begin_call(prompt)
         counts['best'] += prompt in seen
@@ -85,7 +85,7 @@
         engine = engines[target]
         engine.in_flight -= 1
         report = LoadReport(engine.in_flight, 0)
-        chosen.answer(target, seconds, report, loop.now)
+        chosen.record_answer(target, seconds, report, loop.now)
 
     loop.schedule(0.0, arrive)
     loop.run(SECONDS + 60.0)
