--- a/packages/yuccarill-core/src/yuccarill/core/jobs/placing.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/engine_assignment.py
@@ -31,7 +31,7 @@
         self.total = sum(by_engine.values())
 
 
-class Placing:
+class EngineAssigner:
     """Choose engines as `EngineFleet.choose` does, from heaps of their costs.
 
     Heaps avoid a scan of all engines for every item.
@@ -101,7 +101,7 @@
             return engine
         return None
 
-    def free_places(self, job: Job, without: EngineState) -> int:
+    def free_slots(self, job: Job, without: EngineState) -> int:
         """Return the free slots for a job on other engines that are not slow.
 
         The count is cached, since a scan of all engines for each run is slow.
@@ -118,13 +118,13 @@
             self._free_slots_by_needs[needs] = free
         return free.total - free.by_engine.get(without.target.id, 0)
 
-    def moved(self, job: Job) -> None:
+    def reserve_slot(self, job: Job) -> None:
         """Subtract the free slot that a moved run of a job will use."""
         free = self._free_slots_by_needs.get((job.model, job.min_version))
         if free is not None:
             free.total -= 1
 
-    def leave_out(self, engine: EngineState) -> None:
+    def exclude_engine(self, engine: EngineState) -> None:
         """Subtract the free slots of an engine that has just failed."""
         for free in self._free_slots_by_needs.values():
             free.total -= free.by_engine.pop(engine.target.id, 0)
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/engines.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/engines.py
@@ -35,7 +35,7 @@
 SILENT_FACTOR = 10.0
 MIN_SILENCE_SECONDS = 0.4
 # Seconds that a run stays on an engine before a slow pace may move it.
-MIN_STAY = 0.25
+MIN_STAY_SECONDS = 0.25
 # Multiple of the median pace from which an engine counts as slow.
 SLOW_FACTOR = 2.0
 # Seconds for which a failed engine gets no new runs, doubled with each
@@ -58,11 +58,11 @@
     paced_at: Instant = Instant(0.0)
     versions_by_model: dict[ModelName, WeightVersion] = {}
     # Models with an urgent text on this engine.
-    hurried: set[ModelName] = set()
+    urgent_models: set[ModelName] = set()
     # Models whose weights the engine is changing.
-    switching: set[ModelName] = set()
+    switching_models: set[ModelName] = set()
     # Models in `switching` whose remaining runs have to move away.
-    emptying: set[ModelName] = set()
+    draining_models: set[ModelName] = set()
     failures: int = 0
     ejected_until: Instant = Instant(0.0)
 
@@ -78,13 +78,13 @@
             return reported if registered is None else registered
         return max(registered, reported)
 
-    def saw_version(self, model: ModelName, version: WeightVersion) -> None:
+    def record_version(self, model: ModelName, version: WeightVersion) -> None:
         """Record a version that the engine itself has reported."""
         known = self.versions_by_model.get(model)
         if known is None or version > known:
             self.versions_by_model[model] = version
 
-    def saw_gap(self, seconds: float, now: Instant) -> None:
+    def record_gap(self, seconds: float, now: Instant) -> None:
         """Update the pace with the time between two events of a run."""
         is_expired = self.known_pace(now) is None
         weight = 1.0 - math.exp((self.paced_at - now) / _PACE_DECAY_SECONDS)
@@ -197,7 +197,7 @@
             return False
         if job.model is None:
             return True
-        if job.model in engine.switching:
+        if job.model in engine.switching_models:
             return False
         version = engine.version(job.model)
         return version is not None and version >= job.min_version
@@ -244,7 +244,7 @@
         usual = self.usual_pace(now) or 0.0
         return _relative_pace(engine, usual, now) >= SLOW_FACTOR
 
-    def is_held_up(
+    def should_move(
         self,
         engine: EngineState,
         job: Job,
@@ -253,17 +253,17 @@
         now: Instant,
     ) -> bool:
         """Return whether a run should move to another engine."""
-        if self.has_stopped(engine, job, last_at, now):
+        if self.is_stalled(engine, job, last_at, now):
             return True
         # A pace measured before the run started may be out of date.
-        has_stayed = now - started_at >= MIN_STAY
+        has_stayed = now - started_at >= MIN_STAY_SECONDS
         return has_stayed and self.is_slow(engine, now)
 
-    def has_stopped(
+    def is_stalled(
         self, engine: EngineState, job: Job, last_at: Instant, now: Instant
     ) -> bool:
         """Return whether a run makes no more progress on its engine."""
-        if self.is_silent(last_at, now) or job.model in engine.emptying:
+        if self.is_silent(last_at, now) or job.model in engine.draining_models:
             return True
         # A restarted engine has lost the run, so there is no need to wait for
         # the silence timeout.
@@ -275,7 +275,7 @@
             return False
         return not engine.target.is_same_start(listed.target)
 
-    def has_places(self, now: Instant) -> bool:
+    def has_free_slots(self, now: Instant) -> bool:
         """Return whether any usable engine has a free slot."""
         return any(
             engine.running < engine.target.slots
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/job_plan.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/job_plan.py
@@ -5,16 +5,16 @@
 import heapq
 from typing import TYPE_CHECKING
 
-from yuccarill.core.jobs import board as board_module
+from yuccarill.core.jobs import job_queue as board_module
 from yuccarill.core.jobs import triage
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
     from collections.abc import Iterator
 
-    from yuccarill.core.jobs.board import ItemRun
-    from yuccarill.core.jobs.board import JobState
     from yuccarill.core.jobs.job import GroupId
+    from yuccarill.core.jobs.job_queue import ItemRun
+    from yuccarill.core.jobs.job_queue import JobState
     from yuccarill.core.jobs.lengths import TextLengths
 
 # Ratio of expected lengths from which the needs of groups are rescaled.
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/board.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/job_queue.py
@@ -8,8 +8,8 @@
 
 from yuccarill.core.jobs.job import ItemResult
 from yuccarill.core.jobs.job import ResultState
-from yuccarill.core.jobs import left_text
 from yuccarill.core.jobs import lengths as lengths_module
+from yuccarill.core.jobs import partial_text as partial_text_module
 from yuccarill.core.jobs import text as text_module
 
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
 MAX_PARTIAL_TEXTS = 500
 # Seconds before a job's deadline from which each complete group is published
 # at once: enough for two writes of results and one read by the trainer.
-AWAITED_SECONDS = 1.5
+LISTING_AHEAD_SECONDS = 1.5
 # Seconds of slack below which a text is urgent: too little for a weight change
 # or a move to another engine.
 URGENT_SLACK_SECONDS = 1.2
@@ -71,9 +71,9 @@
         self.failures = 0
         self.score_failures = 0
 
-    def resume(self, partial: left_text.LeftText) -> bool:
+    def resume(self, partial: partial_text_module.PartialText) -> bool:
         """Resume from a partial text; return False if it does not fit."""
-        if partial.body_digest != left_text.body_digest(self.item):
+        if partial.body_digest != partial_text_module.body_digest(self.item):
             return False
         text = text_module.ItemText.restore(
             partial.parts, partial.versions, partial.is_whole
@@ -81,16 +81,20 @@
         if not text.fits(self.job.min_version, self.job.is_single_version):
             return False
         self.text = text
-        if partial.scoring_digest == left_text.scoring_digest(self.item):
+        if partial.scoring_digest == partial_text_module.scoring_digest(
+            self.item
+        ):
             self.score = partial.score
         return True
 
-    def partial_text(self) -> left_text.LeftText:
+    def partial_text(self) -> partial_text_module.PartialText:
         """Return the partial text with its score."""
         if not self._body_digest:
-            self._body_digest = left_text.body_digest(self.item)
-            self._scoring_digest = left_text.scoring_digest(self.item)
-        return left_text.LeftText(
+            self._body_digest = partial_text_module.body_digest(self.item)
+            self._scoring_digest = partial_text_module.scoring_digest(
+                self.item
+            )
+        return partial_text_module.PartialText(
             item=self.item.id,
             body_digest=self._body_digest,
             scoring_digest=self._scoring_digest,
@@ -104,7 +108,7 @@
         """Count a failed run; return a result if no attempt is left."""
         self.failures += 1
         if self.failures >= self.job.max_attempts:
-            return self.given_up()
+            return self.failed_result()
         return None
 
     def fail_scores(self, count: int, max_attempts: int) -> bool:
@@ -115,10 +119,10 @@
         self.score_failures += count
         return self.score_failures >= max_attempts
 
-    def given_up(self) -> ItemResult:
+    def failed_result(self) -> ItemResult:
         return ItemResult(id=self.item.id, state=ResultState.FAILED)
 
-    def completed(self, score: str) -> ItemResult:
+    def completed_result(self, score: str) -> ItemResult:
         return ItemResult(
             id=self.item.id,
             state=ResultState.COMPLETED,
@@ -201,7 +205,7 @@
         self.whole_groups += is_complete
         return is_complete
 
-    def is_awaited(self, now: Instant) -> bool:
+    def is_listing_urgent(self, now: Instant) -> bool:
         """Return whether the trainer acts on the next complete group at once.
 
         A trainer trains once it has the groups that it wants, or with those
@@ -209,9 +213,9 @@
         """
         if self.whole_groups >= self.job.wanted_groups:
             return True
-        return now >= self.due_at - AWAITED_SECONDS
+        return now >= self.due_at - LISTING_AHEAD_SECONDS
 
-    def take(self, result: ItemResult) -> None:
+    def apply_result(self, result: ItemResult) -> None:
         """Apply a result that another instance published."""
         run = self.runs_by_id.get(result.id)
         if run is None:
@@ -251,7 +255,7 @@
         )
 
 
-class JobBoard:
+class JobQueue:
     """Hold the open jobs and partial texts of one service."""
 
     def __init__(self) -> None:
@@ -259,7 +263,9 @@
         self.lengths = lengths_module.TextLengths()
         # Partial texts of items whose jobs have ended here or still run on
         # another instance, the oldest first.
-        self._partial_texts_by_id: dict[ItemId, left_text.LeftText] = {}
+        self._partial_texts_by_id: dict[
+            ItemId, partial_text_module.PartialText
+        ] = {}
 
     def add(
         self, state: JobState, listed: Iterable[ItemResult] = ()
@@ -270,7 +276,7 @@
         """
         self.jobs_by_id[state.job.id] = state
         for result in listed:
-            state.take(result)
+            state.apply_result(result)
         whole = []
         for run in list(state.waiting()):
             text = self._partial_texts_by_id.pop(run.item.id, None)
@@ -285,14 +291,16 @@
             return None
         # The trainer requests incomplete groups again in the next step,
         # which resumes from their partial texts.
-        self.leave(
+        self.keep_partial_texts(
             run.partial_text()
             for run in state.runs_by_id.values()
             if run.text.events
         )
         return state
 
-    def leave(self, texts: Iterable[left_text.LeftText]) -> None:
+    def keep_partial_texts(
+        self, texts: Iterable[partial_text_module.PartialText]
+    ) -> None:
         """Keep partial texts for later jobs with the same items."""
         for text in texts:
             self._partial_texts_by_id[text.item] = text
@@ -301,7 +309,9 @@
                 next(iter(self._partial_texts_by_id))
             ]
 
-    def left(self, listed: Container[ItemId]) -> list[left_text.LeftText]:
+    def partial_texts(
+        self, listed: Container[ItemId]
+    ) -> list[partial_text_module.PartialText]:
         """Return the texts for another instance to resume, open jobs first.
 
         Published results are left out; the other instance reads them itself.
@@ -311,7 +321,9 @@
             *reversed(self._partial_texts_by_id.values()),
         ]
 
-    def unlisted(self, listed: Container[ItemId]) -> list[left_text.LeftText]:
+    def unlisted(
+        self, listed: Container[ItemId]
+    ) -> list[partial_text_module.PartialText]:
         """Return the texts of open jobs whose results are unpublished."""
         return [
             run.partial_text()
@@ -344,7 +356,7 @@
         rest = self.lengths.remaining(run.job.model, run.item, run.text.events)
         return pace * rest
 
-    def is_hurried(self, run: ItemRun, pace: float, now: Instant) -> bool:
+    def is_urgent(self, run: ItemRun, pace: float, now: Instant) -> bool:
         """Return whether a text has too little slack for any delay."""
         state = self.jobs_by_id.get(run.job.id)
         if state is None:
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/left_text.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/partial_text.py
@@ -14,7 +14,7 @@
 DIGEST_BYTES = 16
 
 
-class LeftText(msgspec.Struct, frozen=True, kw_only=True):
+class PartialText(msgspec.Struct, frozen=True, kw_only=True):
     """Hold the partial text of an item and its score."""
 
     item: ItemId
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/planning.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/planning.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from yuccarill.core.ids import Instant
-from yuccarill.core.jobs import board as board_module
 from yuccarill.core.jobs import job_plan
+from yuccarill.core.jobs import job_queue as board_module
 from yuccarill.core.jobs import triage
 
 if TYPE_CHECKING:
@@ -17,12 +17,12 @@
 
     from yuccarill.core.ids import ModelName
     from yuccarill.core.ids import WeightVersion
-    from yuccarill.core.jobs.board import ItemRun
-    from yuccarill.core.jobs.board import JobBoard
+    from yuccarill.core.jobs.engine_assignment import EngineAssigner
     from yuccarill.core.jobs.engines import EngineFleet
     from yuccarill.core.jobs.engines import EngineState
     from yuccarill.core.jobs.job import JobId
-    from yuccarill.core.jobs.placing import Placing
+    from yuccarill.core.jobs.job_queue import ItemRun
+    from yuccarill.core.jobs.job_queue import JobQueue
 
 # Seconds for which a plan is valid while no job is added or removed.
 PLAN_SECONDS = 0.25
@@ -38,7 +38,7 @@
 class FinishPlan:
     """Plan the items of all open jobs of one service."""
 
-    def __init__(self, board: JobBoard, fleet: EngineFleet) -> None:
+    def __init__(self, board: JobQueue, fleet: EngineFleet) -> None:
         self._board = board
         self._fleet = fleet
         self._plans_by_job: dict[JobId, job_plan.JobPlan] = {}
@@ -47,16 +47,16 @@
         self.is_short = False
 
     @property
-    def put_off(self) -> int:
+    def deferred_groups(self) -> int:
         """Return the number of deferred groups."""
         return sum(plan.put_off for plan in self._plans_by_job.values())
 
-    def fits(self, run: ItemRun) -> bool:
+    def is_feasible(self, run: ItemRun) -> bool:
         """Return whether the run's group can be complete in time."""
         plan = self._plans_by_job.get(run.job.id)
         return plan is not None and run.item.group in plan.fitting_groups
 
-    def spare(self, run: ItemRun, pace: float, now: Instant) -> float:
+    def slack(self, run: ItemRun, pace: float, now: Instant) -> float:
         """Return the slack: seconds from the expected end to the deadline."""
         events = self._board.lengths.expected(
             run.job.model, run.item, run.text.events
@@ -139,7 +139,7 @@
         self,
         run: ItemRun,
         engine: EngineState,
-        places: Placing,
+        places: EngineAssigner,
         now: Instant,
     ) -> bool:
         """Return whether a run ends sooner on the best free engine.
@@ -150,7 +150,7 @@
         is_slow = self._fleet.is_slow(engine, now)
         if (
             not is_slow
-            and self.spare(run, pace, now) >= MAX_MOVE_SLACK_SECONDS
+            and self.slack(run, pace, now) >= MAX_MOVE_SLACK_SECONDS
         ):
             return False
         other = places.choose(run.job)
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/standby.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/standby.py
@@ -30,7 +30,7 @@
         self._store_lost_at: Instant | None = None
         self._store_returned_at: Instant | None = None
 
-    def heard(self, now: Instant) -> None:
+    def record_heartbeat(self, now: Instant) -> None:
         """Record a message from the holder."""
         self._last_heard_at = now
         self._store_lost_at = None
@@ -40,7 +40,7 @@
         """Return whether the holder counts as lost."""
         return now >= self._last_heard_at + SILENT_SECONDS
 
-    def looked(self, is_reached: bool, now: Instant) -> None:
+    def record_store_probe(self, is_reached: bool, now: Instant) -> None:
         """Record a probe of the store made after the last message."""
         if not is_reached:
             self._store_lost_at = now
@@ -50,7 +50,7 @@
         ):
             self._store_returned_at = now
 
-    def may_run(self, now: Instant) -> bool:
+    def can_run(self, now: Instant) -> bool:
         """Return whether the standby may resume the texts now."""
         if self._store_lost_at is None or not self.is_silent(now):
             return False
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/text.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/text.py
@@ -24,7 +24,7 @@
     raw: bytes = b''
 
 
-class TextBroken(Exception):
+class TextSequenceError(Exception):
     """Report an event that does not continue the text."""
 
 
@@ -77,7 +77,7 @@
         """Set the weight version that the engine reports at a run's start."""
         self._current_version = version
 
-    def take(self, event: StreamEvent) -> None:
+    def add_event(self, event: StreamEvent) -> None:
         """Append one event.
 
         Raises TextBroken if the event is out of order or has no known version.
@@ -85,13 +85,13 @@
         if event.version is not None:
             self._current_version = event.version
         if event.number != self.events + 1:
-            raise TextBroken(
+            raise TextSequenceError(
                 f'Event {event.number} does not follow event {self.events}.'
             )
         # A guess from the last requested weight change could attribute the
         # sample to weights that did not generate it.
         if self._current_version is None:
-            raise TextBroken('The engine reports no weight version.')
+            raise TextSequenceError('The engine reports no weight version.')
         self._parts.append(event.data)
         self._versions.add(self._current_version)
 
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/text_copies.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/text_copies.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from yuccarill.core.jobs.left_text import LeftText
+from yuccarill.core.jobs.partial_text import PartialText
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -18,7 +18,7 @@
 class TextChange(msgspec.Struct, frozen=True, kw_only=True):
     """Hold a text, or the events added since it was last copied."""
 
-    text: LeftText
+    text: PartialText
     # Number of events that the copy has already, not included here.
     first: int = 0
 
@@ -32,9 +32,9 @@
     """Track what one replica holds of each text."""
 
     def __init__(self) -> None:
-        self._texts_by_item: dict[ItemId, LeftText] = {}
+        self._texts_by_item: dict[ItemId, PartialText] = {}
 
-    def changes(self, texts: Iterable[LeftText]) -> list[TextChange]:
+    def changes(self, texts: Iterable[PartialText]) -> list[TextChange]:
         """Return the changes that the replica lacks; forget other texts."""
         current_by_item = {text.item: text for text in texts}
         for item in self._texts_by_item.keys() - current_by_item.keys():
@@ -45,10 +45,10 @@
             if self._texts_by_item.get(text.item) != text
         ]
 
-    def copied(self, change: TextChange) -> None:
+    def record_change(self, change: TextChange) -> None:
         """Record that the replica holds a change."""
         item = change.text.item
-        text = continued(self._texts_by_item.get(item), change)
+        text = apply_change(self._texts_by_item.get(item), change)
         if text is not None:
             self._texts_by_item[item] = text
 
@@ -60,7 +60,7 @@
         """Mark all texts as missing from the replica."""
         self._texts_by_item.clear()
 
-    def _change(self, text: LeftText) -> TextChange:
+    def _change(self, text: PartialText) -> TextChange:
         copied = self._texts_by_item.get(text.item)
         first = 0 if copied is None else len(copied.parts)
         if copied is None or text.parts[:first] != copied.parts:
@@ -70,7 +70,9 @@
         return TextChange(text=rest, first=first)
 
 
-def continued(copied: LeftText | None, change: TextChange) -> LeftText | None:
+def apply_change(
+    copied: PartialText | None, change: TextChange
+) -> PartialText | None:
     """Apply a change to a copied text; return None if events are missing."""
     if not change.first:
         return change.text
@@ -80,7 +82,7 @@
     return msgspec.structs.replace(change.text, parts=parts)
 
 
-def bounded(
+def limit_size(
     changes: Iterable[TextChange], most: int
 ) -> tuple[TextChange, ...]:
     """Return the leading changes with at most `most` characters."""
@@ -94,9 +96,9 @@
     return tuple(chosen)
 
 
-def longest(*copies: Iterable[LeftText]) -> list[LeftText]:
+def longest(*copies: Iterable[PartialText]) -> list[PartialText]:
     """Merge replicas; keep the longest copy of each text."""
-    texts_by_item: dict[ItemId, LeftText] = {}
+    texts_by_item: dict[ItemId, PartialText] = {}
     for text in itertools.chain(*copies):
         kept = texts_by_item.get(text.item)
         if kept is None or len(kept.parts) < len(text.parts):
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/step_hold.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/weight_change_hold.py
@@ -10,14 +10,14 @@
     from yuccarill.core.ids import Instant
     from yuccarill.core.ids import ModelName
     from yuccarill.core.ids import WeightVersion
-    from yuccarill.core.jobs.board import JobBoard
+    from yuccarill.core.jobs.job_queue import JobQueue
 
 # Seconds after a version is announced for which its step is awaited. A trainer
 # that is late does not submit the step in time.
 HOLD_SECONDS = 3.0
 
 
-class StepHold:
+class WeightChangeHold:
     """Track announced versions whose step has items without an engine.
 
     A trainer announces version k and then submits step k, which may run on
@@ -31,10 +31,10 @@
             ModelName, tuple[WeightVersion, Instant]
         ] = {}
 
-    def held(
+    def held_models(
         self,
         versions_by_model: Mapping[ModelName, WeightVersion],
-        board: JobBoard,
+        board: JobQueue,
         now: Instant,
     ) -> set[ModelName]:
         """Return the models whose next step is not placed yet."""
@@ -55,7 +55,7 @@
 
 
 def _is_placed(
-    board: JobBoard, model: ModelName, version: WeightVersion
+    board: JobQueue, model: ModelName, version: WeightVersion
 ) -> bool:
     steps = [
         state
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/weights.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/weights.py
@@ -119,7 +119,7 @@
     assigned = assign_engines(
         fleet, ready, sorted(versions_by_model), items_by_model, now
     )
-    busy = sum(1 for engine in ready if engine.switching)
+    busy = sum(1 for engine in ready if engine.switching_models)
     limit = max(MIN_LOADING, math.floor(LOADING_FRACTION * len(ready))) - busy
     candidates: list[tuple[float, Switch]] = []
     for model, engines in assigned.items():
@@ -130,10 +130,10 @@
         serving_ids = {engine.target.id for engine in serving}
         # At least one engine keeps serving a model until another one does.
         allowed = max(1, len(engines) - 1)
-        allowed -= sum(1 for e in engines if model in e.switching)
+        allowed -= sum(1 for e in engines if model in e.switching_models)
         for engine in sorted(engines, key=lambda e: e.running):
             current = engine.version(model) or 0
-            if engine.switching or current >= version:
+            if engine.switching_models or current >= version:
                 continue
             is_serving = engine.target.id in serving_ids
             if is_serving and (allowed <= 0 or model in held):
@@ -165,7 +165,7 @@
     engine: EngineState, model: ModelName, version: WeightVersion
 ) -> bool:
     """Return whether an engine can run the step that needs a version."""
-    if model in engine.switching:
+    if model in engine.switching_models:
         return False
     return (engine.version(model) or 0) >= version - 1
 
@@ -178,7 +178,7 @@
     A weight change interrupts or moves the text, and the longest texts decide
     when a step ends. None is spared if the rest can't serve the next step.
     """
-    urgent = [engine for engine in serving if model in engine.hurried]
+    urgent = [engine for engine in serving if model in engine.urgent_models]
     return urgent if len(urgent) <= MAX_SPARED_FRACTION * count else []
 
 
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/placement.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/placement.py
@@ -16,11 +16,11 @@
     from yuccarill.core.ids import TargetId
     from yuccarill.core.rollouts.engine_history import EngineHistory
     from yuccarill.core.rollouts.engines import EnginePool
-    from yuccarill.core.rollouts.lanes import Lane
     from yuccarill.core.rollouts.plan import Attempt
     from yuccarill.core.rollouts.plan import StepPlan
     from yuccarill.core.rollouts.sample import Place
     from yuccarill.core.rollouts.sample import Span
+    from yuccarill.core.rollouts.step_queue import Lane
 
 # Interval of the check for hedged attempts, which is too expensive to run with
 # every event of a large step.
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/scheduler.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/scheduler.py
@@ -9,8 +9,8 @@
 from yuccarill.core.ids import Instant
 from yuccarill.core.rollouts import engine_history
 from yuccarill.core.rollouts import engines as engines_module
-from yuccarill.core.rollouts import lanes as lanes_module
 from yuccarill.core.rollouts import placement
+from yuccarill.core.rollouts import step_queue as lanes_module
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -71,7 +71,7 @@
             self._lanes_by_trainer[trainer.id] = lane
         lane.open_step(trainer, work, self._placement.virtual_time)
 
-    def settle(self, work: StepWork) -> None:
+    def cancel_step(self, work: StepWork) -> None:
         """Cancel the remaining attempts of a complete step."""
         plan = self.plan_of(work)
         if plan is None:
@@ -83,7 +83,7 @@
 
     def close_step(self, work: StepWork) -> None:
         """Remove a step that its trainer has closed, in any order."""
-        self.settle(work)
+        self.cancel_step(work)
         plan = self.plan_of(work)
         if plan is not None:
             self._lanes_by_trainer[work.trainer].plans.remove(plan)
@@ -102,14 +102,14 @@
                 for attempt in list(attempts):
                     self._drop_if_stale(attempt, lane)
 
-    def again(self, work: StepWork, places: Iterable[Place]) -> None:
+    def requeue_places(self, work: StepWork, places: Iterable[Place]) -> None:
         """Queue places again, without earlier tokens."""
         plan = self.plan_of(work)
         for place in places:
             if plan is not None and place not in plan.attempts_by_place:
                 plan.add(place)
 
-    def crowded(self, attempt: Attempt, now: Instant) -> None:
+    def pause_engine(self, attempt: Attempt, now: Instant) -> None:
         """Pause an engine that queues samples, whoever sent them."""
         # Instances don't know each other's samples. Sending more would only
         # move samples from the queue here to the queue of the engine, where
@@ -117,7 +117,7 @@
         until = Instant(now + QUEUEING_PAUSE_SECONDS)
         self._pool_of(attempt).pause(attempt.engine, until)
 
-    def progress(
+    def record_progress(
         self,
         attempt: Attempt,
         version: WeightVersion,
@@ -132,7 +132,7 @@
         lane = self._lanes_by_trainer[trainer]
         return not self._drop_if_stale(attempt, lane)
 
-    def generated(self, attempt: Attempt, now: Instant) -> bool:
+    def finish_attempt(self, attempt: Attempt, now: Instant) -> bool:
         """Release the slot; return whether the sample is its place's first."""
         if not self._end(attempt):
             return False
@@ -147,7 +147,7 @@
         plan.fill(attempt.place)
         return is_first
 
-    def failed(self, attempt: Attempt, now: Instant) -> bool:
+    def fail_attempt(self, attempt: Attempt, now: Instant) -> bool:
         """Queue a place again; return False if it is out of attempts."""
         if not self._end(attempt):
             return True
@@ -161,7 +161,7 @@
             plan.failures_by_place[attempt.place] = 0
         return plan.failures_by_place[attempt.place] < MAX_FAILURES
 
-    def orders(self, now: Instant) -> Orders:
+    def next_orders(self, now: Instant) -> Orders:
         """Return the attempts to start and to cancel now."""
         started: list[Attempt] = []
         for model, pool in self._pools_by_model.items():
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/work.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/work.py
@@ -90,7 +90,9 @@
             >= self._needed_groups
         )
 
-    def take(self, finished: Finished, disks: tuple[Disk, ...] = ()) -> bool:
+    def add_sample(
+        self, finished: Finished, disks: tuple[Disk, ...] = ()
+    ) -> bool:
         """Add a sample; return False if it is late or a duplicate."""
         place = sample_module.place_of(finished.id)
         # A hedged attempt or a repeated scorer response may deliver a place
--- a/packages/yuccarill-core/tests/jobs/items.py
+++ b/packages/yuccarill-core/tests/jobs/items.py
@@ -13,13 +13,13 @@
 from yuccarill.core.ids import TargetId
 from yuccarill.core.ids import WallTime
 from yuccarill.core.ids import WeightVersion
-from yuccarill.core.jobs import board
 from yuccarill.core.jobs import engines
 from yuccarill.core.jobs.job import GroupId
 from yuccarill.core.jobs.job import Item
 from yuccarill.core.jobs.job import ItemId
 from yuccarill.core.jobs.job import Job
 from yuccarill.core.jobs.job import JobId
+from yuccarill.core.jobs import job_queue
 
 MODEL = ModelName('m')
 
@@ -63,8 +63,8 @@
     )
 
 
-def make_state(job: Job, submitted_at: float = 0.0) -> board.JobState:
-    return board.JobState(
+def make_state(job: Job, submitted_at: float = 0.0) -> job_queue.JobState:
+    return job_queue.JobState(
         job,
         Instant(submitted_at),
         Instant(submitted_at + 7.5),
--- a/packages/yuccarill-core/tests/jobs/load_model.py
+++ b/packages/yuccarill-core/tests/jobs/load_model.py
@@ -13,9 +13,9 @@
 import msgspec
 
 from yuccarill.core.ids import Instant
-from yuccarill.core.jobs import board as board_module
+from yuccarill.core.jobs import engine_assignment
 from yuccarill.core.jobs import engines as engines_module
-from yuccarill.core.jobs import placing
+from yuccarill.core.jobs import job_queue as board_module
 from yuccarill.core.jobs import text
 
 from . import items
@@ -76,7 +76,7 @@
         self._hint_random = random.Random(seed)
         self._mean_events = mean_events
         self._max_events = max_events
-        self._board = board_module.JobBoard()
+        self._board = board_module.JobQueue()
         self._events_by_item: dict[str, int] = {}
         self._generated_by_item: dict[str, int] = {}
         self._running: list[Running] = []
@@ -176,7 +176,7 @@
         item = running.run.item
         self._generated_by_item[item.id] += 1
         if running.last_at > running.started_at:
-            running.engine.saw_gap(now - running.last_at, now)
+            running.engine.record_gap(now - running.last_at, now)
         running.last_at = now
         slowness = self._slowness(running.engine.target.id, now)
         running.next_at = now + EVENT_SECONDS * slowness
@@ -199,12 +199,12 @@
         waiting = self._board.count_waiting()
         for running in list(self._running):
             engine, job = running.engine, running.run.job
-            if not self._fleet.is_held_up(
+            if not self._fleet.should_move(
                 engine, job, running.started_at, running.last_at, now
             ):
                 continue
-            places = placing.Placing(self._fleet, now)
-            if places.free_places(job, engine) <= waiting:
+            places = engine_assignment.EngineAssigner(self._fleet, now)
+            if places.free_slots(job, engine) <= waiting:
                 continue
             waiting += 1
             if self._fleet.is_silent(running.last_at, now):
--- a/packages/yuccarill-core/tests/jobs/test_board.py
+++ b/packages/yuccarill-core/tests/jobs/test_board.py
@@ -8,10 +8,10 @@
 
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import WeightVersion
-from yuccarill.core.jobs import board as board_module
 from yuccarill.core.jobs.job import ItemId
 from yuccarill.core.jobs.job import ItemResult
 from yuccarill.core.jobs.job import ResultState
+from yuccarill.core.jobs import job_queue as board_module
 from yuccarill.core.jobs import text as text_module
 from yuccarill.core.jobs.text import StreamEvent
 
@@ -21,7 +21,7 @@
 def add_events(run: board_module.ItemRun, version: int, count: int) -> None:
     run.text.begin_run(WeightVersion(version))
     for number in range(run.text.events + 1, count + 1):
-        run.text.take(StreamEvent(number=number, data=f'd{number}'))
+        run.text.add_event(StreamEvent(number=number, data=f'd{number}'))
 
 
 def make_result(item: str) -> ItemResult:
@@ -36,7 +36,7 @@
 
 class OrderTest(unittest.TestCase):
     def test_jobs_with_the_earliest_deadline_go_first(self) -> None:
-        board = board_module.JobBoard()
+        board = board_module.JobQueue()
         board.add(items.make_state(items.make_job('late'), 4.0))
         board.add(items.make_state(items.make_job('early'), 0.0))
         ids = [run.job.id for run in board.waiting()]
@@ -45,7 +45,7 @@
     def test_started_groups_go_before_new_ones(self) -> None:
         # Only complete groups count, so the other item of the started group 1
         # goes before the items of group 0.
-        board = board_module.JobBoard()
+        board = board_module.JobQueue()
         state = items.make_state(items.make_job())
         board.add(state)
         run = state.runs_by_id[ItemId('j-1-0')]
@@ -62,14 +62,14 @@
         self.assertFalse(state.is_finished)
 
     def test_published_items_are_not_run_again(self) -> None:
-        board = board_module.JobBoard()
+        board = board_module.JobQueue()
         state = items.make_state(items.make_job())
         board.add(state, [make_result('j-0-0'), make_result('j-0-1')])
         order = [run.item.id for run in board.waiting()]
         self.assertEqual(['j-1-0', 'j-1-1'], order)
 
     def test_items_past_retention_expire(self) -> None:
-        board = board_module.JobBoard()
+        board = board_module.JobQueue()
         board.add(items.make_state(items.make_job()))
         self.assertEqual([], board.expired(Instant(39.9)))
         self.assertEqual(4, len(board.expired(Instant(40.0))))
@@ -105,7 +105,7 @@
     def resubmit(
         self, min_version: int, **more: object
     ) -> tuple[board_module.ItemRun, list[board_module.ItemRun]]:
-        board = board_module.JobBoard()
+        board = board_module.JobQueue()
         state = items.make_state(items.make_job())
         board.add(state)
         run = state.runs_by_id[ItemId('j-0-0')]
@@ -137,14 +137,14 @@
 
         The previous holder has published one of the group's two items.
         """
-        board = board_module.JobBoard()
+        board = board_module.JobQueue()
         state = items.make_state(items.make_job(min_version=2))
         board.add(state, [make_result('j-0-0')])
         board.remove(state.job.id)
         again = items.make_state(items.make_job(min_version=2))
         whole = board.add(again)
         self.assertEqual([again.runs_by_id[ItemId('j-0-0')]], whole)
-        result = whole[0].completed(str(whole[0].score))
+        result = whole[0].completed_result(str(whole[0].score))
         self.assertEqual(make_result('j-0-0'), result)
 
 
@@ -152,8 +152,8 @@
     """Another instance resumes the texts of a board."""
 
     def setUp(self) -> None:
-        self.before = board_module.JobBoard()
-        self.after = board_module.JobBoard()
+        self.before = board_module.JobQueue()
+        self.after = board_module.JobQueue()
         self.state = items.make_state(items.make_job(min_version=2))
         self.before.add(self.state)
 
@@ -161,7 +161,7 @@
         return self.state.runs_by_id[ItemId(item)]
 
     def hand_over(self, **more: object) -> board_module.JobState:
-        self.after.leave(self.before.left(listed=()))
+        self.after.keep_partial_texts(self.before.partial_texts(listed=()))
         state = items.make_state(items.make_job(min_version=2, **more))
         self.whole = self.after.add(state)
         return state
@@ -177,8 +177,8 @@
         # The engine that resumes the text may have other weights.
         add_events(self.run_of('j-0-0'), version=2, count=3)
         run = self.hand_over().runs_by_id[ItemId('j-0-0')]
-        with self.assertRaises(text_module.TextBroken):
-            run.text.take(StreamEvent(number=4, data='d4'))
+        with self.assertRaises(text_module.TextSequenceError):
+            run.text.add_event(StreamEvent(number=4, data='d4'))
 
     def test_an_unpublished_result_is_reused(self) -> None:
         run = self.run_of('j-0-0')
@@ -194,7 +194,7 @@
         # Results are in the store; traffic between data centres is expensive.
         add_events(self.run_of('j-0-0'), version=2, count=3)
         add_events(self.run_of('j-0-1'), version=2, count=3)
-        found = self.before.left(listed={ItemId('j-0-0')})
+        found = self.before.partial_texts(listed={ItemId('j-0-0')})
         self.assertEqual(['j-0-1'], [text.item for text in found])
 
     def test_texts_of_open_jobs_come_first(self) -> None:
@@ -204,7 +204,7 @@
         state = items.make_state(items.make_job('k'))
         self.before.add(state)
         add_events(state.runs_by_id[ItemId('k-0-0')], version=1, count=1)
-        found = self.before.left(listed=())
+        found = self.before.partial_texts(listed=())
         self.assertEqual(['k-0-0', 'j-0-0'], [text.item for text in found])
 
 
@@ -227,4 +227,4 @@
         state = items.make_state(job)
         for item in job.items[: 2 * whole]:
             state.end(item.id)
-        self.assertIs(expected, state.is_awaited(Instant(now)))
+        self.assertIs(expected, state.is_listing_urgent(Instant(now)))
--- a/packages/yuccarill-core/tests/jobs/test_engines.py
+++ b/packages/yuccarill-core/tests/jobs/test_engines.py
@@ -10,8 +10,8 @@
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import TargetId
 from yuccarill.core.ids import WeightVersion
+from yuccarill.core.jobs import engine_assignment
 from yuccarill.core.jobs import engines
-from yuccarill.core.jobs import placing
 
 from . import items
 
@@ -26,7 +26,7 @@
         engine = fleet.engines_by_id[TargetId(name)]
         now = until - 1.0
         while now <= until:
-            engine.saw_gap(gap, Instant(now))
+            engine.record_gap(gap, Instant(now))
             now += gap
 
 
@@ -53,7 +53,7 @@
         )
         by_id = fleet.engines_by_id
         by_id[TargetId('full')].runs_by_model[items.MODEL] = 1
-        by_id[TargetId('switching')].switching.add(items.MODEL)
+        by_id[TargetId('switching')].switching_models.add(items.MODEL)
         by_id[TargetId('failed')].fail(NOW)
         self.assertIsNone(fleet.choose(items.make_job(), NOW))
         later = Instant(NOW + engines.FIRST_EJECTION_SECONDS)
@@ -86,8 +86,8 @@
     def test_newest_known_version_counts(self) -> None:
         fleet = items.make_fleet(items.make_target('a', m=1))
         engine = fleet.engines_by_id[TargetId('a')]
-        engine.saw_version(items.MODEL, WeightVersion(3))
-        engine.saw_version(items.MODEL, WeightVersion(2))
+        engine.record_version(items.MODEL, WeightVersion(3))
+        engine.record_version(items.MODEL, WeightVersion(2))
         fleet.update([items.make_target('a', m=2)])
         self.assertEqual(3, engine.version(items.MODEL))
 
@@ -101,7 +101,7 @@
         record_pace(fleet, a=0.04, b=0.04)
         engine = fleet.engines_by_id[TargetId('a')]
         for _ in range(12):
-            engine.saw_gap(0.13, Instant(10.13))
+            engine.record_gap(0.13, Instant(10.13))
         self.assertFalse(fleet.is_slow(engine, Instant(10.13)))
 
     def test_a_slow_engine_is_detected_within_half_a_second(self) -> None:
@@ -111,7 +111,7 @@
         record_pace(fleet, a=0.04, b=0.04)
         engine = fleet.engines_by_id[TargetId('a')]
         for step in range(1, 5):
-            engine.saw_gap(0.12, Instant(10.0 + step * 0.12))
+            engine.record_gap(0.12, Instant(10.0 + step * 0.12))
         self.assertTrue(fleet.is_slow(engine, Instant(10.48)))
 
     def test_an_old_pace_expires(self) -> None:
@@ -145,7 +145,7 @@
             items.make_target('c'),
         )
         record_pace(fleet, a=gap, b=0.04, c=0.04)
-        found = fleet.is_held_up(
+        found = fleet.should_move(
             fleet.engines_by_id[TargetId('a')],
             items.make_job(),
             Instant(NOW - stayed),
@@ -157,9 +157,9 @@
     def test_runs_leave_an_engine_before_it_switches(self) -> None:
         fleet = items.make_fleet(items.make_target('a'))
         engine = fleet.engines_by_id[TargetId('a')]
-        engine.emptying.add(items.MODEL)
+        engine.draining_models.add(items.MODEL)
         job = items.make_job()
-        self.assertTrue(fleet.is_held_up(engine, job, NOW, NOW, NOW))
+        self.assertTrue(fleet.should_move(engine, job, NOW, NOW, NOW))
 
     def test_slots_of_slow_and_full_engines_do_not_count(self) -> None:
         fleet = items.make_fleet(
@@ -172,7 +172,7 @@
         by_id = fleet.engines_by_id
         by_id[TargetId('full')].runs_by_model[items.MODEL] = 1
         by_id[TargetId('good')].runs_by_model[items.MODEL] = 1
-        found = placing.Placing(fleet, NOW).free_places(
+        found = engine_assignment.EngineAssigner(fleet, NOW).free_slots(
             items.make_job(), by_id[TargetId('from')]
         )
         self.assertEqual(2, found)
@@ -184,9 +184,9 @@
     def setUp(self) -> None:
         self.fleet = items.make_fleet(items.make_started('a', 1, m=2))
         self.old = self.fleet.engines_by_id[TargetId('a')]
-        self.old.saw_version(items.MODEL, WeightVersion(5))
+        self.old.record_version(items.MODEL, WeightVersion(5))
         self.old.runs_by_model[items.MODEL] = 4
-        self.old.switching.add(items.MODEL)
+        self.old.switching_models.add(items.MODEL)
         for _ in range(3):
             self.old.fail(NOW)
         record_pace(self.fleet, a=0.4)
@@ -198,7 +198,7 @@
     def test_the_state_of_the_old_process_is_dropped(self) -> None:
         found = self.restart()
         self.assertEqual(1, found.version(items.MODEL))
-        self.assertEqual((0, set()), (found.running, found.switching))
+        self.assertEqual((0, set()), (found.running, found.switching_models))
         self.assertIsNone(found.known_pace(NOW))
         self.assertEqual((0, 0.0), (found.failures, found.ejected_until))
 
@@ -211,7 +211,7 @@
 
     def test_runs_of_the_old_process_move(self) -> None:
         held_up = functools.partial(
-            self.fleet.is_held_up, self.old, items.make_job(), NOW, NOW, NOW
+            self.fleet.should_move, self.old, items.make_job(), NOW, NOW, NOW
         )
         self.assertFalse(held_up())
         self.restart()
--- a/packages/yuccarill-core/tests/jobs/test_placing.py
+++ b/packages/yuccarill-core/tests/jobs/test_placing.py
@@ -13,8 +13,8 @@
 
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import ModelName
+from yuccarill.core.jobs import engine_assignment
 from yuccarill.core.jobs import engines
-from yuccarill.core.jobs import placing
 
 from . import items
 
@@ -51,11 +51,11 @@
         if draw.random() < 0.7:
             gap = draw.choice((0.04, 0.05, 0.2))
             for at in (9.0, 9.5, 9.9):
-                engine.saw_gap(gap, Instant(at))
+                engine.record_gap(gap, Instant(at))
         if draw.random() < 0.1:
             engine.fail(NOW)
         if draw.random() < 0.2:
-            engine.switching.add(ModelName('n'))
+            engine.switching_models.add(ModelName('n'))
     return fleet
 
 
@@ -65,7 +65,7 @@
         for seed in range(300):
             draw = random.Random(seed)
             fleet = random_fleet(draw)
-            found = placing.Placing(fleet, NOW)
+            found = engine_assignment.EngineAssigner(fleet, NOW)
             for _ in range(60):
                 job = items.make_job(
                     model=draw.choice(MODELS), min_version=draw.randrange(1, 4)
@@ -99,7 +99,7 @@
             *(items.make_target(f'e{number}') for number in range(3))
         )
         fleet.engines_by_id['e0'].runs_by_model[ModelName('m')] += 1
-        found = placing.Placing(fleet, NOW)
+        found = engine_assignment.EngineAssigner(fleet, NOW)
         for _ in range(2):
             engine = found.choose(items.make_job(model='m'), others, barred)
             self.assertEqual(expected, engine and engine.target.id)
@@ -109,12 +109,12 @@
             draw = random.Random(seed)
             fleet = random_fleet(draw)
             job = items.make_job(model='m')
-            found = placing.Placing(fleet, NOW)
+            found = engine_assignment.EngineAssigner(fleet, NOW)
             for engine in fleet.engines_by_id.values():
                 if draw.random() < 0.2:
                     failed = draw.choice(list(fleet.engines_by_id.values()))
                     failed.fail(NOW)
-                    found.leave_out(failed)
+                    found.exclude_engine(failed)
                 naive = sum(
                     other.target.slots - other.running
                     for other in fleet.engines_by_id.values()
@@ -122,7 +122,7 @@
                     and fleet.can_run(other, job, NOW)
                     and not fleet.is_slow(other, NOW)
                 )
-                self.assertEqual(naive, found.free_places(job, engine))
+                self.assertEqual(naive, found.free_slots(job, engine))
 
     # Number of engines and of items.
     @params((22, 300), (264, 3000), (880, 6000))
@@ -132,7 +132,7 @@
             items.make_target(f'e{number}', slots=8, m=1)
             for number in range(count)
         )
-        found = placing.Placing(fleet, NOW)
+        found = engine_assignment.EngineAssigner(fleet, NOW)
         job = items.make_job(model='m')
         placed = 0
         for _ in range(total):
--- a/packages/yuccarill-core/tests/jobs/test_planning.py
+++ b/packages/yuccarill-core/tests/jobs/test_planning.py
@@ -14,7 +14,7 @@
 
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import ModelName
-from yuccarill.core.jobs import board as board_module
+from yuccarill.core.jobs import job_queue as board_module
 from yuccarill.core.jobs import lengths
 from yuccarill.core.jobs import planning
 from yuccarill.core.speeds import pace_estimator
@@ -37,9 +37,9 @@
 
 def make_board(
     jobs: int, groups: int, size: int, seed: int = 1
-) -> board_module.JobBoard:
+) -> board_module.JobQueue:
     draw = random.Random(seed)
-    board = board_module.JobBoard()
+    board = board_module.JobQueue()
     board.lengths = CountedLengths()
     for number in range(jobs):
         job = items.make_job(f'j{number}', groups=groups, size=size)
@@ -55,7 +55,7 @@
 
 
 def make_plan(
-    board: board_module.JobBoard, engines: int
+    board: board_module.JobQueue, engines: int
 ) -> planning.FinishPlan:
     fleet = items.make_fleet(
         *(items.make_target(f'e{n}', slots=8) for n in range(engines))
--- a/packages/yuccarill-core/tests/jobs/test_standby.py
+++ b/packages/yuccarill-core/tests/jobs/test_standby.py
@@ -42,9 +42,9 @@
             now = Instant(second)
             match kind:
                 case 'h':
-                    watch.heard(now)
+                    watch.record_heartbeat(now)
                 case 'n':
-                    watch.looked(False, now)
+                    watch.record_store_probe(False, now)
                 case 'y':
-                    watch.looked(True, now)
-        self.assertIs(expected, watch.may_run(Instant(at)))
+                    watch.record_store_probe(True, now)
+        self.assertIs(expected, watch.can_run(Instant(at)))
--- a/packages/yuccarill-core/tests/jobs/test_step_hold.py
+++ b/packages/yuccarill-core/tests/jobs/test_step_hold.py
@@ -8,8 +8,8 @@
 
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import WeightVersion
-from yuccarill.core.jobs import board as board_module
-from yuccarill.core.jobs import step_hold
+from yuccarill.core.jobs import job_queue as board_module
+from yuccarill.core.jobs import weight_change_hold
 from yuccarill.core.jobs import weights
 
 from . import items
@@ -20,19 +20,19 @@
 
 class StepHoldTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.board = board_module.JobBoard()
-        self.hold = step_hold.StepHold()
+        self.board = board_module.JobQueue()
+        self.hold = weight_change_hold.WeightChangeHold()
         self.fleet = items.make_fleet(
             *(items.make_target(f'e{n}', m=1) for n in range(5))
         )
         self.switches(0.0)
 
     def held(self, now: float) -> bool:
-        found = self.hold.held(ANNOUNCED, self.board, Instant(now))
+        found = self.hold.held_models(ANNOUNCED, self.board, Instant(now))
         return items.MODEL in found
 
     def switches(self, now: float) -> int:
-        held = self.hold.held(ANNOUNCED, self.board, Instant(now))
+        held = self.hold.held_models(ANNOUNCED, self.board, Instant(now))
         found = weights.next_switches(
             self.fleet, ANNOUNCED, {}, Instant(now), held
         )
@@ -57,13 +57,15 @@
 
     def test_a_step_is_awaited_for_a_limited_time(self) -> None:
         # The trainer is late or has ended.
-        self.assertEqual(0, self.switches(step_hold.HOLD_SECONDS - 0.1))
-        self.assertGreater(self.switches(step_hold.HOLD_SECONDS), 0)
+        self.assertEqual(
+            0, self.switches(weight_change_hold.HOLD_SECONDS - 0.1)
+        )
+        self.assertGreater(self.switches(weight_change_hold.HOLD_SECONDS), 0)
 
     def test_items_without_a_slot_do_not_hold_forever(self) -> None:
         self.submit(min_version=1)
         self.assertTrue(self.held(1.0))
-        self.assertFalse(self.held(step_hold.HOLD_SECONDS))
+        self.assertFalse(self.held(weight_change_hold.HOLD_SECONDS))
 
     def test_an_older_step_is_not_the_coming_one(self) -> None:
         state = self.submit(min_version=0)
@@ -87,6 +89,6 @@
         self, version: int, expected: bool
     ) -> None:
         announced = {items.MODEL: WeightVersion(version)}
-        now = Instant(step_hold.HOLD_SECONDS + 0.1)
-        found = self.hold.held(announced, self.board, now)
+        now = Instant(weight_change_hold.HOLD_SECONDS + 0.1)
+        found = self.hold.held_models(announced, self.board, now)
         self.assertIs(expected, items.MODEL in found)
--- a/packages/yuccarill-core/tests/jobs/test_text.py
+++ b/packages/yuccarill-core/tests/jobs/test_text.py
@@ -28,34 +28,34 @@
 
     @params(None, 0, 2, 3)
     def test_first_event_must_be_the_first(self, number: int | None) -> None:
-        with self.assertRaises(text_module.TextBroken):
-            self.text().take(event(number))
+        with self.assertRaises(text_module.TextSequenceError):
+            self.text().add_event(event(number))
 
     def test_a_repeated_event_is_refused(self) -> None:
         found = self.text()
-        found.take(event(1))
-        with self.assertRaises(text_module.TextBroken):
-            found.take(event(1))
+        found.add_event(event(1))
+        with self.assertRaises(text_module.TextSequenceError):
+            found.add_event(event(1))
         self.assertEqual('d1', found.text)
 
     def test_versions_are_those_of_the_events(self) -> None:
         found = self.text()
-        found.take(event(1))
-        found.take(event(2, version=4))
-        found.take(event(3))
+        found.add_event(event(1))
+        found.add_event(event(2, version=4))
+        found.add_event(event(3))
         self.assertEqual((3, 4), found.versions)
 
     def test_a_run_without_events_adds_no_version(self) -> None:
         found = self.text()
         found.begin_run(WeightVersion(9))
-        found.take(event(1))
+        found.add_event(event(1))
         self.assertEqual((9,), found.versions)
 
     def test_unknown_weights_are_refused(self) -> None:
         found = text_module.ItemText()
         found.begin_run(None)
-        with self.assertRaises(text_module.TextBroken):
-            found.take(event(1))
+        with self.assertRaises(text_module.TextSequenceError):
+            found.add_event(event(1))
 
     @params(
         (3, False, True),
@@ -66,8 +66,8 @@
         self, min_version: int, is_single: bool, expected: bool
     ) -> None:
         found = self.text()
-        found.take(event(1))
-        found.take(event(2, version=4))
+        found.add_event(event(1))
+        found.add_event(event(2, version=4))
         fits = found.fits(WeightVersion(min_version), is_single)
         self.assertEqual(expected, fits)
 
@@ -82,5 +82,5 @@
                 found.begin_run(WeightVersion(draw.randint(1, 3)))
                 last = draw.randint(found.events, count)
                 for number in range(found.events + 1, last + 1):
-                    found.take(event(number))
+                    found.add_event(event(number))
             self.assertEqual(naive, found.text)
--- a/packages/yuccarill-core/tests/jobs/test_text_copies.py
+++ b/packages/yuccarill-core/tests/jobs/test_text_copies.py
@@ -9,12 +9,12 @@
 
 from yuccarill.core.ids import WeightVersion
 from yuccarill.core.jobs.job import ItemId
-from yuccarill.core.jobs import left_text
+from yuccarill.core.jobs import partial_text
 from yuccarill.core.jobs import text_copies
 
 
-def text(item: str, events: int, run: int = 0) -> left_text.LeftText:
-    return left_text.LeftText(
+def text(item: str, events: int, run: int = 0) -> partial_text.PartialText:
+    return partial_text.PartialText(
         item=ItemId(item),
         body_digest=b'b',
         scoring_digest=b's',
@@ -30,7 +30,7 @@
     def copy(self, *texts):
         changes = self.copied.changes(texts)
         for change in changes:
-            self.copied.copied(change)
+            self.copied.record_change(change)
         return [(c.first, len(c.text.parts)) for c in changes]
 
     def test_only_new_events_are_copied(self):
@@ -69,7 +69,7 @@
     )
     def test_continued(self, _, known, first, expected):
         whole = text('a', 4)
-        rest = left_text.LeftText(
+        rest = partial_text.PartialText(
             item=whole.item,
             body_digest=whole.body_digest,
             scoring_digest=whole.scoring_digest,
@@ -78,7 +78,7 @@
         )
         change = text_copies.TextChange(text=rest, first=first)
         before = None if known is None else text('a', known)
-        found = text_copies.continued(before, change)
+        found = text_copies.apply_change(before, change)
         self.assertEqual(expected, None if found is None else len(found.parts))
         if found is not None:
             self.assertEqual(whole.parts, found.parts)
@@ -99,8 +99,8 @@
             for change in copied.changes([text('a', events, run)]):
                 if draw.random() < 0.3:
                     continue
-                copied.copied(change)
-                held = text_copies.continued(held, change)
+                copied.record_change(change)
+                held = text_copies.apply_change(held, change)
                 self.assertIsNotNone(held)
         if held is not None:
             runs = {part.partition('.')[0] for part in held.parts}
--- a/packages/yuccarill-core/tests/jobs/test_hurry.py
+++ b/packages/yuccarill-core/tests/jobs/test_urgent_texts.py
@@ -14,7 +14,7 @@
 from yuccarill.core.ids import ModelName
 from yuccarill.core.ids import TargetId
 from yuccarill.core.ids import WeightVersion
-from yuccarill.core.jobs import board
+from yuccarill.core.jobs import job_queue
 from yuccarill.core.jobs import weights
 
 from . import items
@@ -43,7 +43,7 @@
         )
         names = [TargetId(f'e{number}') for number in range(hurried)]
         for name in names:
-            fleet.engines_by_id[name].hurried.add(M)
+            fleet.engines_by_id[name].urgent_models.add(M)
         changed: set[TargetId] = set()
         for _ in range(count):
             for switch in weights.next_switches(
@@ -51,7 +51,7 @@
             ):
                 changed.add(switch.engine)
                 engine = fleet.engines_by_id[switch.engine]
-                engine.saw_version(M, switch.version)
+                engine.record_version(M, switch.version)
         self.assertEqual(expected, len(changed & set(names)))
         self.assertEqual(count - hurried, len(changed - set(names)))
 
@@ -70,16 +70,18 @@
     def test_texts_with_little_slack_are_urgent(
         self, events: int, due: float, now: float, expected: bool
     ) -> None:
-        found = board.JobBoard()
+        found = job_queue.JobQueue()
         job = items.make_job()
-        state = board.JobState(job, Instant(0.0), Instant(due), Instant(40.0))
+        state = job_queue.JobState(
+            job, Instant(0.0), Instant(due), Instant(40.0)
+        )
         found.add(state)
         run = next(state.waiting())
         found.seconds_left = lambda run, pace: pace * events
-        self.assertIs(expected, found.is_hurried(run, 0.04, Instant(now)))
+        self.assertIs(expected, found.is_urgent(run, 0.04, Instant(now)))
 
     def test_a_text_of_an_ended_job_is_not_urgent(self) -> None:
-        found = board.JobBoard()
+        found = job_queue.JobQueue()
         state = items.make_state(items.make_job())
         run = next(state.waiting())
-        self.assertFalse(found.is_hurried(run, 0.04, Instant(9.0)))
+        self.assertFalse(found.is_urgent(run, 0.04, Instant(9.0)))
--- a/packages/yuccarill-core/tests/jobs/test_weights.py
+++ b/packages/yuccarill-core/tests/jobs/test_weights.py
@@ -70,7 +70,7 @@
         before = weights.assign_engines(fleet, ready, models, {}, NOW)
         for model, followers in before.items():
             for engine in followers:
-                engine.saw_version(model, WeightVersion(4))
+                engine.record_version(model, WeightVersion(4))
         left = [e for e in ready if e is not before[ModelName('a')][0]]
         after = weights.assign_engines(fleet, left, models, {}, NOW)
         for name in 'bc':
@@ -98,7 +98,7 @@
         """Guards against a step without an engine while both change."""
         fleet = fleet_of(2, m=1)
         (switch,) = weights.next_switches(fleet, announced(m=2), {}, NOW)
-        fleet.engines_by_id[switch.engine].switching.add(switch.model)
+        fleet.engines_by_id[switch.engine].switching_models.add(switch.model)
         self.assertEqual(
             [], weights.next_switches(fleet, announced(m=2), {}, NOW)
         )
@@ -117,7 +117,7 @@
         fleet = fleet_of(3, a=1, b=1)
         for engine in fleet.engines_by_id.values():
             if engine.target.id != TargetId('e0'):
-                engine.saw_version(ModelName('a'), WeightVersion(2))
+                engine.record_version(ModelName('a'), WeightVersion(2))
         failed = fleet.engines_by_id[TargetId('e1')]
         failed.fail(NOW)
         found = weights.assign_engines(
--- a/packages/yuccarill-core/tests/jobs/trainer_model.py
+++ b/packages/yuccarill-core/tests/jobs/trainer_model.py
@@ -16,9 +16,9 @@
 
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import ModelName
-from yuccarill.core.jobs import board as board_module
+from yuccarill.core.jobs import engine_assignment
 from yuccarill.core.jobs import engines as engines_module
-from yuccarill.core.jobs import placing
+from yuccarill.core.jobs import job_queue as board_module
 from yuccarill.core.jobs import planning
 from yuccarill.core.speeds import pace_estimator
 
@@ -106,7 +106,7 @@
             items.make_target(f'e{number}', slots=slots, **models)
             for number in range(engine_count)
         )
-        self._board = board_module.JobBoard()
+        self._board = board_module.JobQueue()
         self._plan = None
         if is_planned:
             self._plan = planning.FinishPlan(self._board, self._fleet)
@@ -215,12 +215,12 @@
         )
 
     def _move_runs(self, _: None, now: Instant) -> None:
-        placer = placing.Placing(self._fleet, now)
+        placer = engine_assignment.EngineAssigner(self._fleet, now)
         waiting = self._board.count_waiting()
         for running in list(self._running.values()):
             if self._is_better_off(running, placer, waiting, now):
                 waiting += 1
-                placer.moved(running.run.job)
+                placer.reserve_slot(running.run.job)
                 self._stop(running.run)
                 running.run.state = board_module.RunState.WAITING
         self._place_waiting(now)
@@ -229,24 +229,24 @@
     def _is_better_off(
         self,
         running: Running,
-        placer: placing.Placing,
+        placer: engine_assignment.EngineAssigner,
         waiting: int,
         now: Instant,
     ) -> bool:
         engine, run = running.engine, running.run
-        if placer.free_places(run.job, engine) <= waiting:
+        if placer.free_slots(run.job, engine) <= waiting:
             return False
         if self._plan is not None and now - running.started_at > 0.25:
             return self._plan.is_better_off(run, engine, placer, now)
-        return self._fleet.is_held_up(
+        return self._fleet.should_move(
             engine, run.job, running.started_at, running.last_at, now
         )
 
     def _place_waiting(self, now: Instant) -> None:
-        if not self._fleet.has_places(now):
+        if not self._fleet.has_free_slots(now):
             return
         pace = self._fleet.usual_pace(now) or EVENT_SECONDS
-        placer = placing.Placing(self._fleet, now)
+        placer = engine_assignment.EngineAssigner(self._fleet, now)
         waiting: Any = self._board.waiting(pace)
         if self._plan is not None:
             waiting = self._plan.waiting(pace, now)
@@ -283,10 +283,10 @@
             return
         run, engine = running.run, running.engine
         run.text.begin_run(run.job.min_version)
-        run.text.take(load_model.event(run.text.events + 1))
+        run.text.add_event(load_model.event(run.text.events + 1))
         if running.has_event:
             gap = now - running.last_at
-            engine.saw_gap(gap, now)
+            engine.record_gap(gap, now)
             if self.speeds is not None:
                 beside = engine.running - 1
                 self.speeds.record_unit(engine.target.id, gap, beside, now)
--- a/packages/yuccarill-core/tests/rollouts/test_scheduler.py
+++ b/packages/yuccarill-core/tests/rollouts/test_scheduler.py
@@ -63,14 +63,14 @@
         self.scheduler.set_engines(MODEL, ENGINES)
 
     def _orders(self, after: float = 0.0) -> scheduler.Orders:
-        return self.scheduler.orders(Instant(START + after))
+        return self.scheduler.next_orders(Instant(START + after))
 
     def _progress(
         self, attempt: plan.Attempt, version: int = 1, tokens: int = 100
     ) -> bool:
         reported = WeightVersion(version)
         attempt.spans = sample.append(attempt.spans, reported, (7,) * tokens)
-        return self.scheduler.progress(attempt, reported, tokens, START)
+        return self.scheduler.record_progress(attempt, reported, tokens, START)
 
     @hypothesis.seed(6)
     @hypothesis.settings(deadline=None, database=None, max_examples=60)
@@ -94,7 +94,7 @@
             now += 0.5
             engines = [e for e in ENGINES if draw.random() < 0.8]
             tested.set_engines(MODEL, engines or ENGINES[:1])
-            orders = tested.orders(Instant(now))
+            orders = tested.next_orders(Instant(now))
             running = [a for a in running if a not in orders.cancel]
             running.extend(orders.start)
             loads = collections.Counter(a.engine for a in running)
@@ -108,8 +108,8 @@
                 continue
             attempt = running.pop(draw.randrange(len(running)))
             if draw.random() < 0.3:
-                tested.failed(attempt, Instant(now))
-            elif tested.generated(attempt, Instant(now)):
+                tested.fail_attempt(attempt, Instant(now))
+            elif tested.finish_attempt(attempt, Instant(now)):
                 done[attempt.plan.work.trainer, attempt.place] += 1
             if set(done) == wanted:
                 break
@@ -122,14 +122,14 @@
         self.scheduler.open_step(_trainer(), _work())
         first = self._orders().start[0]
         self._progress(first)
-        self.scheduler.failed(first, START)
+        self.scheduler.fail_attempt(first, START)
         resumed = self._resumed(first)
         self.assertEqual(first.spans, resumed.spans)
         self.assertNotEqual(first.engine, resumed.engine)
 
     def _resumed(self, first: plan.Attempt) -> plan.Attempt:
         others = [a for a in self._running(first) if a is not first]
-        self.scheduler.generated(others[0], START)
+        self.scheduler.finish_attempt(others[0], START)
         started = self._orders().start
         return next(a for a in started if a.place == first.place)
 
@@ -142,7 +142,7 @@
         made = scheduler.Scheduler(slots=16)
         made.set_engines(MODEL, ENGINES)
         made.open_step(_trainer(), _work(groups=6))
-        started = made.orders(START).start
+        started = made.next_orders(START).start
         loads = collections.Counter(attempt.engine for attempt in started)
         self.assertEqual({3}, set(loads.values()))
 
@@ -151,11 +151,11 @@
         # it becomes free at once.
         self.scheduler.open_step(_trainer(), _work(groups=20))
         crashed = self._orders().start[0]
-        self.scheduler.failed(crashed, START)
+        self.scheduler.fail_attempt(crashed, START)
         self.assertEqual((), self._orders(0.5).start)
         started = self._orders(1.5).start
         self.assertEqual([crashed.engine], [a.engine for a in started])
-        self.scheduler.failed(started[0], Instant(START + 1.5))
+        self.scheduler.fail_attempt(started[0], Instant(START + 1.5))
         self.assertEqual((), self._orders(3.0).start)
         self.assertEqual(1, len(self._orders(3.6).start))
 
@@ -168,7 +168,7 @@
             now += 60.0
             attempt = self._orders(now).start[0]
             outcomes.append(
-                self.scheduler.failed(attempt, Instant(START + now))
+                self.scheduler.fail_attempt(attempt, Instant(START + now))
             )
         self.assertEqual([True] * (len(outcomes) - 1) + [False], outcomes)
 
@@ -182,7 +182,7 @@
         slow, *others = self._orders().start
         for other in others:
             self._progress(other, tokens=3000)
-            self.scheduler.generated(other, Instant(START + 3.0))
+            self.scheduler.finish_attempt(other, Instant(START + 3.0))
         self._progress(slow, tokens=tokens * 100)
         self._orders(10.0)
         self.assertEqual(
@@ -203,12 +203,12 @@
         made = scheduler.Scheduler(slots=4)
         made.set_engines(MODEL, ENGINES[:1])
         made.open_step(_trainer(), _work(groups=1))
-        slow, other = made.orders(START).start
+        slow, other = made.next_orders(START).start
         other.made = 3000
-        made.generated(other, Instant(START + 3.0))
-        self.assertEqual((), made.orders(Instant(START + 10.0)).start)
+        made.finish_attempt(other, Instant(START + 3.0))
+        self.assertEqual((), made.next_orders(Instant(START + 10.0)).start)
         made.set_engines(MODEL, ENGINES[:2])
-        hedge = made.orders(Instant(START + 11.0)).start[0]
+        hedge = made.next_orders(Instant(START + 11.0)).start[0]
         self.assertNotEqual(slow.engine, hedge.engine)
 
     def test_waiting_partial_sample_becomes_stale(self) -> None:
@@ -218,7 +218,7 @@
         self.scheduler.open_step(_trainer(), _work(groups=1))
         first = self._orders().start[0]
         self._progress(first, version=1)
-        self.scheduler.failed(first, START)
+        self.scheduler.fail_attempt(first, START)
         self.scheduler.raise_newest(TrainerId('t'), WeightVersion(3))
         restarted = self._orders(60.0).start[0]
         self.assertEqual((first.place, ()), (restarted.place, restarted.spans))
@@ -227,12 +227,12 @@
         self.scheduler.open_step(_trainer(), _work(groups=1))
         slow, other = self._orders().start
         self._progress(other, tokens=3000)
-        self.scheduler.generated(other, Instant(START + 3.0))
+        self.scheduler.finish_attempt(other, Instant(START + 3.0))
         self._progress(slow, tokens=1)
         hedge = self._orders(10.0).start[0]
-        self.assertTrue(self.scheduler.generated(hedge, START))
+        self.assertTrue(self.scheduler.finish_attempt(hedge, START))
         self.assertEqual((slow,), self._orders(10.0).cancel)
-        self.assertFalse(self.scheduler.generated(slow, START))
+        self.assertFalse(self.scheduler.finish_attempt(slow, START))
 
     def test_stale_attempt_is_cancelled_and_restarted(self) -> None:
         # Version 3 is announced while a sample of version 1 runs.
@@ -241,7 +241,7 @@
         self._progress(old, version=1)
         self._progress(young, version=2)
         self.scheduler.raise_newest(TrainerId('t'), WeightVersion(3))
-        self.scheduler.generated(other, START)
+        self.scheduler.finish_attempt(other, START)
         orders = self._orders()
         self.assertEqual((old,), orders.cancel)
         restarted = next(a for a in orders.start if a.place == old.place)
@@ -283,7 +283,7 @@
         for _ in range(80):
             for attempt in self._orders().start:
                 served[attempt.plan.work.trainer] += 1
-                self.scheduler.generated(attempt, START)
+                self.scheduler.finish_attempt(attempt, START)
                 if not attempt.plan.unfilled:
                     self.scheduler.close_step(attempt.plan.work)
             if served.total() >= 120:
@@ -297,7 +297,7 @@
             work = _work('a', number)
             self.scheduler.open_step(_trainer('a'), work)
             for attempt in self._orders().start:
-                self.scheduler.generated(attempt, START)
+                self.scheduler.finish_attempt(attempt, START)
             self.scheduler.close_step(work)
         self.scheduler.open_step(_trainer('b'), _work('b', 1))
         self.scheduler.open_step(_trainer('b'), _work('b', 2))
@@ -306,14 +306,14 @@
         while len(order) < 12:
             for attempt in self._orders().start:
                 order.append(attempt.plan.work.trainer)
-                self.scheduler.generated(attempt, START)
+                self.scheduler.finish_attempt(attempt, START)
         self.assertIn('a', order[4:8])
 
     def test_an_engine_continues_its_group(self) -> None:
         # Members of a group share their prompt, which the engine caches.
         self.scheduler.open_step(_trainer(), _work(groups=8))
         first = self._orders().start[0]
-        self.scheduler.generated(first, START)
+        self.scheduler.finish_attempt(first, START)
         following = self._orders().start[0]
         self.assertEqual(first.place.group, following.place.group)
         self.assertEqual(first.engine, following.engine)
@@ -323,7 +323,7 @@
         work = _work()
         self.scheduler.open_step(_trainer(), work)
         for attempt in self._orders().start:
-            self.scheduler.generated(attempt, START)
+            self.scheduler.finish_attempt(attempt, START)
         self.scheduler.close_step(work)
         self._orders()
         kept = weakref.ref(work)
@@ -335,7 +335,7 @@
         work = _work(groups=2, spare=1)
         self.scheduler.open_step(_trainer(), work)
         running = set(self._orders().start)
-        self.scheduler.settle(work)
+        self.scheduler.cancel_step(work)
         orders = self._orders()
         self.assertEqual(running, set(orders.cancel))
         self.assertEqual((), orders.start)
--- a/packages/yuccarill-core/tests/rollouts/test_work.py
+++ b/packages/yuccarill-core/tests/rollouts/test_work.py
@@ -37,12 +37,14 @@
         # Guards against counting a place twice after a hedged attempt or a
         # repeated scorer response.
         place, *others = self.work.places()
-        self.assertTrue(self.work.take(_finished(self.work, place, 1)))
+        self.assertTrue(self.work.add_sample(_finished(self.work, place, 1)))
         for _ in range(2):
-            self.assertFalse(self.work.take(_finished(self.work, place, 2)))
+            self.assertFalse(
+                self.work.add_sample(_finished(self.work, place, 2))
+            )
         self.assertFalse(self.work.is_whole)
         for other in others:
-            self.work.take(_finished(self.work, other, 3))
+            self.work.add_sample(_finished(self.work, other, 3))
         self.assertTrue(self.work.is_whole)
         self.assertEqual([1, 3, 3], [f.oldest_version for f in self._all()])
 
@@ -50,11 +52,11 @@
         # Attempts may end after their step has failed or closed.
         self.work.error = errors.GroupFailed('a group failed')
         place = self.work.places()[0]
-        self.assertFalse(self.work.take(_finished(self.work, place, 1)))
+        self.assertFalse(self.work.add_sample(_finished(self.work, place, 1)))
 
     def test_only_stale_places_are_dropped(self) -> None:
         for attempt, place in enumerate(self.work.places()):
-            self.work.take(_finished(self.work, place, attempt))
+            self.work.add_sample(_finished(self.work, place, attempt))
         stale = self.work.drop_stale(WeightVersion(3), 1)
         self.assertEqual(self.work.places()[:2], stale)
         self.assertEqual(1, len(self.work.finished_by_place))
@@ -67,7 +69,7 @@
         work = self._spare_work()
         self.assertTrue(work.give_up(GroupNumber(0)))
         for place in work.missing():
-            work.take(_finished(work, place, 1))
+            work.add_sample(_finished(work, place, 1))
         self.assertTrue(work.is_whole)
         self.assertEqual(2, len(work.in_order()))
         self.assertFalse(work.give_up(GroupNumber(1)))
@@ -75,7 +77,7 @@
     def test_dropped_sample_makes_its_group_incomplete(self) -> None:
         work = self._spare_work()
         for place in work.places()[1:]:
-            work.take(_finished(work, place, 1))
+            work.add_sample(_finished(work, place, 1))
         self.assertTrue(work.is_whole)
         work.drop_stale(WeightVersion(9), 1)
         self.assertFalse(work.is_whole)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/finishing.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/finishing.py
@@ -69,7 +69,7 @@
             stages_by_place[place] = SampleStage.SCORED
             finished = sample_module.finish(scored)
             disks = await self._store.keep(work.trainer, work.step, finished)
-            work.take(finished, disks)
+            work.add_sample(finished, disks)
             return True
         finally:
             self.active -= 1
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/rollouts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/rollouts.py
@@ -194,7 +194,7 @@
     async def _start(self, trainer: Trainer, work: StepWork) -> None:
         # A holder that crashed left what it had finished on the disks.
         for finished in await self._store.recover(work.trainer, work.step):
-            work.take(finished)
+            work.add_sample(finished)
         newest = self._fresh_samples.newest(trainer.id)
         work.drop_stale(newest, trainer.staleness_bound)
         self._maker.make(trainer, work, self._changed)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/sampling.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/sampling.py
@@ -103,7 +103,7 @@
 
     def again(self, work: StepWork, places: Iterable[Place]) -> None:
         """Fill places whose samples were dropped."""
-        self._scheduler.again(work, places)
+        self._scheduler.requeue_places(work, places)
         self.pump()
 
     def end(self, work: StepWork) -> None:
@@ -133,7 +133,7 @@
         try:
             engines_by_id = self._set_engines()
             while True:
-                orders = self._scheduler.orders(self._now())
+                orders = self._scheduler.next_orders(self._now())
                 if not orders.start and not orders.cancel:
                     break
                 self._carry_out(orders, engines_by_id)
@@ -175,14 +175,14 @@
         try:
             await self._generate(attempt, engine)
         except errors.YuccarillError as error:
-            if not self._scheduler.failed(attempt, self._now()):
+            if not self._scheduler.fail_attempt(attempt, self._now()):
                 self._give_up(work, attempt.place.group, error.message)
             return
         finally:
             in_flight[engine.id] -= 1
             self._generating -= 1
             self._streams_by_attempt.pop(attempt, None)
-        if self._scheduler.generated(attempt, self._now()):
+        if self._scheduler.finish_attempt(attempt, self._now()):
             finished = defer.ensureDeferred(self._finish(attempt))
             finished.addErrback(self._broken, work)
 
@@ -217,7 +217,7 @@
         attempt.spans = sample_module.append(
             attempt.spans, chunk.weight_version, chunk.tokens
         )
-        may_go_on = self._scheduler.progress(
+        may_go_on = self._scheduler.record_progress(
             attempt, chunk.weight_version, len(chunk.tokens), self._now()
         )
         if not may_go_on:
@@ -225,7 +225,7 @@
 
     def _take_report(self, attempt: Attempt, report: load.LoadReport) -> None:
         if report.queued:
-            self._scheduler.crowded(attempt, self._now())
+            self._scheduler.pause_engine(attempt, self._now())
 
     async def _finish(self, attempt: Attempt) -> None:
         work, group = attempt.plan.work, attempt.place.group
@@ -240,7 +240,7 @@
         if not is_finished:
             return
         if work.is_whole:
-            self._scheduler.settle(work)
+            self._scheduler.cancel_step(work)
             self.pump()
         self._report(work)
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/generation.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/generation.py
@@ -19,8 +19,8 @@
 
     from yuccarill.core.gateway.requests import TargetAnswer
     from yuccarill.core.ids import ContentDigest
-    from yuccarill.core.jobs.board import ItemRun
     from yuccarill.core.jobs.engines import EngineState
+    from yuccarill.core.jobs.job_queue import ItemRun
     from yuccarill.core.jobs.text import StreamEvent
     from yuccarill.daemon.gateway.quarantine.watched_calls import WatchedCalls
 
@@ -142,8 +142,8 @@
     def event(self, event: StreamEvent) -> None:
         self._see(event.version)
         try:
-            self._run.text.take(event)
-        except text_module.TextBroken as error:
+            self._run.text.add_event(event)
+        except text_module.TextSequenceError as error:
             raise http_exchange.SinkRefused(str(error)) from error
         job = self._run.job
         if not self._run.text.fits(job.min_version, job.is_single_version):
@@ -152,12 +152,12 @@
         now = Instant(self._clock.seconds())
         self._on_progress(now)
         if self._last_at is not None:
-            self._engine.saw_gap(now - self._last_at, now)
+            self._engine.record_gap(now - self._last_at, now)
         self._last_at = now
 
     def _see(self, version: WeightVersion | None) -> None:
         if version is not None and self._run.job.model is not None:
-            self._engine.saw_version(self._run.job.model, version)
+            self._engine.record_version(self._run.job.model, version)
 
 
 def content_of(run: ItemRun) -> ContentDigest:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_holds.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_holds.py
@@ -12,10 +12,10 @@
 if TYPE_CHECKING:
     from yuccarill.core.ids import ContentDigest
     from yuccarill.core.ids import ServiceName
-    from yuccarill.core.jobs.board import ItemRun
-    from yuccarill.core.jobs.board import JobBoard
+    from yuccarill.core.jobs.engine_assignment import EngineAssigner
     from yuccarill.core.jobs.engines import EngineState
-    from yuccarill.core.jobs.placing import Placing
+    from yuccarill.core.jobs.job_queue import ItemRun
+    from yuccarill.core.jobs.job_queue import JobQueue
     from yuccarill.daemon.gateway.quarantine.guard import ContentGuard
 
 log = logs.for_part('runner')
@@ -25,7 +25,7 @@
     """Say which items may run now, and apart from which others."""
 
     def __init__(
-        self, service: ServiceName, board: JobBoard, guard: ContentGuard
+        self, service: ServiceName, board: JobQueue, guard: ContentGuard
     ) -> None:
         self._service = partitions.service_of_part(service)
         self._board = board
@@ -69,7 +69,9 @@
             if state is not None:
                 state.resume(run)
 
-    def choose(self, run: ItemRun, placing: Placing) -> EngineState | None:
+    def choose(
+        self, run: ItemRun, placing: EngineAssigner
+    ) -> EngineState | None:
         """Choose an engine where a suspect is told from the others."""
         if self._guard.ledger.is_clear:
             return placing.choose(run.job)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_runs.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_runs.py
@@ -12,10 +12,10 @@
 
 from yuccarill.core.gateway import partitions
 from yuccarill.core.ids import Instant
-from yuccarill.core.jobs import board as board_module
+from yuccarill.core.jobs import engine_assignment as placing_module
 from yuccarill.core.jobs import engines as engines_module
+from yuccarill.core.jobs import job_queue as board_module
 from yuccarill.core.jobs.placement import Placement
-from yuccarill.core.jobs import placing as placing_module
 from yuccarill.core.jobs import planning
 from yuccarill.core.speeds import pace_estimator
 from yuccarill.daemon.gateway.jobs import generation
@@ -89,7 +89,7 @@
         self,
         service: ServiceName,
         state: GatewayState,
-        board: board_module.JobBoard,
+        board: board_module.JobQueue,
         fleet: engines_module.EngineFleet,
         generator: Generator,
         guard: ContentGuard,
@@ -163,7 +163,7 @@
         now = self._now()
         # Putting 8,192 waiting items in order takes 47 ms, and each run that
         # ends asks for it.
-        if not self._fleet.has_places(now):
+        if not self._fleet.has_free_slots(now):
             return
         # Items of one model and age of weights find the same engines.
         full: set[tuple[ModelName | None, WeightVersion]] = set()
@@ -172,7 +172,7 @@
             for state in self._board.jobs_by_id.values()
         }
         pace = self._fleet.usual_pace(now) or board_module.DEFAULT_PACE
-        placing = placing_module.Placing(self._fleet, now)
+        placing = placing_module.EngineAssigner(self._fleet, now)
         self._holds.resume()
         for run in self._waiting(pace, now):
             if len(full) == len(all_needs):
@@ -188,7 +188,9 @@
                     elif not self._holds.is_suspect(run):
                         full.add(needs)
                 case Permission.REVOKED:
-                    self._desk.finish(run, run.given_up(), 'its route is gone')
+                    self._desk.finish(
+                        run, run.failed_result(), 'its route is gone'
+                    )
                 case Permission.ELSEWHERE:
                     continue
 
@@ -199,7 +201,7 @@
             return self._board.waiting(pace)
         was_short = self._plan.is_short
         found = self._plan.waiting(pace, now)
-        put_off = self._plan.put_off
+        put_off = self._plan.deferred_groups
         meters.GROUPS_PUT_OFF.labels(self._service).set(put_off)
         if self._plan.is_short is not was_short:
             event = 'Engines suffice.' if was_short else 'Engines fall short.'
@@ -245,8 +247,8 @@
             beside=beside,
             estimate=round(estimate.pace, 4),
             deviation=round(estimate.deviation, 3),
-            spare=round(plan.spare(run, estimate.pace, now), 2),
-            fits=plan.fits(run),
+            spare=round(plan.slack(run, estimate.pace, now), 2),
+            fits=plan.is_feasible(run),
         )
 
     async def _run(
@@ -281,7 +283,7 @@
             case generation.Outcome.FAILED:
                 self._failed(run, run.fail())
             case generation.Outcome.IMPOSSIBLE:
-                self._desk.finish(run, run.given_up(), 'impossible')
+                self._desk.finish(run, run.failed_result(), 'impossible')
             case generation.Outcome.BROKEN:
                 run.state = board_module.RunState.WAITING
                 self._holds.note_broken(run)
@@ -294,9 +296,9 @@
             score = await self._scorer.score(run)
         run.score = score
         if score is None:
-            self._desk.finish(run, run.given_up(), 'not scored')
+            self._desk.finish(run, run.failed_result(), 'not scored')
         else:
-            self._desk.finish(run, run.completed(score), 'completed')
+            self._desk.finish(run, run.completed_result(score), 'completed')
 
     def _failed(
         self, run: board_module.ItemRun, result: ItemResult | None
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/progress.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/progress.py
@@ -20,7 +20,7 @@
 
     from yuccarill.core.ids import ServiceName
     from yuccarill.core.jobs.job import ItemId
-    from yuccarill.core.jobs.left_text import LeftText
+    from yuccarill.core.jobs.partial_text import PartialText
     from yuccarill.daemon.gateway.duty.duties import Duty
     from yuccarill.platform.store import Store
 
@@ -85,7 +85,7 @@
             ],
         )
 
-    async def read(self) -> list[LeftText]:
+    async def read(self) -> list[PartialText]:
         """Return the texts that the records hold from their start."""
         try:
             records = await self._records()
@@ -136,7 +136,7 @@
         self,
         duty: Duty,
         progress: ProgressStore,
-        open_texts: Callable[[], Iterable[LeftText]],
+        open_texts: Callable[[], Iterable[PartialText]],
         pause: Callable[[float], defer.Deferred[None]],
         clock: Any,
     ) -> None:
@@ -189,11 +189,11 @@
             if number + 1 - begun >= SLOTS:
                 self._copied.forget(item)
         texts.sort(key=lambda text: len(text.parts), reverse=True)
-        return text_copies.bounded(self._copied.changes(texts), MAX_SIZE)
+        return text_copies.limit_size(self._copied.changes(texts), MAX_SIZE)
 
     def _note(self, changes: tuple[text_copies.TextChange, ...]) -> None:
         for change in changes:
-            self._copied.copied(change)
+            self._copied.record_change(change)
             if not change.first:
                 item = change.text.item
                 self._begun_by_item[item] = self._progress.number
@@ -207,12 +207,12 @@
             log.error('Writer failed.', cause=failure.getTraceback())
 
 
-def _put_together(records: list[ProgressRecord]) -> list[LeftText]:
-    texts_by_item: dict[ItemId, LeftText] = {}
+def _put_together(records: list[ProgressRecord]) -> list[PartialText]:
+    texts_by_item: dict[ItemId, PartialText] = {}
     for record in sorted(records, key=lambda each: (each.epoch, each.number)):
         for change in record.changes:
             item = change.text.item
-            text = text_copies.continued(texts_by_item.get(item), change)
+            text = text_copies.apply_change(texts_by_item.get(item), change)
             if text is not None:
                 texts_by_item[item] = text
     return list(texts_by_item.values())
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/run_moves.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/run_moves.py
@@ -7,9 +7,9 @@
 from twisted.internet import defer
 
 from yuccarill.core.ids import Instant
-from yuccarill.core.jobs import board as board_module
+from yuccarill.core.jobs import engine_assignment as placing_module
 from yuccarill.core.jobs import engines as engines_module
-from yuccarill.core.jobs import placing as placing_module
+from yuccarill.core.jobs import job_queue as board_module
 from yuccarill.core.jobs import planning
 from yuccarill.core.speeds import pace_estimator
 from yuccarill.daemon.gateway.jobs import generation
@@ -48,7 +48,7 @@
         self, speeds: pace_estimator.PaceEstimator, now: Instant
     ) -> None:
         # An engine that takes new weights stands still for a while.
-        if not self.engine.switching:
+        if not self.engine.switching_models:
             beside = max(0, self.engine.running - 1)
             gap = now - self.last_at
             speeds.record_unit(self.engine.target.id, gap, beside, now)
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        board: board_module.JobBoard,
+        board: board_module.JobQueue,
         fleet: engines_module.EngineFleet,
         plan: planning.FinishPlan | None,
         clock: Any,
@@ -75,11 +75,11 @@
         now = self._now()
         pace = self._fleet.usual_pace(now) or board_module.DEFAULT_PACE
         for engine in self._fleet.engines_by_id.values():
-            engine.hurried.clear()
+            engine.urgent_models.clear()
         for run, generating in self.generating_by_run.items():
             model = run.job.model
-            if model is not None and self._board.is_hurried(run, pace, now):
-                generating.engine.hurried.add(model)
+            if model is not None and self._board.is_urgent(run, pace, now):
+                generating.engine.urgent_models.add(model)
 
     def move(self) -> None:
         """Move runs off engines that hold them up."""
@@ -88,21 +88,21 @@
         # engine for each place that came free moved 85 runs in a second,
         # most of them back to where they were.
         waiting = self._board.count_waiting()
-        placing = placing_module.Placing(self._fleet, now)
+        placing = placing_module.EngineAssigner(self._fleet, now)
         for run, generating in list(self.generating_by_run.items()):
             engine = generating.engine
             reason = self._reason(run, generating, placing, now)
             if reason is None:
                 continue
-            if placing.free_places(run.job, engine) <= waiting:
+            if placing.free_slots(run.job, engine) <= waiting:
                 continue
             waiting += 1
-            placing.moved(run.job)
+            placing.reserve_slot(run.job)
             self._log_move(run, generating, reason, now)
             if self._fleet.is_silent(generating.last_at, now):
                 # Otherwise the next item would wait there as long.
                 engine.fail(now)
-                placing.leave_out(engine)
+                placing.exclude_engine(engine)
             generating.is_moved = True
             generating.work.cancel()
 
@@ -110,13 +110,13 @@
         self,
         run: board_module.ItemRun,
         generating: Generating,
-        placing: placing_module.Placing,
+        placing: placing_module.EngineAssigner,
         now: Instant,
     ) -> str | None:
         """Return why a run is better off elsewhere, none if it is not."""
         engine = generating.engine
         if self._plan is None:
-            is_held_up = self._fleet.is_held_up(
+            is_held_up = self._fleet.should_move(
                 engine,
                 run.job,
                 generating.started_at,
@@ -124,9 +124,9 @@
                 now,
             )
             return 'held up' if is_held_up else None
-        if self._fleet.has_stopped(engine, run.job, generating.last_at, now):
+        if self._fleet.is_stalled(engine, run.job, generating.last_at, now):
             return 'stopped'
-        if now - generating.started_at < engines_module.MIN_STAY:
+        if now - generating.started_at < engines_module.MIN_STAY_SECONDS:
             return None
         if self._plan.is_better_off(run, engine, placing, now):
             return 'ends sooner elsewhere'
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/runner.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/runner.py
@@ -12,8 +12,8 @@
 from twisted.internet import task
 
 from yuccarill.core.ids import Instant
-from yuccarill.core.jobs import board as board_module
 from yuccarill.core.jobs import engines as engines_module
+from yuccarill.core.jobs import job_queue as board_module
 from yuccarill.daemon.gateway.jobs import cleaner
 from yuccarill.daemon.gateway.jobs import item_runs
 from yuccarill.daemon.gateway.jobs import job_reader
@@ -40,7 +40,7 @@
     from yuccarill.core.jobs.job import ItemResult
     from yuccarill.core.jobs.job import Job
     from yuccarill.core.jobs.job import JobId
-    from yuccarill.core.jobs.left_text import LeftText
+    from yuccarill.core.jobs.partial_text import PartialText
     from yuccarill.core.speeds.estimate import SpeedRecord
     from yuccarill.daemon.gateway.duty.duties import Duty
     from yuccarill.daemon.gateway.jobs.generation import Generator
@@ -77,7 +77,7 @@
         scorer: Scorer,
         engines: Engines,
         clock: Any,
-        handed: defer.Deferred[list[LeftText]],
+        handed: defer.Deferred[list[PartialText]],
         known_speeds: Callable[[], Iterable[SpeedRecord]] = tuple,
     ) -> None:
         self._state = state
@@ -86,7 +86,7 @@
         self._store = store
         self._reader = job_reader.JobReader(jobs, clock)
         self._clock = clock
-        self._board = board_module.JobBoard()
+        self._board = board_module.JobQueue()
         self._speeds = item_runs.speed_book(state.placement)
         self._fleet = engines_module.EngineFleet(self._speeds)
         self._surveys = paced_work.PacedWork(self._survey, clock)
@@ -144,7 +144,7 @@
 
     async def _start(self) -> None:
         # Before any job: an item that runs already is not looked up again.
-        self._board.leave(await self._handed)
+        self._board.keep_partial_texts(await self._handed)
         self._restore_speeds()
         for work in (self._follower.follow(), *self._requests.following()):
             following = defer.ensureDeferred(work)
@@ -189,11 +189,11 @@
         """Return the places in use, and the items that wait for one."""
         return self._fleet.running, self._board.count_waiting()
 
-    def left_texts(self) -> list[LeftText]:
+    def left_texts(self) -> list[PartialText]:
         """Return the texts that another instance would go on with."""
-        return self._board.left(self._listed_items())
+        return self._board.partial_texts(self._listed_items())
 
-    def open_texts(self) -> list[LeftText]:
+    def open_texts(self) -> list[PartialText]:
         """Return those of open jobs only."""
         return self._board.unlisted(self._listed_items())
 
@@ -247,7 +247,7 @@
     def _tick(self) -> None:
         self.survey()
         for run in self._board.expired(self._now()):
-            self.finish(run, run.given_up(), 'time is over')
+            self.finish(run, run.failed_result(), 'time is over')
         self._cleaner.update()
 
     def _work_change(self, change: Entry | Removal) -> None:
@@ -360,7 +360,9 @@
             score_failures=run.score_failures,
             seconds=round(seconds, 2),
         )
-        found.add(result, is_group_whole and state.is_awaited(self._now()))
+        found.add(
+            result, is_group_whole and state.is_listing_urgent(self._now())
+        )
 
     def track(
         self, job: JobId, work: Coroutine[Any, Any, None]
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/scoring.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/scoring.py
@@ -19,8 +19,8 @@
 if TYPE_CHECKING:
     from yuccarill.core.gateway.requests import TargetAnswer
     from yuccarill.core.gateway.routes import Route
-    from yuccarill.core.jobs.board import ItemRun
     from yuccarill.core.jobs.job import ScoreRequest
+    from yuccarill.core.jobs.job_queue import ItemRun
     from yuccarill.daemon.gateway.requests.sender import Sender
     from yuccarill.daemon.gateway.state import GatewayState
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/service_work.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/service_work.py
@@ -20,7 +20,7 @@
 
 if TYPE_CHECKING:
     from yuccarill.core.ids import ServiceName
-    from yuccarill.core.jobs.left_text import LeftText
+    from yuccarill.core.jobs.partial_text import PartialText
     from yuccarill.core.speeds.estimate import SpeedRecord
     from yuccarill.daemon.gateway.duty.holder_calls import HolderCalls
     from yuccarill.daemon.gateway.jobs.job_store import JobStore
@@ -191,7 +191,7 @@
 
     async def _left_texts(
         self, duty: duties.Duty, kept: progress.ProgressStore
-    ) -> list[LeftText]:
+    ) -> list[PartialText]:
         found = self._depot.take(duty.service)
         if found:
             return found
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/text_copier.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/text_copier.py
@@ -17,7 +17,7 @@
     from collections.abc import Iterable
 
     from yuccarill.core.ids import ServiceName
-    from yuccarill.core.jobs.left_text import LeftText
+    from yuccarill.core.jobs.partial_text import PartialText
     from yuccarill.daemon.gateway.jobs.texts import TextSender
 
 log = logs.for_part('standby')
@@ -37,7 +37,7 @@
     def __init__(
         self,
         service: ServiceName,
-        open_texts: Callable[[], Iterable[LeftText]],
+        open_texts: Callable[[], Iterable[PartialText]],
         sender: TextSender,
         clock: Any,
     ) -> None:
@@ -88,7 +88,7 @@
             log.info('Texts not copied.', peer=self._peer, cause=str(error))
             return
         for change in sent:
-            self._copied.copied(change)
+            self._copied.record_change(change)
 
     def _failed(self, failure: Any) -> None:
         if not failure.check(defer.CancelledError):
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/text_fetch.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/text_fetch.py
@@ -21,7 +21,7 @@
 
     from yuccarill.core.ids import ServiceName
     from yuccarill.core.jobs.job import ItemId
-    from yuccarill.core.jobs.left_text import LeftText
+    from yuccarill.core.jobs.partial_text import PartialText
     from yuccarill.daemon.adapters.connections import Connections
     from yuccarill.daemon.gateway.state import GatewayState
 
@@ -42,7 +42,7 @@
 class FetchedTexts(NamedTuple):
     """Hold texts that other instances kept."""
 
-    texts: list[LeftText]
+    texts: list[PartialText]
     # The holder's standby gave all that it had.
     is_whole: bool = False
 
@@ -60,8 +60,8 @@
         self,
         service: ServiceName,
         standby: str,
-        read: Callable[[], Coroutine[Any, Any, list[LeftText]]],
-    ) -> list[LeftText]:
+        read: Callable[[], Coroutine[Any, Any, list[PartialText]]],
+    ) -> list[PartialText]:
         """Return each text by its newest copy, here or in the store.
 
         The store's are read unless the standby gives its own, which are
@@ -143,7 +143,7 @@
         ]
 
     async def _fetch(self, address: str, service: ServiceName) -> FetchedTexts:
-        texts_by_item: dict[ItemId, LeftText] = {}
+        texts_by_item: dict[ItemId, PartialText] = {}
         first: int | None = 0
         try:
             for _ in range(MAX_PARTS):
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/texts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/texts.py
@@ -14,7 +14,7 @@
 
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import ServiceName
-from yuccarill.core.jobs.left_text import LeftText
+from yuccarill.core.jobs.partial_text import PartialText
 from yuccarill.core.jobs import text_copies
 from yuccarill.core.jobs.text_copies import TextChange
 from yuccarill.core.speeds.estimate import SpeedRecord
@@ -76,7 +76,7 @@
 class KeptTexts(msgspec.Struct, frozen=True, kw_only=True):
     """Hold a part of the texts that are kept of one service."""
 
-    texts: tuple[LeftText, ...]
+    texts: tuple[PartialText, ...]
     # Where the next part begins; none after the last one.
     following: int | None = None
 
@@ -84,7 +84,7 @@
 class _KeptText(NamedTuple):
     """Keep a text, and by which message it came."""
 
-    text: LeftText
+    text: PartialText
     source: str
     number: int
     until: Instant
@@ -170,7 +170,7 @@
             # Overtaken by a later message.
             return False
         before = known.text if known is not None and is_same else None
-        whole = text_copies.continued(before, handed)
+        whole = text_copies.apply_change(before, handed)
         if whole is None:
             return False
         # Put last: the first ones are dropped where there are too many.
@@ -183,7 +183,7 @@
         )
         return True
 
-    def take(self, service: ServiceName) -> list[LeftText]:
+    def take(self, service: ServiceName) -> list[PartialText]:
         """Return a service's texts, which are then no longer kept."""
         now = self._clock.seconds()
         kept = self._texts_by_service.pop(service, {})
@@ -203,13 +203,13 @@
             for record in kept.records
         ]
 
-    def kept(self, service: ServiceName) -> list[LeftText]:
+    def kept(self, service: ServiceName) -> list[PartialText]:
         """Return a service's texts, which go on being kept."""
         now = self._clock.seconds()
         kept = self._texts_by_service.get(service, {})
         return [each.text for each in kept.values() if now < each.until]
 
-    def put(self, service: ServiceName, texts: Iterable[LeftText]) -> None:
+    def put(self, service: ServiceName, texts: Iterable[PartialText]) -> None:
         """Keep texts that were made here, in place of older copies."""
         until = Instant(self._clock.seconds() + KEPT_SECONDS)
         kept = self._texts_by_service.setdefault(service, {})
@@ -249,7 +249,7 @@
         self._speeds_at: dict[tuple[str, ServiceName], float] = {}
 
     async def hand_on(
-        self, service: ServiceName, texts: Iterable[LeftText]
+        self, service: ServiceName, texts: Iterable[PartialText]
     ) -> None:
         """Send texts to the likely next holders of a service's duty."""
         handed = [TextChange(text=text) for text in texts]
@@ -290,7 +290,7 @@
 
         Raises NotTaken.
         """
-        chosen = text_copies.bounded(handed, MAX_BYTES)
+        chosen = text_copies.limit_size(handed, MAX_BYTES)
         self._number += 1
         message = HandedTexts(
             service=service,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/desk.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/desk.py
@@ -127,7 +127,7 @@
             self.stop(message.service)
             known = _Service(message.holder, message.incarnation)
             self._services_by_name[message.service] = known
-        known.watch.heard(self._now())
+        known.watch.record_heartbeat(self._now())
         if known.runner is not None:
             # The holder was not lost, or is back.
             self._stop(message.service, known)
@@ -178,7 +178,7 @@
                 self._note_return(service, known)
             if now >= known.look_at and not known.is_looking:
                 self._look(known)
-            if known.watch.may_run(now):
+            if known.watch.can_run(now):
                 self._run(service, known)
             elif known.runner is not None:
                 self.stop(service)
@@ -226,7 +226,7 @@
                 self._expect_return()
             return
         known.is_told = True
-        known.watch.looked(True, self._now())
+        known.watch.record_store_probe(True, self._now())
         telling = defer.Deferred.fromCoroutine(
             self._tell_return(known.holder, service)
         )
@@ -240,9 +240,9 @@
 
     async def _find_out(self, known: _Service) -> None:
         if self._store_age() < witness.STORE_AGE:
-            known.watch.looked(True, self._now())
+            known.watch.record_store_probe(True, self._now())
         elif await self._witnesses.are_lost(known.holder, known.incarnation):
-            known.watch.looked(False, self._now())
+            known.watch.record_store_probe(False, self._now())
 
     def _looked(self, _: object, known: _Service) -> None:
         known.is_looking = False
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/unlisted_runs.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/unlisted_runs.py
@@ -9,8 +9,8 @@
 from twisted.internet import defer
 
 from yuccarill.core.ids import Instant
-from yuccarill.core.jobs import board as board_module
 from yuccarill.core.jobs import engines as engines_module
+from yuccarill.core.jobs import job_queue as board_module
 from yuccarill.daemon.gateway.jobs import item_runs
 from yuccarill.daemon import logs
 
@@ -23,7 +23,7 @@
     from yuccarill.core.jobs.job import ItemResult
     from yuccarill.core.jobs.job import Job
     from yuccarill.core.jobs.job import JobId
-    from yuccarill.core.jobs.left_text import LeftText
+    from yuccarill.core.jobs.partial_text import PartialText
     from yuccarill.daemon.gateway.jobs.generation import Generator
     from yuccarill.daemon.gateway.jobs.scoring import Scorer
     from yuccarill.daemon.gateway.quarantine.guard import ContentGuard
@@ -51,7 +51,7 @@
         self._service = service
         self._state = state
         self._clock = clock
-        self._board = board_module.JobBoard()
+        self._board = board_module.JobQueue()
         self._fleet = engines_module.EngineFleet(
             item_runs.speed_book(state.placement)
         )
@@ -71,10 +71,10 @@
     def start(
         self,
         jobs: Iterable[tuple[Job, set[ItemId]]],
-        texts: Iterable[LeftText],
+        texts: Iterable[PartialText],
     ) -> None:
         """Begin with the jobs' items that have not ended."""
-        self._board.leave(texts)
+        self._board.keep_partial_texts(texts)
         for job, ended in jobs:
             self._add(job, ended)
         self.survey()
@@ -105,9 +105,9 @@
         for work in list(self._works):
             work.cancel()
 
-    def texts(self) -> list[LeftText]:
+    def texts(self) -> list[PartialText]:
         """Return what there is of each item."""
-        return self._board.left(())
+        return self._board.partial_texts(())
 
     def finish(
         self, run: board_module.ItemRun, result: ItemResult, cause: str
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/weight_switcher.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/weight_switcher.py
@@ -9,7 +9,7 @@
 from twisted.internet import task
 
 from yuccarill.core.ids import Instant
-from yuccarill.core.jobs import step_hold
+from yuccarill.core.jobs import weight_change_hold
 from yuccarill.core.jobs import weights
 from yuccarill.daemon.gateway import meters
 from yuccarill.daemon import logs
@@ -19,9 +19,9 @@
     from collections.abc import Callable
 
     from yuccarill.core.ids import ModelName
-    from yuccarill.core.jobs.board import JobBoard
     from yuccarill.core.jobs.engines import EngineFleet
     from yuccarill.core.jobs.engines import EngineState
+    from yuccarill.core.jobs.job_queue import JobQueue
     from yuccarill.daemon.gateway.duty.duties import Duty
     from yuccarill.daemon.gateway.state import GatewayState
     from yuccarill.daemon.gateway.weights.engine_requests import EngineRequests
@@ -54,7 +54,7 @@
         self,
         state: GatewayState,
         duty: Duty,
-        board: JobBoard,
+        board: JobQueue,
         fleet: EngineFleet,
         engines: Engines,
         requests: EngineRequests,
@@ -65,7 +65,7 @@
         self._duty = duty
         self._board = board
         self._fleet = fleet
-        self._hold = step_hold.StepHold()
+        self._hold = weight_change_hold.WeightChangeHold()
         self._engines = engines
         self._requests = requests
         self._on_switched = on_switched
@@ -88,14 +88,16 @@
             versions_by_model,
             self.items_by_model,
             self._now(),
-            self._hold.held(versions_by_model, self._board, self._now()),
+            self._hold.held_models(
+                versions_by_model, self._board, self._now()
+            ),
         )
         # All are marked before the first one begins: an idle engine's switch
         # asks for the next look at once, which would begin the others too.
         # Eight idle engines got 36 orders that way, each one paid for.
         for switch in switches:
             engine = self._fleet.engines_by_id[switch.engine]
-            engine.switching.add(switch.model)
+            engine.switching_models.add(switch.model)
         for switch in switches:
             engine = self._fleet.engines_by_id[switch.engine]
             running = defer.Deferred.fromCoroutine(
@@ -126,8 +128,8 @@
         switch: weights.Switch,
     ) -> None:
         self._running.discard(running)
-        engine.switching.discard(switch.model)
-        engine.emptying.discard(switch.model)
+        engine.switching_models.discard(switch.model)
+        engine.draining_models.discard(switch.model)
         if hasattr(result, 'check') and not result.check(defer.CancelledError):
             log.error('Switch failed.', cause=result.getTraceback())
         self._on_switched()
@@ -142,12 +144,12 @@
             await self._pause(RETRY_SECONDS)
             return
         if _has(report, switch):
-            engine.saw_version(switch.model, switch.version)
+            engine.record_version(switch.model, switch.version)
             return
         if not report.is_busy:
             outcome = await self._order(engine, switch, report)
             if outcome is wire_engines.OrderOutcome.ALREADY_HOLDS:
-                engine.saw_version(switch.model, switch.version)
+                engine.record_version(switch.model, switch.version)
                 return
             if outcome not in (
                 wire_engines.OrderOutcome.ACCEPTED,
@@ -161,7 +163,7 @@
             if seen is None:
                 continue
             if _has(seen, switch) and not seen.is_busy:
-                engine.saw_version(switch.model, switch.version)
+                engine.record_version(switch.model, switch.version)
                 return
             is_lost = seen.orders_accepted == report.orders_accepted
             if is_lost and not seen.is_busy and not report.is_busy:
@@ -177,7 +179,7 @@
         until = self._now() + EMPTY_SECONDS
         while engine.runs_by_model[switch.model] and self._now() < until:
             await self._pause(EMPTY_STEP)
-        engine.emptying.add(switch.model)
+        engine.draining_models.add(switch.model)
         self._on_switched()
 
     async def _order(
--- a/packages/yuccarill-daemon/tests/controllers/test_rollout_faults.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_rollout_faults.py
@@ -211,7 +211,7 @@
     def _finish_twice(self, trainer: Trainer) -> None:
         work = trainer.holder._work_by_key.get((TRAINER, STEP))
         for finished in list(work.finished_by_place.values() if work else ()):
-            self.assertFalse(work.take(finished))
+            self.assertFalse(work.add_sample(finished))
 
     def _hold_twice(
         self, world: rollout_world.World, trainer: Trainer
--- a/packages/yuccarill-daemon/tests/gateway/runner_world.py
+++ b/packages/yuccarill-daemon/tests/gateway/runner_world.py
@@ -45,7 +45,7 @@
     from collections.abc import Collection
     from collections.abc import Iterable
 
-    from yuccarill.core.jobs.left_text import LeftText
+    from yuccarill.core.jobs.partial_text import PartialText
 from yuccarill.core.jobs.placement import Placement
 
 GAP = 0.04
@@ -256,7 +256,7 @@
         return HeldDuty(Revision(self.keys.revision), self.part)
 
     def hold(
-        self, name: str, handed: Iterable[LeftText] = ()
+        self, name: str, handed: Iterable[PartialText] = ()
     ) -> runner_module.Runner:
         """Give the duty to an instance, which begins to run jobs."""
         self.holds += 1
--- a/packages/yuccarill-daemon/tests/gateway/test_crash_items.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_crash_items.py
@@ -14,8 +14,8 @@
 
 from nose2.tools import params
 
-from yuccarill.core.jobs import board as board_module
 from yuccarill.core.jobs.job import ResultState
+from yuccarill.core.jobs import job_queue as board_module
 from yuccarill.daemon.gateway.jobs import runner as runner_module
 
 from . import runner_world
--- a/packages/yuccarill-daemon/tests/gateway/test_progress.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_progress.py
@@ -11,7 +11,7 @@
 from yuccarill.core.ids import Revision
 from yuccarill.core.ids import WeightVersion
 from yuccarill.core.jobs.job import ItemId
-from yuccarill.core.jobs import left_text
+from yuccarill.core.jobs import partial_text
 from yuccarill.daemon.gateway.jobs import progress
 from yuccarill.daemon.gateway.jobs import runner as runner_module
 from yuccarill.platform import keys
@@ -21,8 +21,8 @@
 from . import world
 
 
-def text(item: str, events: int) -> left_text.LeftText:
-    return left_text.LeftText(
+def text(item: str, events: int) -> partial_text.PartialText:
+    return partial_text.PartialText(
         item=ItemId(item),
         body_digest=b'b',
         scoring_digest=b's',
@@ -34,7 +34,7 @@
 class ProgressTest(runner_world.RunnerTest):
     def setUp(self) -> None:
         super().setUp()
-        self.texts: list[left_text.LeftText] = []
+        self.texts: list[partial_text.PartialText] = []
         self.duty = self.take_duty()
         self.writer = self.write_under(self.duty)
 
--- a/packages/yuccarill-daemon/tests/gateway/test_texts.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_texts.py
@@ -13,7 +13,7 @@
 from yuccarill.core.ids import TargetId
 from yuccarill.core.ids import WeightVersion
 from yuccarill.core.jobs.job import ItemId
-from yuccarill.core.jobs.left_text import LeftText
+from yuccarill.core.jobs.partial_text import PartialText
 from yuccarill.core.jobs import text_copies
 from yuccarill.core.speeds.estimate import SpeedRecord
 from yuccarill.daemon.adapters import http_exchange
@@ -29,8 +29,8 @@
 from . import world
 
 
-def text(name: str, parts: int, size: int = 4) -> LeftText:
-    return LeftText(
+def text(name: str, parts: int, size: int = 4) -> PartialText:
+    return PartialText(
         item=ItemId(name),
         body_digest=b'b',
         scoring_digest=b's',
@@ -50,7 +50,7 @@
 
 
 def message(
-    *found: LeftText, first: int = 0, source: str = 'a', number: int = 1
+    *found: PartialText, first: int = 0, source: str = 'a', number: int = 1
 ) -> bytes:
     return msgspec.msgpack.encode(
         texts.HandedTexts(
@@ -115,7 +115,7 @@
 
     def receive(
         self,
-        *found: LeftText,
+        *found: PartialText,
         first: int = 0,
         source: str = 'a',
         number: int = 1,
@@ -225,7 +225,7 @@
             world.list_instance(self.me, name)
         self.sender = texts.TextSender(self.me, self.links, self.clock)
 
-    def hand_on(self, *found: LeftText) -> None:
+    def hand_on(self, *found: PartialText) -> None:
         self.finish(self.sender.hand_on(world.SERVICE, found))
 
     def test_the_next_two_candidates_get_them(self) -> None:
@@ -504,7 +504,7 @@
         standby_address = self.links.sent[0]
         reads: list[None] = []
 
-        async def read() -> list[LeftText]:
+        async def read() -> list[PartialText]:
             reads.append(None)
             return [text('a', 2), text('b', 2)]
 
@@ -522,7 +522,7 @@
         holder's record names answers, and has nothing.
         """
 
-        async def read() -> list[LeftText]:
+        async def read() -> list[PartialText]:
             return [text('a', 30)]
 
         newest = self.fetcher.newest(world.SERVICE, 'b:2', read)
--- a/tools/measure_rollouts.py
+++ b/tools/measure_rollouts.py
@@ -129,7 +129,9 @@
             name = sample_module.sample_id(
                 work.trainer, work.step, place, product_rollouts.INCARNATION, 1
             )
-            work.take(sample_module.Finished(name, WeightVersion(1), b''))
+            work.add_sample(
+                sample_module.Finished(name, WeightVersion(1), b'')
+            )
         done = tracemalloc.get_traced_memory()[0] - waiting
         tracemalloc.stop()
         print(
@@ -169,7 +171,7 @@
         )
         spans = (sample_module.Span(WeightVersion(1), tokens),)
         sample = sample_module.Sample(id=name, group=place.group, spans=spans)
-        work.take(sample_module.finish(sample))
+        work.add_sample(sample_module.finish(sample))
     cpu = time.process_time()
     manifest = records.Manifest(
         trainer=work.trainer,
--- a/tools/product_rollouts.py
+++ b/tools/product_rollouts.py
@@ -94,7 +94,7 @@
 
     def _dispatch(self) -> None:
         started_at = time.process_time()
-        orders = self._scheduler.orders(Instant(self.loop.now))
+        orders = self._scheduler.next_orders(Instant(self.loop.now))
         self.cpu_seconds += time.process_time() - started_at
         for attempt in orders.cancel:
             self._stop(attempt)
@@ -134,7 +134,7 @@
         if attempt not in self._running:
             return
         tokens = int(self._tokens(attempt) - self._running[attempt][1])
-        is_continued = self._scheduler.progress(
+        is_continued = self._scheduler.record_progress(
             attempt, version, tokens - attempt.made, Instant(self.loop.now)
         )
         if is_continued:
@@ -169,7 +169,9 @@
         self._stop(attempt)
         started_at = time.process_time()
         attempt.made += int(tokens) - attempt.made
-        is_first = self._scheduler.generated(attempt, Instant(self.loop.now))
+        is_first = self._scheduler.finish_attempt(
+            attempt, Instant(self.loop.now)
+        )
         self.cpu_seconds += time.process_time() - started_at
         if is_first:
             self.loop.schedule(
@@ -189,9 +191,9 @@
         oldest = attempt.oldest_version
         assert oldest is not None
         started_at = time.process_time()
-        work.take(sample_module.Finished(name, oldest, b''))
+        work.add_sample(sample_module.Finished(name, oldest, b''))
         if work.is_whole:
-            self._scheduler.settle(work)
+            self._scheduler.cancel_step(work)
         self.cpu_seconds += time.process_time() - started_at
         self._fetch_step(self.trainers[int(work.trainer[1:])])
         self._dispatch()
@@ -203,7 +205,7 @@
             key = (attempt.plan.work, attempt.place)
             self._tokens_by_place[key] = self._tokens(attempt)
         self._stop(attempt)
-        self._scheduler.failed(attempt, Instant(self.loop.now))
+        self._scheduler.fail_attempt(attempt, Instant(self.loop.now))
         self.loop.schedule(1.0, self._dispatch)
         self._dispatch()
 
@@ -216,7 +218,7 @@
             def fail(
                 attempt: Attempt = attempt, tokens: float = tokens
             ) -> None:
-                self._scheduler.failed(attempt, Instant(self.loop.now))
+                self._scheduler.fail_attempt(attempt, Instant(self.loop.now))
                 self._tokens_by_place[key] = tokens
                 self.loop.schedule(1.0, self._dispatch)
                 self._dispatch()
@@ -230,7 +232,7 @@
             return
         stale = work.drop_stale(trainer.newest, rollout_model.STALENESS_BOUND)
         if stale:
-            self._scheduler.again(work, stale)
+            self._scheduler.requeue_places(work, stale)
             self._dispatch()
             return
         samples = work.in_order()
@@ -254,7 +256,7 @@
                 stale = other.drop_stale(
                     trainer.newest, rollout_model.STALENESS_BOUND
                 )
-                self._scheduler.again(other, stale)
+                self._scheduler.requeue_places(other, stale)
         self._submit(trainer)
         self._fetch_step(trainer)
 
