--- a/packages/yuccarill-daemon/tests/gateway/test_capacity.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_capacity.py
@@ -114,7 +114,7 @@
                     status=503 if is_refused else 200,
                     headers=(),
                     body=b'',
-                    stamp=None,
+                    signature=None,
                     not_run=is_refused,
                 )
 
@@ -200,4 +200,4 @@
             each.cancel()
         self.assertEqual({}, made.waiting_by_service.get(world.SERVICE, {}))
         gate = made.gates_by_service[world.SERVICE]
-        self.assertIsNone(gate.wakes_at(Instant(self.clock.seconds())))
+        self.assertIsNone(gate.next_wakeup(Instant(self.clock.seconds())))
