--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/__init__.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/__init__.py
@@ -1,1 +1,1 @@
-"""Reach the platform's store, and follow what it holds."""
+"""Call the platform's store and follow its keys."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/direct_way.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/direct_way.py
@@ -1,4 +1,4 @@
-"""Remember whether the store is reached directly, and find out again."""
+"""Track whether the store can be called directly, and probe it if not."""
 
 from __future__ import annotations
 
@@ -20,24 +20,20 @@
 
 log = logs.for_part('store way')
 
-# Seconds between tries of the direct way while it is out of order. One that
-# is refused is paid for in full.
-PROBE_SECONDS = 0.6
-# Seconds between them at an instance that nobody waits for: doubled up to
-# this. A fleet of 165 made 2,146 probes in a minute with an outage of 5 s and
-# a third of it cut off for 12 s, by a log of each call; those that watch for
-# the others show the return, and asking them costs nothing.
-MAX_PROBE_SECONDS = 5.0
-# Seconds after a call that somebody waits for in which probes stay frequent.
-AWAITED_SECONDS = 3.0
-# Seconds for which an answer shows that the direct way is in order.
+# Seconds between probes while direct calls fail; refused probes are billed.
+PROBE_INTERVAL_SECONDS = 0.6
+# Upper bound in seconds of the doubling interval at an instance that no caller
+# waits for. Such an instance learns of the recovery from a watcher for free.
+MAX_PROBE_INTERVAL_SECONDS = 5.0
+# Seconds after a call with a waiting caller in which probes stay frequent.
+FREQUENT_PROBE_SECONDS = 3.0
+# Seconds for which an answer proves that direct calls work.
 FRESH_SECONDS = 0.5
-# Seconds that a probe may take.
-PROBE_TIMEOUT = 0.5
+PROBE_TIMEOUT_SECONDS = 0.5
 
 
 class DirectWay:
-    """Track the direct way to the store, and probe it while it is lost."""
+    """Track whether direct calls to the store work; probe while they fail."""
 
     def __init__(
         self,
@@ -46,93 +42,97 @@
         clock: Any,
     ) -> None:
         self._state = state
-        # Tells whether the store answers directly.
+        # Returns whether the store answers a direct call.
         self._probe = probe
         self._clock = clock
-        self.is_in_order = True
-        # Called when the way is lost, and at each answer that came by it.
+        self.is_working = True
+        # Called when direct calls start to fail, and when they work again.
         self.on_lost: Callable[[], None] = lambda: None
         self.on_regained: Callable[[], None] = lambda: None
         self._answered_at = Instant(-math.inf)
-        self._awaited_at = Instant(-math.inf)
-        self._probe_seconds = PROBE_SECONDS
+        self._caller_waited_at = Instant(-math.inf)
+        self._probe_interval = PROBE_INTERVAL_SECONDS
         self._next_probe: Any = None
 
     def is_fresh(self) -> bool:
-        """Tell whether an answer has just shown that the way is in order."""
+        """Return whether a recent answer proves that direct calls work."""
         now = self._clock.seconds()
-        return self.is_in_order and now < self._answered_at + FRESH_SECONDS
+        return self.is_working and now < self._answered_at + FRESH_SECONDS
 
-    def await_return(self) -> None:
-        """Note that somebody waits for an answer of the store."""
-        self._awaited_at = Instant(self._clock.seconds())
+    def note_waiting_caller(self) -> None:
+        """Record that a caller waits for an answer of the store."""
+        self._caller_waited_at = Instant(self._clock.seconds())
 
     def probe_now(self) -> None:
-        """Find out at once whether a lost way is back."""
-        if not self.is_in_order:
-            self._probe_again(0.0)
+        """Probe at once if direct calls fail."""
+        if not self.is_working:
+            self._schedule_probe(0.0)
 
-    def lose(self, cause: str) -> None:
-        """Note that a call failed directly."""
-        if not self.is_in_order:
+    def mark_failed(self, cause: str) -> None:
+        """Record that a direct call failed."""
+        if not self.is_working:
             return
-        log.warning('Store not reached directly.', cause=cause)
-        self.is_in_order = False
-        # Watches under way went there: they may hear nothing for as long as
-        # they wait, while other calls go through peers.
+        log.warning('Direct path to the store failed.', cause=cause)
+        self.is_working = False
+        # Open watches use the failed connection: they would stay silent until
+        # their timeout while other calls go through peers.
         self._clock.callLater(0, self.on_lost)
-        # An instance that makes few calls of its own would not notice that
-        # the direct way is back, and would turn its peers' calls away.
-        self._probe_seconds = PROBE_SECONDS
-        self._probe_again(PROBE_SECONDS)
+        # Without probes, an instance that makes few calls would not notice
+        # the recovery and would keep rejecting its peers' calls.
+        self._probe_interval = PROBE_INTERVAL_SECONDS
+        self._schedule_probe(PROBE_INTERVAL_SECONDS)
 
-    def regain(self) -> None:
-        """Note that the store answered directly."""
+    def mark_working(self) -> None:
+        """Record that the store answered a direct call."""
         self._answered_at = Instant(self._clock.seconds())
-        if not self.is_in_order:
-            log.info('Store reached directly.')
-            self.is_in_order = True
+        if not self.is_working:
+            log.info('Direct path to the store restored.')
+            self.is_working = True
             self.on_regained()
-        self._stop_probing()
+        self._cancel_probe()
 
-    def _probe_again(self, seconds: float) -> None:
-        self._stop_probing()
-        self._next_probe = self._clock.callLater(seconds, self._begin_probe)
+    def _schedule_probe(self, seconds: float) -> None:
+        self._cancel_probe()
+        self._next_probe = self._clock.callLater(seconds, self._start_probe)
 
-    def _stop_probing(self) -> None:
+    def _cancel_probe(self) -> None:
         timer, self._next_probe = self._next_probe, None
         if timer is not None and timer.active():
             timer.cancel()
 
-    def _begin_probe(self) -> None:
-        probing = defer.Deferred.fromCoroutine(self._find_out())
+    def _start_probe(self) -> None:
+        probing = defer.Deferred.fromCoroutine(self._run_probe())
         probing.addErrback(
             lambda failure: log.error(
-                'Probe failed.', cause=failure.getTraceback()
+                'Probe of the store raised an exception.',
+                cause=failure.getTraceback(),
             )
         )
-        probing.addBoth(self._probed)
+        probing.addBoth(self._schedule_next_probe)
 
-    async def _find_out(self) -> None:
+    async def _run_probe(self) -> None:
         if await self._probe():
-            self.regain()
+            self.mark_working()
 
-    def _probed(self, _: object) -> None:
-        if self.is_in_order:
+    def _schedule_next_probe(self, _: object) -> None:
+        if self.is_working:
             return
-        if self._is_awaited():
-            self._probe_seconds = PROBE_SECONDS
+        if self._is_recovery_awaited():
+            self._probe_interval = PROBE_INTERVAL_SECONDS
         else:
-            self._probe_seconds = min(
-                2.0 * self._probe_seconds, MAX_PROBE_SECONDS
+            self._probe_interval = min(
+                2.0 * self._probe_interval, MAX_PROBE_INTERVAL_SECONDS
             )
-        self._probe_again(self._probe_seconds)
-
-    def _is_awaited(self) -> bool:
-        """Tell whether somebody waits for the direct way to be back."""
-        if self._clock.seconds() < self._awaited_at + AWAITED_SECONDS:
+        self._schedule_probe(self._probe_interval)
+
+    def _is_recovery_awaited(self) -> bool:
+        """Return whether a caller or a reader waits for the recovery."""
+        if (
+            self._clock.seconds()
+            < self._caller_waited_at + FREQUENT_PROBE_SECONDS
+        ):
             return True
-        # The others go on as soon as their watchers do.
+        # Readers of a watcher recover only after the watcher has recovered.
         names = watchers.watchers(
             self._state.cores_by_name(), self._state.centres_by_name()
         )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/feed.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/feed.py
@@ -1,4 +1,4 @@
-"""Follow the store through an instance that watches it for others."""
+"""Follow the store through a watcher: an instance that watches for others."""
 
 from __future__ import annotations
 
@@ -31,51 +31,49 @@
 log = logs.for_part('feed')
 
 PATH = '/feed'
-# Seconds that one poll of a watcher waits. A poll costs no call of the
-# store, and bounds how long a dead connection goes unnoticed.
+# Long-poll timeout at a watcher; bounds how long a dead connection goes
+# unnoticed. A poll costs no store call.
 POLL_SECONDS = 1.5
 ANSWER_SECONDS = 0.6
-# Seconds since a watcher last heard the store, after which it is not
-# believed: a configuration has to be in force after two or three.
-MAX_AGE = 2.2
-# Seconds for which a watcher that failed is left out.
-OUT_SECONDS = 3.0
-# Seconds for which one is left out that refused at once, or has read nothing
-# yet: it is starting. After a loss of all instances each reader that gave up
-# its watchers for longer read everything at the store.
-STARTING_SECONDS = 0.3
-# Seconds within which an answer counts as given at once.
-AT_ONCE = 0.1
-# Seconds after its start in which an instance does not watch the store: it
-# may not know the others yet, and would take itself for a watcher. A fleet
-# that starts then makes no watch but those of its watchers.
-START_WAIT = 0.8
-# Seconds before a reader asks its watchers again while the store is away from
-# them and from itself. It costs no call, and their answer is how the fleet
-# learns of the return: an instance on its own hardly probes.
-RETURN_SECONDS = 0.5
+# Maximum age in seconds of a watcher's last contact with the store: a new
+# configuration has to apply within 2 to 3 s.
+MAX_AGE_SECONDS = 2.2
+# Seconds for which a failed watcher is excluded.
+EXCLUDED_SECONDS = 3.0
+# Seconds for which a starting watcher is excluded, and before a starting
+# instance retries. A longer exclusion makes each reader read every key at the
+# store after a restart of all instances.
+STARTING_RETRY_SECONDS = 0.3
+# A connection refused within this many seconds marks a starting watcher.
+FAST_REFUSAL_SECONDS = 0.1
+# Seconds after its start in which an instance does not watch the store: before
+# it knows the other instances, each one would select itself as a watcher.
+START_WAIT_SECONDS = 0.8
+# Seconds between a reader's polls of its watchers during a store outage. Polls
+# cost no store call, and readers learn of the recovery from them.
+OUTAGE_POLL_SECONDS = 0.5
 
 
 class Feed(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what a watcher tells of one prefix."""
+    """A watcher's answer to a poll of one prefix."""
 
     page: store_module.Page
-    # Where the next poll goes on.
+    # Start position of the next poll.
     cursor: str
-    # Seconds since the watcher last heard the store.
+    # Seconds since the watcher's last contact with the store.
     age: float
 
 
 class WatcherUnusable(Exception):
-    """Report a watcher whose answer is of no use."""
+    """The watcher's answer cannot be used."""
 
 
 class WatcherStarting(WatcherUnusable):
-    """Report a watcher that has read nothing yet."""
+    """The watcher has not read the prefix yet."""
 
 
 class FeedServer:
-    """Tell other instances what this one's followers know."""
+    """Serve the copies of this instance's followers to other instances."""
 
     def __init__(
         self, followers_by_prefix: Mapping[str, PrefixFollower]
@@ -91,16 +89,14 @@
         cursor = query.get('after', [''])[0]
         page: store_module.Page | None
         if cursor:
-            page = await follower.changes(cursor, POLL_SECONDS)
+            page = await follower.wait_for_changes(cursor, POLL_SECONDS)
         else:
             page = follower.copy()
         if page is None:
             return HttpPage(status=410)
-        if not follower.is_in_touch:
-            # Said at once: a reader that waited for the age to pass its
-            # bound refused routes with 404 for more than the 2 s that it
-            # has. Loss ends open polls, so a reader learns of it within
-            # a check and a call, and asks the store itself.
+        if not follower.is_store_reached:
+            # Reported before the copy exceeds MAX_AGE_SECONDS: otherwise
+            # readers would learn of new routes too late and answer 404.
             return HttpPage(status=503)
         feed = Feed(page=page, cursor=follower.cursor, age=follower.age())
         return HttpPage(
@@ -117,39 +113,39 @@
         self,
         state: GatewayState,
         store: Store,
-        links: Connections,
+        connections: Connections,
         clock: Any,
     ) -> None:
-        # The last answer came from the store itself.
+        # Whether the last answer came from the store itself.
         self.is_direct = True
-        # Seconds that the last answer's word of the store was old.
+        # Age in seconds of the data in the last answer.
         self.answer_age = 0.0
         self._state = state
         self._store = store
-        self._links = links
+        self._connections = connections
         self._clock = clock
         self._peers = peer_choice.PeerChoice(state, clock)
-        # Where to go on, and in whose copy.
+        # Start position of the next poll, and the watcher that issued it.
         self._cursor = ''
-        self._cursor_of = ''
-        # The copy of another watcher, which the next read returns.
-        self._copy: store_module.Page | None = None
+        self._cursor_owner = ''
+        # A copy from a newly chosen watcher, returned by the next read.
+        self._pending_copy: store_module.Page | None = None
         self._started_at = clock.seconds()
         self._has_read = False
 
     async def page(
         self, prefix: str, after: str | None = None, is_stale: bool = False
     ) -> store_module.Page:
-        """Return the keys under a prefix, as the store does."""
-        # A look for what a watch missed is meant for the store itself; the
-        # first read of all may be answered by anyone.
+        """Return the keys under a prefix; raise as `Store.page` does."""
+        # A check for missed changes has to reach the store itself; a watcher
+        # can answer the first read.
         is_check = is_stale and self._has_read
         self._has_read = True
         if not after and not is_check:
-            copied, self._copy = self._copy, None
-            copied = copied or await self._copied(prefix)
-            if copied is not None:
-                return copied
+            copy, self._pending_copy = self._pending_copy, None
+            copy = copy or await self._copy_from_watcher(prefix)
+            if copy is not None:
+                return copy
         page = await self._read(prefix, after, is_stale)
         self.is_direct = True
         return page
@@ -157,35 +153,36 @@
     async def watch(
         self, prefix: str, after: Revision, seconds: float
     ) -> store_module.Page:
-        """Wait for changes under a prefix, as the store does."""
-        watcher = self._watcher()
-        if watcher is not None and watcher.instance == self._cursor_of:
-            found = await self._ask(watcher, prefix)
-            if found is not None:
-                return found
-        self._copy = await self._copied(prefix)
-        if self._copy is not None:
-            # Another one's copy: what differs has to be found out.
+        """Wait for changes under a prefix; raise as `Store.watch` does."""
+        watcher = self._choose_watcher()
+        if watcher is not None and watcher.instance == self._cursor_owner:
+            polled = await self._poll(watcher, prefix)
+            if polled is not None:
+                return polled
+        self._pending_copy = await self._copy_from_watcher(prefix)
+        if self._pending_copy is not None:
+            # The new watcher's copy has to be compared with all known keys.
             raise store_module.HistoryGone
         was_direct, self.is_direct = self.is_direct, True
-        self._cursor_of = ''
+        self._cursor_owner = ''
         if self._is_starting():
-            await task.deferLater(self._clock, STARTING_SECONDS)
-            return await self._look(prefix, after)
+            await task.deferLater(self._clock, STARTING_RETRY_SECONDS)
+            return await self._read_as_changes(prefix, after)
         if not was_direct:
-            # Watchers that lost the store mostly lost it with everybody. A
-            # watch would tell no sooner, at ten times the price: sixty
-            # instances made 682 of them on a day with one outage of 7 s.
-            return await self._look(prefix, after)
+            # Watchers usually lose the store together with all instances. A
+            # stale read shows that as soon as a watch, at a tenth of its cost.
+            return await self._read_as_changes(prefix, after)
         page = await self._store.watch(prefix, after, seconds)
         self.answer_age = 0.0
         return page
 
-    async def _look(self, prefix: str, after: Revision) -> store_module.Page:
-        """Return the keys as changes since a revision."""
+    async def _read_as_changes(
+        self, prefix: str, after: Revision
+    ) -> store_module.Page:
+        """Return a stale read in the form of changes since a revision."""
         page = await self._read(prefix, None, is_stale=True)
-        # What was removed is not told: a watch from the same revision on
-        # will, or another one's copy.
+        # A read does not show removals, so the revision stays: the next watch
+        # from it, or a watcher's copy, reports them.
         return msgspec.structs.replace(page, revision=after)
 
     async def _read(
@@ -194,111 +191,118 @@
         try:
             page = await self._store.page(prefix, after, is_stale)
         except (store_module.StoreRefused, store_module.StoreUnclear):
-            # Then it is not the watchers that failed.
+            # The store is unreachable, so the watchers are not at fault.
             self._peers.clear()
             raise
         self.answer_age = 0.0
         return page
 
-    async def _copied(self, prefix: str) -> store_module.Page | None:
-        """Return the copy of the first watcher that gives one."""
-        while (watcher := self._watcher()) is not None:
+    async def _copy_from_watcher(
+        self, prefix: str
+    ) -> store_module.Page | None:
+        """Return the copy of the first watcher that answers."""
+        while (watcher := self._choose_watcher()) is not None:
             self._cursor = ''
-            found = await self._ask(watcher, prefix)
-            if found is not None:
-                return found
+            polled = await self._poll(watcher, prefix)
+            if polled is not None:
+                return polled
         return None
 
     def _is_starting(self) -> bool:
-        return bool(self._clock.seconds() < self._started_at + START_WAIT)
+        return bool(
+            self._clock.seconds() < self._started_at + START_WAIT_SECONDS
+        )
 
     async def pause(self, seconds: float) -> None:
-        """Wait before the store is tried again, longer than watchers do."""
+        """Wait before a retry; readers wait longer than watchers."""
         if self._is_watcher():
             await self._store.pause(seconds)
         else:
-            await task.deferLater(self._clock, RETURN_SECONDS)
+            await task.deferLater(self._clock, OUTAGE_POLL_SECONDS)
 
     def _is_watcher(self) -> bool:
-        return self._state.settings.instance in self._names()
+        return self._state.settings.instance in self._watcher_names()
 
-    def _watcher(self) -> InstanceRecord | None:
+    def _choose_watcher(self) -> InstanceRecord | None:
         if self._is_watcher():
             return None
-        chosen = self._peers.choose(self._names(), is_near=True)
+        chosen = self._peers.choose(self._watcher_names(), is_near=True)
         if chosen is not None:
             self._peers.keep(chosen.instance)
         return chosen
 
-    def _names(self) -> tuple[str, ...]:
+    def _watcher_names(self) -> tuple[str, ...]:
         return watchers.watchers(
             self._state.cores_by_name(), self._state.centres_by_name()
         )
 
-    async def _ask(
+    async def _poll(
         self, watcher: InstanceRecord, prefix: str
     ) -> store_module.Page | None:
-        fields = {'prefix': prefix}
+        parameters = {'prefix': prefix}
         if self._cursor:
-            fields['after'] = self._cursor
+            parameters['after'] = self._cursor
         request = http_exchange.OutgoingRequest(
             method='GET',
-            target=f'{PATH}?{urllib.parse.urlencode(fields)}',
+            target=f'{PATH}?{urllib.parse.urlencode(parameters)}',
             headers=(('Host', watcher.peer_address),),
         )
-        wait = POLL_SECONDS if self._cursor else 0.0
+        poll_seconds = POLL_SECONDS if self._cursor else 0.0
         asked_at = self._clock.seconds()
-        deadline = Instant(asked_at + wait + ANSWER_SECONDS)
+        deadline = Instant(asked_at + poll_seconds + ANSWER_SECONDS)
         try:
-            reply = await self._links.exchange(
+            reply = await self._connections.exchange(
                 watcher.peer_address, request, deadline
             )
-            feed = _feed(reply)
+            feed = _decode_feed(reply)
         except (
             http_exchange.NotConnected,
             http_exchange.ExchangeBroken,
             WatcherUnusable,
         ) as error:
-            took = self._clock.seconds() - asked_at
-            self._leave_out(watcher, error, took)
+            elapsed = self._clock.seconds() - asked_at
+            self._exclude(watcher, error, elapsed)
             return None
         self.is_direct = False
         self.answer_age = feed.age
-        if not self._cursor_of:
-            # It may have lost the store with this instance.
+        if not self._cursor_owner:
+            # The watcher reaches the store, so this instance probes as well.
             self._store.expect_return()
         self._cursor = feed.cursor
-        self._cursor_of = watcher.instance
+        self._cursor_owner = watcher.instance
         return feed.page
 
-    def _leave_out(
-        self, watcher: InstanceRecord, error: Exception, took: float
+    def _exclude(
+        self, watcher: InstanceRecord, error: Exception, elapsed: float
     ) -> None:
         is_starting = isinstance(error, WatcherStarting) or (
-            isinstance(error, http_exchange.NotConnected) and took < AT_ONCE
+            isinstance(error, http_exchange.NotConnected)
+            and elapsed < FAST_REFUSAL_SECONDS
         )
-        seconds = STARTING_SECONDS if is_starting else OUT_SECONDS
+        seconds = STARTING_RETRY_SECONDS if is_starting else EXCLUDED_SECONDS
         log.info(
-            'Watcher left out.',
+            'Watcher excluded after a failed poll.',
             watcher=watcher.instance,
             cause=str(error),
             seconds=seconds,
         )
         self._peers.leave_out(watcher.instance, seconds)
-        self._cursor_of = ''
+        self._cursor_owner = ''
 
 
-def _feed(reply: http_exchange.Reply) -> Feed:
+def _decode_feed(reply: http_exchange.Reply) -> Feed:
     if reply.head.status == 410:
         raise store_module.HistoryGone
     if reply.head.status == 404:
-        raise WatcherStarting('it has read nothing yet')
+        raise WatcherStarting('the watcher has not read the prefix yet')
     if reply.head.status != 200:
-        raise WatcherUnusable(f'status {reply.head.status}')
+        raise WatcherUnusable(
+            f'the watcher answered with status {reply.head.status}'
+        )
     try:
         feed = msgspec.msgpack.decode(reply.body, type=Feed)
     except msgspec.MsgspecError as error:
         raise WatcherUnusable(str(error)) from error
-    if feed.age > MAX_AGE:
-        raise WatcherUnusable(f'it heard the store {feed.age:.1f} s ago')
+    if feed.age > MAX_AGE_SECONDS:
+        raise WatcherUnusable(f'the copy is {feed.age:.1f} s old')
     return feed
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/follower.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/follower.py
@@ -24,31 +24,30 @@
 
 log = logs.for_part('store')
 
-# Seconds that one watch waits. Each return is a paid call, so waits are
-# long; a watch that no longer hears anything is found by the checks.
+# Timeout of one watch. Each answer is a billed call, so timeouts are long;
+# the checks detect a watch that no longer receives changes.
 WATCH_SECONDS = 15.0
-# Seconds in which a watch may still tell of what a check has found: both
-# answers are sent at one moment, over connections of their own.
-WATCH_DELAY = 0.2
-# Removals that are remembered: those of some seconds, of a fleet that is
-# restarted within a minute.
+# Seconds that a watch may lag behind a check, which uses another connection.
+WATCH_DELAY_SECONDS = 0.2
+# Number of remembered removals; covers some seconds of a restart of all
+# instances.
 MAX_REMOVALS = 1000
-# Seconds between checks. A configuration has to be in force 2 s after it
-# was acknowledged, and a check costs a tenth of a read.
+# Seconds between checks for missed changes. A configuration has to apply 2 s
+# after its acknowledgement; a check costs a tenth of a read.
 CHECK_SECONDS = 1.0
-# Seconds before the next try after a failure, doubled up to the second.
-FIRST_PAUSE = 0.05
-LAST_PAUSE = 0.5
+# Seconds before a retry; doubled after each failure up to the maximum.
+FIRST_PAUSE_SECONDS = 0.05
+MAX_PAUSE_SECONDS = 0.5
 
 
 class Source(Protocol):
-    """Read and watch keys; both raise as the store does."""
+    """Read and watch keys; methods raise the errors of the store."""
 
-    # The last answer came from the store itself.
+    # Whether the last answer came from the store itself.
     @property
     def is_direct(self) -> bool: ...
 
-    # Seconds that the last answer's word of the store was old when it came.
+    # Age in seconds of the data in the last answer when it arrived.
     @property
     def answer_age(self) -> float: ...
 
@@ -64,7 +63,7 @@
 
 
 class PrefixFollower:
-    """Keep a copy of the keys under a prefix and tell of each change."""
+    """Keep a copy of the keys under a prefix and report each change."""
 
     def __init__(
         self,
@@ -72,16 +71,16 @@
         prefix: str,
         on_change: Callable[[Entry | Removal], None],
         clock: Any,
-        # Called once for all changes that came together.
+        # Called once per batch of changes.
         on_read: Callable[[], None] = lambda: None,
         settle_seconds: float = 0.0,
     ) -> None:
         self.is_current = False
-        # The next step reads everything, instead of watching.
+        # Whether the next step reads every key instead of watching.
         self._must_read = True
-        # Where the next watch begins.
-        self._revision = Revision(0)
-        self._known = Revision(0)
+        # Start revision of the next watch.
+        self._watch_revision = Revision(0)
+        self._latest_revision = Revision(0)
         self._store = store
         self._prefix = prefix
         self._on_change = on_change
@@ -89,25 +88,23 @@
         self._settle_seconds = settle_seconds
         self._clock = clock
         self._history = history.History(clock)
-        self._heard_at = 0.0
-        # What the last check found and was not known here. A watch that is
-        # sent again and again, and told of other keys only, is found by what
-        # stays behind.
-        self._ahead: Mapping[str, Revision] = {}
-        # Changes that removed keys. A page that is some seconds old still
-        # has them, and would be taken for newer than what is known.
+        self._contacted_at = 0.0
+        # Changes that the last check found and the watch had not reported. If
+        # they are still unknown at the next check, the watch has stalled.
+        self._unseen: Mapping[str, Revision] = {}
+        # Revisions of removals: a stale page that still has a removed key must
+        # not restore it.
         self._removals_by_key: dict[str, Revision] = {}
-        # Keys that the last check did not find.
-        self._missing: set[str] = set()
+        # Known keys that the last check did not find.
+        self._missing_keys: set[str] = set()
         self._watching: defer.Deferred[None] | None = None
-        self._pause = FIRST_PAUSE
-        self._is_lost = False
-        # The last check got no answer.
-        self._is_doubted = False
+        self._pause_seconds = FIRST_PAUSE_SECONDS
+        self._is_store_lost = False
+        self._has_check_failed = False
 
     async def follow(self) -> None:
         """Read, then watch and check, until cancelled."""
-        checking = defer.Deferred.fromCoroutine(self._check_often())
+        checking = defer.Deferred.fromCoroutine(self._check_repeatedly())
         checking.addErrback(lambda f: f.trap(defer.CancelledError))
         try:
             while True:
@@ -115,22 +112,21 @@
         finally:
             checking.cancel()
 
-    def learn(self, entry: Entry) -> None:
-        """Take an entry that was read at the store by another way."""
-        self._take(entry)
+    def apply(self, entry: Entry) -> None:
+        """Apply an entry that was read outside this follower."""
+        self._apply_change(entry)
         self._history.wake()
         self._on_read()
 
     def refresh(self) -> None:
-        """Read again, after a time in which a watch may have gone deaf.
+        """Read every key again if the open watch may have stalled.
 
-        Who follows a watcher's copy asks anew every second or two, over a
-        way that was not touched.
+        Polls of a watcher's copy are short and need no refresh.
         """
         if self._store.is_direct:
-            self._read_again()
+            self._schedule_read()
 
-    def _read_again(self) -> None:
+    def _schedule_read(self) -> None:
         self._must_read = True
         self._end_watch()
 
@@ -140,36 +136,40 @@
             watching.cancel()
 
     def age(self) -> float:
-        """Return the seconds since the store was last heard."""
-        age: float = self._clock.seconds() - self._heard_at
+        """Return the seconds since the last contact with the store."""
+        age: float = self._clock.seconds() - self._contacted_at
         return age
 
     @property
-    def is_in_touch(self) -> bool:
-        """Say whether the last call of the store was answered."""
-        return not (self._is_lost or self._is_doubted)
+    def is_store_reached(self) -> bool:
+        """Return whether the store answered the last call."""
+        return not (self._is_store_lost or self._has_check_failed)
 
     def copy(self) -> Page:
-        """Return every key, for one who follows this copy."""
+        """Return every entry, for readers that follow this copy."""
         return store_module.Page(
             changes=tuple(self._history.entries_by_key.values()),
-            revision=self._known,
+            revision=self._latest_revision,
         )
 
     @property
     def cursor(self) -> str:
-        """Return where one who follows this copy goes on after `copy`."""
+        """Return the position from which a reader continues after `copy`."""
         return self._history.cursor
 
-    async def changes(self, cursor: str, seconds: float) -> Page | None:
-        """Wait for changes after a cursor; none if some are not kept."""
-        found = self._history.since(cursor)
+    async def wait_for_changes(
+        self, cursor: str, seconds: float
+    ) -> Page | None:
+        """Wait for changes after a cursor; None if any were dropped."""
+        found = self._history.changes_since(cursor)
         if found == []:
             await self._history.wait(seconds)
-            found = self._history.since(cursor)
+            found = self._history.changes_since(cursor)
         if found is None:
             return None
-        return store_module.Page(changes=tuple(found), revision=self._known)
+        return store_module.Page(
+            changes=tuple(found), revision=self._latest_revision
+        )
 
     async def _step(self) -> None:
         try:
@@ -177,18 +177,21 @@
                 await self._read()
             else:
                 await self._watch()
-            self._is_reached()
+            self._mark_reached()
         except store_module.HistoryGone:
-            log.info('Changes not kept; read again.', prefix=self._prefix)
+            log.info(
+                'Store dropped its history; reading the prefix again.',
+                prefix=self._prefix,
+            )
             self._must_read = True
         except (
             store_module.StoreRefused,
             store_module.StoreUnclear,
         ) as error:
-            await self._wait(error)
+            await self._pause_after_failure(error)
 
     async def _read(self) -> None:
-        # Cleared first: a refresh may come while pages are read.
+        # Cleared first: a refresh during the read must not be lost.
         self._must_read = False
         try:
             await self._read_pages()
@@ -201,31 +204,32 @@
         after: str | None = None
         seen: set[str] = set()
         has_more = True
-        # The first read may be some seconds old: the watch that follows
-        # tells at once what changed since. It costs a tenth, which counts
-        # when a whole fleet starts.
+        # The first read is a stale one, at a tenth of the cost: the watch
+        # that follows reports newer changes at once.
         is_stale = not self.is_current
         while has_more:
             page = await self._store.page(self._prefix, after, is_stale)
-            # Pages are not one snapshot: the watch starts at the first
-            # page, so that a change between pages is seen again.
+            # Pages are not one snapshot: the watch starts at the first page's
+            # revision and so includes changes made between pages.
             first = page.revision if first is None else first
             for change in page.changes:
                 seen.add(change.key)
                 after = change.key
-                self._take(change)
+                self._apply_change(change)
             has_more = page.has_more
         assert first is not None
         for key in self._history.entries_by_key.keys() - seen:
-            self._take(store_module.Removal(key=key, revision=first))
+            self._apply_change(store_module.Removal(key=key, revision=first))
         self._advance(first)
-        self._revision = self._known
+        self._watch_revision = self._latest_revision
         self.is_current = True
         self._on_read()
 
     async def _watch(self) -> None:
         watching = defer.Deferred.fromCoroutine(
-            self._store.watch(self._prefix, self._revision, WATCH_SECONDS)
+            self._store.watch(
+                self._prefix, self._watch_revision, WATCH_SECONDS
+            )
         )
         self._watching = watching
         try:
@@ -233,30 +237,30 @@
         except defer.CancelledError:
             if self._watching is watching:
                 raise
-            # Ended by a refresh.
+            # A refresh cancelled the watch.
             return
         finally:
             watching.cancel()
             if self._watching is watching:
                 self._watching = None
         for change in page.changes:
-            self._take(change)
+            self._apply_change(change)
         self._advance(page.revision)
-        self._revision = self._known
+        self._watch_revision = self._latest_revision
         if page.changes:
             self._on_read()
         if page.changes and self._settle_seconds:
             await task.deferLater(self._clock, self._settle_seconds)
 
     def _advance(self, revision: Revision) -> None:
-        self._known = Revision(max(self._known, revision))
-        # A watcher goes on answering from its copy for a moment after it has
+        self._latest_revision = Revision(max(self._latest_revision, revision))
+        # A watcher answers from an ageing copy until it detects that it has
         # lost the store.
-        heard_at = self._clock.seconds() - self._store.answer_age
-        self._heard_at = max(self._heard_at, heard_at)
+        contacted_at = self._clock.seconds() - self._store.answer_age
+        self._contacted_at = max(self._contacted_at, contacted_at)
         self._history.wake()
 
-    async def _check_often(self) -> None:
+    async def _check_repeatedly(self) -> None:
         while True:
             await task.deferLater(self._clock, CHECK_SECONDS)
             if self._must_read or not self._store.is_direct:
@@ -267,95 +271,104 @@
                 store_module.StoreRefused,
                 store_module.StoreUnclear,
             ) as error:
-                self._doubt(error)
+                self._record_failed_check(error)
             else:
-                self._is_doubted = False
-
-    def _doubt(self, error: Exception) -> None:
-        # The watch logs when the store is lost.
-        if not self._is_doubted:
-            log.info('Check failed.', prefix=self._prefix, cause=str(error))
-        self._is_doubted = True
+                self._has_check_failed = False
+
+    def _record_failed_check(self, error: Exception) -> None:
+        # Logged once; `_step` logs the loss of the store.
+        if not self._has_check_failed:
+            log.info(
+                'Check for missed changes failed.',
+                prefix=self._prefix,
+                cause=str(error),
+            )
+        self._has_check_failed = True
         self._history.wake()
 
     async def _check(self) -> None:
-        # A watch sent while the store was silent is never answered, on a
-        # connection that stays open: a configuration then took 15 s to
-        # come. A cheap, possibly old page shows what the watch missed.
+        # A watch sent while the store is silent is never answered, although
+        # its connection stays open. A stale page shows what the watch missed.
         page = await self._store.page(self._prefix, is_stale=True)
         found = {change.key: change.revision for change in page.changes}
         missing: set[str] = set()
         if not page.has_more:
             missing = self._history.entries_by_key.keys() - found.keys()
-        # An old page lacks a key that was just written; twice in a row a
-        # missing key was removed.
-        is_removed = bool(missing & self._missing)
-        self._missing = missing
-        if not is_removed and not await self._is_deaf(found):
-            self._heard_at = self._clock.seconds()
+        # A stale page may lack a new key; a key that is missing in two checks
+        # in a row was removed.
+        is_removed = bool(missing & self._missing_keys)
+        self._missing_keys = missing
+        if not is_removed and not await self._is_watch_stalled(found):
+            self._contacted_at = self._clock.seconds()
             return
         log.warning(
-            'Watch heard nothing; read again.',
+            'Watch missed changes; reading the prefix again.',
             prefix=self._prefix,
-            revision=self._revision,
+            revision=self._watch_revision,
         )
-        self._missing = set()
-        self._read_again()
-
-    async def _is_deaf(self, found: Mapping[str, Revision]) -> bool:
-        """Tell whether the watch does not hear of keys that were found."""
-        was_ahead, self._ahead = self._ahead, self._newer(found)
-        if self._newer(was_ahead):
+        self._missing_keys = set()
+        self._schedule_read()
+
+    async def _is_watch_stalled(self, found: Mapping[str, Revision]) -> bool:
+        """Return whether the watch fails to report keys that were found."""
+        was_unseen, self._unseen = (
+            self._unseen,
+            self._newer(found),
+        )
+        if self._newer(was_unseen):
             return True
         watching = self._watching
-        if watching is None or not self._ahead:
-            # Between two watches nothing is heard, and the next one tells.
-            # Taken for deaf, each of eleven watchers read all targets anew
-            # every 3 s: engines' entries change all the time.
+        if watching is None or not self._unseen:
+            # No watch is open; the next one reports the changes. Without this
+            # case, watchers of a busy prefix would read every key repeatedly.
             return False
-        await task.deferLater(self._clock, WATCH_DELAY)
-        return self._watching is watching and bool(self._newer(self._ahead))
+        await task.deferLater(self._clock, WATCH_DELAY_SECONDS)
+        return self._watching is watching and bool(self._newer(self._unseen))
 
     def _newer(self, found: Mapping[str, Revision]) -> dict[str, Revision]:
-        """Return what was found of keys and is not known here yet."""
+        """Return the keys that were found at a newer revision than known."""
         return {
             key: revision
             for key, revision in found.items()
-            if revision > self._standing(key)
+            if revision > self._revision_of(key)
         }
 
-    def _take(self, change: Entry | Removal) -> None:
-        if change.revision <= self._standing(change.key):
+    def _apply_change(self, change: Entry | Removal) -> None:
+        if change.revision <= self._revision_of(change.key):
             return
         is_known = change.key in self._history.entries_by_key
         if isinstance(change, store_module.Removal) and not is_known:
             return
         if isinstance(change, store_module.Removal):
-            self._note_removal(change)
-        self._history.take(change)
+            self._remember_removal(change)
+        self._history.apply(change)
         self._on_change(change)
 
-    def _note_removal(self, removal: Removal) -> None:
+    def _remember_removal(self, removal: Removal) -> None:
         self._removals_by_key[removal.key] = removal.revision
         if len(self._removals_by_key) > MAX_REMOVALS:
             del self._removals_by_key[next(iter(self._removals_by_key))]
 
-    def _standing(self, key: str) -> Revision:
+    def _revision_of(self, key: str) -> Revision:
         entry = self._history.entries_by_key.get(key)
         if entry is not None:
             return entry.revision
         return self._removals_by_key.get(key, Revision(0))
 
-    async def _wait(self, error: Exception) -> None:
-        if not self._is_lost:
-            self._is_lost = True
-            log.warning('Store lost.', prefix=self._prefix, cause=str(error))
+    async def _pause_after_failure(self, error: Exception) -> None:
+        if not self._is_store_lost:
+            self._is_store_lost = True
+            log.warning(
+                'Store cannot be reached.',
+                prefix=self._prefix,
+                cause=str(error),
+            )
             self._history.wake()
-        await self._store.pause(self._pause)
-        self._pause = min(self._pause * 2.0, LAST_PAUSE)
+        await self._store.pause(self._pause_seconds)
+        self._pause_seconds = min(self._pause_seconds * 2.0, MAX_PAUSE_SECONDS)
 
-    def _is_reached(self) -> None:
-        if self._is_lost:
+    def _mark_reached(self) -> None:
+        if self._is_store_lost:
             log.info('Store reached again.', prefix=self._prefix)
-        self._is_lost = self._is_doubted = False
-        self._pause = FIRST_PAUSE
+        self._is_store_lost = self._has_check_failed = False
+        self._pause_seconds = FIRST_PAUSE_SECONDS
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/observer.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/observer.py
@@ -1,4 +1,4 @@
-"""Turn changes in the store into what this process knows."""
+"""Apply changes in the store to the state of this process."""
 
 from __future__ import annotations
 
@@ -34,88 +34,107 @@
 
 log = logs.for_part('observer')
 
-# Seconds before a watch is sent again after a change. Changes come in
-# groups, and each return to each instance is paid for. A configuration and
-# a target that leaves have to be known after 2 s.
+# Seconds between a change and the next watch, to batch changes: each answered
+# watch is billed. Configurations and leaving targets must be known in 2 s.
 SETTLE_SECONDS = 0.3
-# Engines' entries change with each switch of their weights, of which only
-# the holder of their duty needs to know, and learns by itself.
+# Longer for targets: most changes are engines that switch weights, and the
+# holder of their service learns of a switch directly.
 TARGET_SETTLE_SECONDS = 0.9
-# Instances that are remembered though their entry is gone: a whole fleet of
-# two years' size.
-MAX_GONE = 512
+# Number of remembered instances that are no longer listed.
+MAX_GONE_INSTANCES = 512
 
 
 class Observer:
-    """Keep the state's sections that come from the store."""
+    """Keep the parts of the state that come from the store up to date."""
 
     def __init__(
         self,
         state: GatewayState,
-        sources: Callable[[], Source],
+        create_source: Callable[[], Source],
         clock: Any,
     ) -> None:
         self._state = state
         self._listeners: list[Callable[[], None]] = []
-        # Called with the process that ended where one started again.
+        # Called with the previous target when its process was restarted.
         self.on_restart: Callable[[ListedTarget], None] = lambda target: None
-        # Called with each process that was not listed before.
+        # Called with each target whose process is new.
         self.on_start: Callable[[ListedTarget], None] = lambda target: None
         self.followers_by_prefix = {
             prefix: follower.PrefixFollower(
-                sources(), prefix, on_change, clock, self._read, settle
+                create_source(),
+                prefix,
+                on_change,
+                clock,
+                self._finish_batch,
+                settle,
             )
             for prefix, on_change, settle in (
-                (keys.CONFIGURATION, self._configuration, SETTLE_SECONDS),
-                (keys.TARGET_PREFIX, self._target, TARGET_SETTLE_SECONDS),
-                (keys.FLEET_PREFIX, self._fleet, SETTLE_SECONDS),
+                (
+                    keys.CONFIGURATION,
+                    self._apply_configuration,
+                    SETTLE_SECONDS,
+                ),
+                (
+                    keys.TARGET_PREFIX,
+                    self._apply_target,
+                    TARGET_SETTLE_SECONDS,
+                ),
+                (keys.FLEET_PREFIX, self._apply_fleet_entry, SETTLE_SECONDS),
             )
         }
 
     def following(self) -> list[Awaitable[None]]:
-        """Return what runs until the process ends."""
+        """Return the coroutines that follow the store until cancelled."""
         return [each.follow() for each in self.followers_by_prefix.values()]
 
     def age(self) -> float:
-        """Return the seconds since the store was last heard."""
+        """Return the seconds since the last contact, of the oldest prefix."""
         return max(each.age() for each in self.followers_by_prefix.values())
 
     def least_age(self) -> float:
-        """Return the seconds since any word of the store came."""
+        """Return the seconds since the last contact, of the newest prefix."""
         return min(each.age() for each in self.followers_by_prefix.values())
 
     def refresh(self) -> None:
-        """Read everything again, after the store was away."""
+        """Read every key again after an outage of the store."""
         for each in self.followers_by_prefix.values():
             each.refresh()
 
     def learn_configuration(self, entry: Entry) -> None:
-        """Take the configuration as somebody read it at the store."""
-        self.followers_by_prefix[keys.CONFIGURATION].learn(entry)
+        """Apply a configuration entry that was read outside the follower."""
+        self.followers_by_prefix[keys.CONFIGURATION].apply(entry)
 
     def configuration_age(self) -> float:
-        """Return the seconds since the configuration was last heard of."""
+        """Return the seconds since the configuration was last confirmed."""
         return self.followers_by_prefix[keys.CONFIGURATION].age()
 
     def listen(self, on_change: Callable[[], None]) -> None:
-        """Call a function after each change."""
+        """Call a function after each batch of changes."""
         self._listeners.append(on_change)
 
-    def _configuration(self, entry: Entry | Removal) -> None:
+    def _apply_configuration(self, entry: Entry | Removal) -> None:
         if isinstance(entry, store_module.Removal):
             return
         try:
             decoded = operators.configuration(entry.value)
         except errors.InventoryInvalid as error:
-            # What was in force goes on: a document that can't be read must
-            # not take routes away.
-            log.error('Entry left out.', key=entry.key, cause=error.message)
+            # Keep the previous configuration: an invalid document must not
+            # remove routes.
+            log.error(
+                'Invalid store entry ignored.',
+                key=entry.key,
+                cause=error.message,
+            )
             return
         for fault in decoded.faults:
-            log.error('Part left out.', key=entry.key, cause=fault)
+            log.error(
+                'Invalid part of the configuration ignored.',
+                key=entry.key,
+                cause=fault,
+            )
         known = self._state.table
-        # A process may see an older version after a newer one only by a
-        # fault; going back would serve routes that were taken away.
+        # An older version after a newer one is a fault; applying it would
+        # restore removed routes.
         if known is not None and decoded.table.version <= known.version:
             return
         accounts = decoded.table.accounts
@@ -124,28 +143,28 @@
             accounts.follow(before)
         self._state.table = decoded.table
         log.info(
-            'Configuration in force.',
+            'Configuration applied.',
             version=decoded.table.version,
             revision=entry.revision,
             routes=len(decoded.table.routes_by_name),
             keys=None if accounts is None else len(accounts),
         )
 
-    def _target(self, change: Entry | Removal) -> None:
+    def _apply_target(self, change: Entry | Removal) -> None:
         target_id = keys.target_of(change.key)
         if isinstance(change, store_module.Removal):
             self._state.targets.remove(target_id)
-            log.info('Target gone.', target=target_id)
+            log.info('Target no longer listed.', target=target_id)
             return
         try:
             target = targets.listed_target(target_id, change.value)
         except errors.InventoryInvalid as error:
-            # The entry before is no reason to go on with its target: what
-            # stands there now says nothing of where it is, or whether.
+            # The previous entry was overwritten, so its address is no longer
+            # reliable.
             self._state.targets.remove(target_id)
             meters.ENTRIES_LEFT_OUT.inc()
             log.error(
-                'Entry left out.',
+                'Invalid store entry ignored.',
                 key=change.key,
                 revision=change.revision,
                 cause=error.message,
@@ -173,13 +192,17 @@
                 revision=change.revision,
             )
 
-    def _fleet(self, change: Entry | Removal) -> None:
+    def _apply_fleet_entry(self, change: Entry | Removal) -> None:
         try:
-            self._fleet_change(change)
+            self._update_fleet(change)
         except msgspec.MsgspecError as error:
-            log.error('Entry left out.', key=change.key, cause=str(error))
+            log.error(
+                'Invalid store entry ignored.',
+                key=change.key,
+                cause=str(error),
+            )
 
-    def _fleet_change(self, change: Entry | Removal) -> None:
+    def _update_fleet(self, change: Entry | Removal) -> None:
         key = change.key
         state = self._state
         if key.startswith(keys.INSTANCE_PREFIX):
@@ -188,7 +211,7 @@
                 gone = state.instances_by_id.pop(instance, None)
                 if gone is not None:
                     _remember(state.known_instances_by_id, instance, gone)
-                log.info('Instance gone.', instance=instance)
+                log.info('Instance no longer listed.', instance=instance)
                 return
             state.instances_by_id[instance] = msgspec.msgpack.decode(
                 change.value, type=state_module.InstanceRecord
@@ -197,7 +220,7 @@
             service = ServiceName(key[len(keys.DUTY_PREFIX) :])
             if isinstance(change, store_module.Removal):
                 state.duties_by_service.pop(service, None)
-                log.info('Duty free.', service=service)
+                log.info('Service has no holder.', service=service)
                 return
             duty = msgspec.msgpack.decode(
                 change.value, type=state_module.DutyRecord
@@ -228,14 +251,14 @@
                 change.value, type=state_module.QuarantineRecord
             )
 
-    def _read(self) -> None:
+    def _finish_batch(self) -> None:
         if not self._state.is_current:
             self._state.is_current = all(
                 each.is_current for each in self.followers_by_prefix.values()
             )
-        self._tell()
+        self._notify_listeners()
 
-    def _tell(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self._listeners:
             listener()
 
@@ -246,5 +269,5 @@
     record: state_module.InstanceRecord,
 ) -> None:
     known[instance] = record
-    while len(known) > MAX_GONE:
+    while len(known) > MAX_GONE_INSTANCES:
         del known[next(iter(known))]
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/peer_choice.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/peer_choice.py
@@ -1,4 +1,4 @@
-"""Choose another instance for a call, leaving out those that failed."""
+"""Choose another instance for a call, excluding peers that failed."""
 
 from __future__ import annotations
 
@@ -15,61 +15,63 @@
 
 
 class PeerChoice:
-    """Remember which peers are left out, and which one was of use."""
+    """Remember the excluded peers and the preferred peer."""
 
     def __init__(self, state: GatewayState, clock: Any) -> None:
         self._state = state
         self._clock = clock
-        self._out_until: dict[str, Instant] = {}
-        self._kept = ''
+        self._excluded_until_by_name: dict[str, Instant] = {}
+        self._preferred = ''
 
     def choose(
         self, among: Collection[str] | None = None, is_near: bool = False
     ) -> InstanceRecord | None:
-        """Return another instance that serves and is not left out.
+        """Return another serving instance that is not excluded.
 
-        The one that was kept last is returned as long as it is among them;
-        else one of this data centre, if a near one is wanted and found.
+        The preferred peer comes first; then, with `is_near`, a random peer of
+        this data centre; then any random peer.
         """
-        me = self._state.settings.instance
+        own_name = self._state.settings.instance
         found_by_name = {
             record.instance: record
             for record in self._state.serving_instances()
-            if record.instance != me
+            if record.instance != own_name
             and (among is None or record.instance in among)
             and not self.is_out(record.instance)
         }
-        if self._kept in found_by_name:
-            return found_by_name[self._kept]
+        if self._preferred in found_by_name:
+            return found_by_name[self._preferred]
         if not found_by_name:
             return None
-        found = list(found_by_name.values())
-        here = self._state.settings.data_centre
-        near = [record for record in found if record.data_centre == here]
+        candidates = list(found_by_name.values())
+        own_centre = self._state.settings.data_centre
+        near = [
+            record for record in candidates if record.data_centre == own_centre
+        ]
         return self._state.generator.choice(
-            near if is_near and near else found
+            near if is_near and near else candidates
         )
 
     def is_out(self, instance: str) -> bool:
-        """Tell whether a peer is left out now."""
-        until = self._out_until.get(instance, Instant(0.0))
+        """Return whether a peer is excluded now."""
+        until = self._excluded_until_by_name.get(instance, Instant(0.0))
         return self._clock.seconds() < until
 
     def count_out(self) -> int:
-        """Return how many peers are left out now."""
-        return sum(self.is_out(name) for name in self._out_until)
+        """Return the number of peers that are excluded now."""
+        return sum(self.is_out(name) for name in self._excluded_until_by_name)
 
     def keep(self, instance: str) -> None:
-        """Go on with a peer that was of use."""
-        self._kept = instance
+        """Prefer a peer that answered."""
+        self._preferred = instance
 
     def leave_out(self, instance: str, seconds: float) -> None:
-        """Leave a peer out for a while."""
+        """Exclude a peer for some seconds."""
         until = self._clock.seconds() + seconds
-        self._out_until[instance] = Instant(until)
-        if self._kept == instance:
-            self._kept = ''
+        self._excluded_until_by_name[instance] = Instant(until)
+        if self._preferred == instance:
+            self._preferred = ''
 
     def clear(self) -> None:
-        """Choose among all again."""
-        self._out_until.clear()
+        """End all exclusions."""
+        self._excluded_until_by_name.clear()
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/store_way.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/store_way.py
@@ -1,4 +1,4 @@
-"""Reach the store directly, or through an instance that still does."""
+"""Call the store directly, or through a peer while that fails."""
 
 from __future__ import annotations
 
@@ -29,97 +29,95 @@
 
 log = logs.for_part('store way')
 
-# Seconds for which a peer that did not reach the store either is left out:
-# while the store is away, each try through a peer is a paid call more.
-PEER_OUT_SECONDS = 1.5
-# Peers out of order that show that the store itself is away: one may be an
-# accident, two are not. Where a third of all instances is cut off at once, a
-# holder met four of them in a row once in 115 cuts, took the store for away
-# and lost three calls, 1.5 s of a lease of 2.5 s; eight come by chance once
-# in 48,000 cuts of 40 instances, and once in 6,600 of many. A peer that knows
-# its own way to be out says so without a paid call, and costs a message.
-MIN_PEERS_OUT = 2
-MAX_PEERS_OUT = 8
-INSTANCES_PER_PEER_OUT = 5
-# Seconds that a passed-on call may take longer than a direct one.
+# Seconds for which a peer that cannot reach the store is excluded: each call
+# through a peer may be billed.
+PEER_EXCLUDED_SECONDS = 1.5
+# Number of excluded peers that indicates an outage of the store itself. With
+# fewer, a holder that happens to choose only partitioned peers would give up
+# and lose its lease.
+MIN_EXCLUDED_PEERS = 2
+MAX_EXCLUDED_PEERS = 8
+INSTANCES_PER_EXCLUDED_PEER = 5
+# Additional seconds for a call that a peer forwards.
 HOP_SECONDS = 0.2
-# What a peer answers where the store did not get a call, and where it may
-# have carried it out; the store itself answers neither.
+# Statuses that only peers return: the store did not receive the call, or may
+# have executed it.
 STATUS_NOT_REACHED = 530
 STATUS_UNCLEAR = 531
-# Longest waiting time of a watch that a peer passes on.
-MAX_PASSED_ON = 20.0
+# Timeout of a call that this instance forwards, long enough for a watch.
+MAX_FORWARDED_SECONDS = 20.0
 
 
 class StoreWay:
-    """Send calls to the store and remember which way works."""
+    """Send calls to the store directly or through a peer that reaches it."""
 
     def __init__(
-        self, state: GatewayState, links: Connections, clock: Any
+        self, state: GatewayState, connections: Connections, clock: Any
     ) -> None:
         self._state = state
-        self._links = links
+        self._connections = connections
         self._clock = clock
-        # Called when the direct way is lost.
+        # Called when direct calls start to fail.
         self.on_lost: Callable[[], None] = lambda: None
         self._direct = direct_way.DirectWay(state, self._probe, clock)
         self._direct.on_lost = lambda: self.on_lost()
-        self._direct.on_regained = self._regained
-        # Lets one call at a time find out whether the direct way is in order.
-        self._trial = defer.DeferredLock()
+        self._direct.on_regained = self._on_regained
+        # Serializes background calls until one shows that direct calls work.
+        self._first_call_lock = defer.DeferredLock()
         self._peers = peer_choice.PeerChoice(state, clock)
-        self._waiting: set[defer.Deferred[None]] = set()
+        self._paused: set[defer.Deferred[None]] = set()
 
     async def send_in_background(
         self, request: OutgoingRequest, seconds: float
     ) -> Reply:
-        """Return the store's answer to a call that nobody waits for.
+        """Return the store's answer to a call without a waiting caller.
 
-        While the direct way is out of order it is left to the probes.
-        Raises as `send` does.
+        While direct calls fail, only peers are tried. Raises as `send` does.
         """
         if seconds > store_module.CALL_SECONDS or self._direct.is_fresh():
             return await self._send_unawaited(request, seconds)
-        # As the store fell silent, each instance followed three prefixes and
-        # kept a lease: four calls went out before the first one failed.
-        await self._trial.acquire()
+        # At the start of an outage, only one of several concurrent calls is
+        # sent and billed.
+        await self._first_call_lock.acquire()
         try:
             if not self._direct.is_fresh():
                 return await self._send_unawaited(request, seconds)
         finally:
-            self._trial.release()
+            self._first_call_lock.release()
         return await self._send_unawaited(request, seconds)
 
     async def _send_unawaited(
         self, request: OutgoingRequest, seconds: float
     ) -> Reply:
-        if self._direct.is_in_order:
+        if self._direct.is_working:
             return await self._send_directly(request, seconds)
-        peer = self._peer()
+        peer = self._choose_peer()
         if peer is None:
-            raise http_exchange.NotConnected('the store is away')
-        return await self._through_peers(peer, request, seconds)
+            raise http_exchange.NotConnected('no peer reaches the store')
+        return await self._send_through_peers(peer, request, seconds)
 
     def expect_return(self) -> None:
-        """Probe now: another instance reaches the store again."""
+        """Probe at once, since another instance reaches the store."""
         self._direct.probe_now()
 
     async def send(self, request: OutgoingRequest, seconds: float) -> Reply:
         """Return the store's answer.
 
-        Raises NotConnected if the store did not get the call, else
-        ExchangeBroken.
+        Raises NotConnected if the store did not receive the call, and
+        ExchangeBroken if the store may have executed it.
         """
-        self._direct.await_return()
+        self._direct.note_waiting_caller()
         started_at = self._clock.seconds()
-        if not self._direct.is_in_order:
-            peer = self._peer()
+        if not self._direct.is_working:
+            peer = self._choose_peer()
             if peer is not None:
                 try:
-                    return await self._through_peers(peer, request, seconds)
+                    return await self._send_through_peers(
+                        peer, request, seconds
+                    )
                 except http_exchange.NotConnected:
-                    # Where the store was away from everybody, it is back
-                    # for all of them before their probes show it.
+                    # After an outage, direct calls work again before a
+                    # probe of any instance shows it.
                     if self._clock.seconds() >= started_at + seconds:
                         raise
         return await self._send_directly(request, seconds)
@@ -127,29 +125,29 @@
     async def _send_directly(
         self, request: OutgoingRequest, seconds: float
     ) -> Reply:
-        """Send a call directly, and through a peer if that fails."""
+        """Send a call directly, or through a peer if that fails."""
         try:
-            reply = await self._directly(request, seconds)
+            reply = await self._exchange_directly(request, seconds)
         except (
             http_exchange.NotConnected,
             http_exchange.ExchangeBroken,
         ) as error:
-            self._direct.lose(repr(error))
-            peer = self._peer()
+            self._direct.mark_failed(repr(error))
+            peer = self._choose_peer()
             if peer is None:
                 raise
-            return await self._through_peers(peer, request, seconds)
+            return await self._send_through_peers(peer, request, seconds)
         if not store_module.is_turned_away(reply.head.status):
-            self._direct.regain()
+            self._direct.mark_working()
             return reply
-        self._direct.lose(f'status {reply.head.status}')
-        peer = self._peer()
+        self._direct.mark_failed(f'status {reply.head.status}')
+        peer = self._choose_peer()
         if peer is None:
             return reply
-        return await self._through_peers(peer, request, seconds)
+        return await self._send_through_peers(peer, request, seconds)
 
     async def pass_on(self, request: SmallRequest) -> Page:
-        """Send a peer's call to the store, directly only."""
+        """Forward a peer's call to the store, never through another peer."""
         outgoing = http_exchange.OutgoingRequest(
             method=request.method,
             target=request.target,
@@ -159,43 +157,45 @@
             ),
             body=request.body,
         )
-        if not self._direct.is_in_order:
+        if not self._direct.is_working:
             return Page(status=STATUS_NOT_REACHED)
         try:
-            reply = await self._directly(outgoing, MAX_PASSED_ON)
+            reply = await self._exchange_directly(
+                outgoing, MAX_FORWARDED_SECONDS
+            )
         except http_exchange.NotConnected:
             return Page(status=STATUS_NOT_REACHED)
         except http_exchange.ExchangeBroken:
             return Page(status=STATUS_UNCLEAR)
         if store_module.is_turned_away(reply.head.status):
-            # The next peer that asks is told at once, and the one that asked
-            # goes on to another: both would be refused here.
-            self._direct.lose(f'status {reply.head.status}')
+            # Later calls of peers are rejected without a billed call; this
+            # peer tries another one.
+            self._direct.mark_failed(f'status {reply.head.status}')
             return Page(status=STATUS_NOT_REACHED)
         return Page(status=reply.head.status, body=reply.body)
 
     async def pause(self, seconds: float) -> None:
-        """Wait some seconds before a call is tried again.
+        """Wait some seconds before a retry.
 
-        Where no peer reaches the store either, waits until a probe shows it
-        or peers may be asked again. Sixty instances that each tried several
-        reads twice a second made 2,400 paid calls in an outage of 4.5 s,
-        and met the store with all of them at its return.
+        If no peer reaches the store either, wait until a probe succeeds or
+        peers may be tried again, to save billed calls during an outage.
         """
-        if self._direct.is_in_order or self._peer() is not None:
+        if self._direct.is_working or self._choose_peer() is not None:
             await task.deferLater(self._clock, seconds)
             return
         waiting: defer.Deferred[None] = defer.Deferred()
-        self._waiting.add(waiting)
-        timer = self._clock.callLater(PEER_OUT_SECONDS, waiting.callback, None)
+        self._paused.add(waiting)
+        timer = self._clock.callLater(
+            PEER_EXCLUDED_SECONDS, waiting.callback, None
+        )
         try:
             await waiting
         finally:
-            self._waiting.discard(waiting)
+            self._paused.discard(waiting)
             if timer.active():
                 timer.cancel()
 
-    async def _directly(
+    async def _exchange_directly(
         self, request: OutgoingRequest, seconds: float
     ) -> Reply:
         address = self._state.settings.store_address
@@ -208,37 +208,37 @@
         deadline = Instant(started_at + seconds)
         end = 'no answer'
         try:
-            reply = await self._links.exchange(address, request, deadline)
+            reply = await self._connections.exchange(
+                address, request, deadline
+            )
             end = f'status {reply.head.status}'
             return reply
         finally:
             meters.STORE_CALLS.labels(way, end).inc()
             if seconds <= store_module.CALL_SECONDS + HOP_SECONDS:
-                took = self._clock.seconds() - started_at
-                meters.STORE_SECONDS.labels(way).observe(took)
+                elapsed = self._clock.seconds() - started_at
+                meters.STORE_SECONDS.labels(way).observe(elapsed)
 
-    async def _through_peers(
+    async def _send_through_peers(
         self, peer: InstanceRecord, request: OutgoingRequest, seconds: float
     ) -> Reply:
-        """Ask one peer after the other until one passes the call on.
+        """Try peers in turn until one forwards the call.
 
-        A holder that gave up at the first one lost its duty: where a third
-        of the instances was cut off, each third peer was cut off as well.
-        A peer that did not get the call did nothing, so the next one may
-        be asked; one that may have passed it on ends the call.
+        After a partition, several peers may be cut off as well. Only a call
+        that certainly did not reach the store is retried at the next peer.
         """
         deadline = self._clock.seconds() + seconds + HOP_SECONDS
         while True:
-            left = deadline - self._clock.seconds()
+            seconds_left = deadline - self._clock.seconds()
             try:
-                return await self._through(peer, request, left)
+                return await self._send_through(peer, request, seconds_left)
             except http_exchange.NotConnected:
-                following = self._peer()
-                if following is None or self._clock.seconds() >= deadline:
+                next_peer = self._choose_peer()
+                if next_peer is None or self._clock.seconds() >= deadline:
                     raise
-                peer = following
+                peer = next_peer
 
-    async def _through(
+    async def _send_through(
         self, peer: InstanceRecord, request: OutgoingRequest, seconds: float
     ) -> Reply:
         try:
@@ -246,59 +246,63 @@
                 'peer', peer.peer_address, request, seconds
             )
         except (http_exchange.NotConnected, http_exchange.ExchangeBroken):
-            self._leave_out(peer)
+            self._exclude(peer)
             raise
         if reply.head.status == STATUS_NOT_REACHED:
-            self._leave_out(peer)
-            raise http_exchange.NotConnected('a peer does not reach the store')
+            self._exclude(peer)
+            raise http_exchange.NotConnected('peer does not reach the store')
         if reply.head.status == STATUS_UNCLEAR:
-            self._leave_out(peer)
-            raise http_exchange.ExchangeBroken('a peer got no answer')
+            self._exclude(peer)
+            raise http_exchange.ExchangeBroken(
+                'peer got no answer from the store'
+            )
         self._peers.keep(peer.instance)
         return reply
 
-    def _peer(self) -> InstanceRecord | None:
+    def _choose_peer(self) -> InstanceRecord | None:
         known = len(self._state.instances_by_id)
-        enough = min(known // INSTANCES_PER_PEER_OUT, MAX_PEERS_OUT)
-        if self._peers.count_out() >= max(enough, MIN_PEERS_OUT):
+        threshold = min(
+            known // INSTANCES_PER_EXCLUDED_PEER, MAX_EXCLUDED_PEERS
+        )
+        if self._peers.count_out() >= max(threshold, MIN_EXCLUDED_PEERS):
             return None
         return self._peers.choose()
 
     async def _probe(self) -> bool:
-        """Tell whether the store answers directly."""
+        """Return whether the store answers a direct call."""
         host = self._state.settings.store_address
         try:
-            reply = await self._directly(
-                store_module.probe(host), direct_way.PROBE_TIMEOUT
+            reply = await self._exchange_directly(
+                store_module.probe(host), direct_way.PROBE_TIMEOUT_SECONDS
             )
         except (http_exchange.NotConnected, http_exchange.ExchangeBroken):
             return False
         return not store_module.is_turned_away(reply.head.status)
 
-    def _regained(self) -> None:
+    def _on_regained(self) -> None:
         self._peers.clear()
-        for waiting in list(self._waiting):
-            self._waiting.discard(waiting)
+        for waiting in list(self._paused):
+            self._paused.discard(waiting)
             waiting.callback(None)
 
-    def _leave_out(self, peer: InstanceRecord) -> None:
-        self._peers.leave_out(peer.instance, PEER_OUT_SECONDS)
+    def _exclude(self, peer: InstanceRecord) -> None:
+        self._peers.leave_out(peer.instance, PEER_EXCLUDED_SECONDS)
 
 
 class BackgroundWay:
-    """Carry calls that nobody waits for."""
+    """Send calls without a waiting caller, such as those of followers."""
 
     def __init__(self, way: StoreWay) -> None:
         self._way = way
 
     async def send(self, request: OutgoingRequest, seconds: float) -> Reply:
-        """Return the store's answer; raises as the way does."""
+        """Return the store's answer; raise as `StoreWay.send` does."""
         return await self._way.send_in_background(request, seconds)
 
     async def pause(self, seconds: float) -> None:
-        """Wait before a call is tried again, longer while it can't work."""
+        """Wait before a retry; longer while no peer reaches the store."""
         await self._way.pause(seconds)
 
     def expect_return(self) -> None:
-        """Find out soon whether the direct way is in order again."""
+        """Probe at once if direct calls fail."""
         self._way.expect_return()
--- a/packages/yuccarill-daemon/tests/gateway/memory_store.py
+++ b/packages/yuccarill-daemon/tests/gateway/memory_store.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's store, in memory, with faults to order."""
+"""An in-memory store for tests, with fault injection."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass
 class Keys:
-    """Hold the keys, leases and history that all instances share."""
+    """The keys, leases and history that all instances share."""
 
     clock: task.Clock
     revision: int = 0
@@ -22,7 +22,7 @@
         default_factory=dict
     )
     history: list[Any] = dataclasses.field(default_factory=list)
-    floor: int = 0
+    history_floor: int = 0
     ends_by_lease: dict[int, float] = dataclasses.field(default_factory=dict)
     seconds_by_lease: dict[int, float] = dataclasses.field(
         default_factory=dict
@@ -32,7 +32,7 @@
     def put(self, key: str, value: bytes, lease: int = 0) -> None:
         self.revision += 1
         self._put(store.Write(key=key, value=value, lease=lease))
-        self.tell()
+        self._wake_watches()
 
     def _put(self, write: store.Write) -> None:
         known = self.entries_by_key.get(write.key)
@@ -49,7 +49,7 @@
     def remove(self, key: str) -> None:
         self.revision += 1
         self._remove(key)
-        self.tell()
+        self._wake_watches()
 
     def _remove(self, key: str) -> None:
         if self.entries_by_key.pop(key, None) is not None:
@@ -63,12 +63,12 @@
             self._put(write)
         for key in removals:
             self._remove(key)
-        self.tell()
+        self._wake_watches()
         return Revision(self.revision)
 
     def forget_history(self) -> None:
         """Discard the history, as the store may at any time."""
-        self.floor = self.revision
+        self.history_floor = self.revision
         self.history.clear()
         for watch in list(self.watches):
             watch()
@@ -82,18 +82,18 @@
                 if entry.lease == lease:
                     self.remove(entry.key)
 
-    def tell(self) -> None:
+    def _wake_watches(self) -> None:
         for watch in list(self.watches):
             watch()
 
 
 @dataclasses.dataclass
 class MemoryStore:
-    """Be one instance's client of the shared keys.
+    """One instance's client of the shared keys.
 
-    Faults: `refuses` does nothing and says so; `is_silent` never answers;
-    `loses_replies` carries a write out and never answers; `is_deaf` lets
-    watches hear nothing although other calls work.
+    Faults: `refuses` rejects calls unexecuted; `is_silent` never answers;
+    `loses_replies` executes writes without an answer; with `is_deaf`, only
+    watches are never answered.
     """
 
     keys: Keys
@@ -106,7 +106,7 @@
     answer_age: float = 0.0
 
     async def get(self, key: str) -> store.Entry | None:
-        await self._enter('get')
+        await self._start_call('get')
         return self.keys.entries_by_key.get(key)
 
     def expect_return(self) -> None:
@@ -118,7 +118,7 @@
     async def page(
         self, prefix: str, after: str | None = None, is_stale: bool = False
     ) -> store.Page:
-        await self._enter('stale page' if is_stale else 'page')
+        await self._start_call('stale page' if is_stale else 'page')
         found = sorted(
             entry.key
             for entry in self.keys.entries_by_key.values()
@@ -132,7 +132,7 @@
     async def watch(
         self, prefix: str, after: Revision, seconds: float
     ) -> store.Page:
-        await self._enter('watch')
+        await self._start_call('watch')
         deadline = self.keys.clock.seconds() + seconds
         if self.is_deaf:
             await self._sleep(seconds + 1.5)
@@ -141,7 +141,7 @@
             if self.is_silent:
                 await self._sleep(seconds)
                 raise store.StoreUnclear('no answer')
-            if after < self.keys.floor:
+            if after < self.keys.history_floor:
                 raise store.HistoryGone
             found = tuple(
                 change
@@ -158,7 +158,7 @@
     async def transact(
         self, expected: Any = (), writes: Any = (), removals: Any = ()
     ) -> Revision:
-        await self._enter('transact')
+        await self._start_call('transact')
         writes = list(writes)
         for write in writes:
             if write.lease and write.lease not in self.keys.ends_by_lease:
@@ -180,25 +180,25 @@
         return revision
 
     async def open_lease(self, seconds: float) -> int:
-        await self._enter('lease')
+        await self._start_call('lease')
         lease = len(self.keys.seconds_by_lease) + 1
         self.keys.seconds_by_lease[lease] = seconds
         self.keys.ends_by_lease[lease] = self.keys.clock.seconds() + seconds
         return lease
 
     async def keep_lease(self, lease: int) -> None:
-        await self._enter('keep')
+        await self._start_call('keep')
         if lease not in self.keys.ends_by_lease:
             raise store.LeaseEnded
         seconds = self.keys.seconds_by_lease[lease]
         self.keys.ends_by_lease[lease] = self.keys.clock.seconds() + seconds
 
     async def end_lease(self, lease: int) -> None:
-        await self._enter('end')
+        await self._start_call('end')
         self.keys.ends_by_lease[lease] = 0.0
         self.keys.expire()
 
-    async def _enter(self, call: str) -> None:
+    async def _start_call(self, call: str) -> None:
         self.calls.append(call)
         await self._sleep(0.004)
         self.keys.expire()
--- a/packages/yuccarill-daemon/tests/gateway/test_follower.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_follower.py
@@ -1,4 +1,4 @@
-"""Test how a copy of the store's keys is kept."""
+"""Test how a follower keeps its copy of the store's keys."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from . import world
 
 
-def _old_page(read: Any, entry: store_module.Entry) -> Any:
-    """Read cheap pages that still have an entry."""
+def _stale_page_with(read: Any, entry: store_module.Entry) -> Any:
+    """Return a read whose stale pages still have an entry."""
 
     async def page(
         prefix: str, after: str | None = None, is_stale: bool = False
@@ -42,13 +42,13 @@
         self.addCleanup(following.cancel)
         return found
 
-    def heard(self) -> list[str]:
+    def recorded(self) -> list[str]:
         return [
             ('-' if isinstance(c, store_module.Removal) else '+') + c.key
             for c in self.changes
         ]
 
-    def test_reads_then_hears_of_each_change(self) -> None:
+    def test_reads_then_reports_each_change(self) -> None:
         self.keys.put('p/a', b'1')
         self.keys.put('other', b'1')
         self.follow(self.store())
@@ -56,24 +56,19 @@
         self.keys.put('p/b', b'1')
         self.keys.remove('p/a')
         self.run_for(0.1)
-        self.assertEqual(['+p/a', '+p/b', '-p/a'], self.heard())
+        self.assertEqual(['+p/a', '+p/b', '-p/a'], self.recorded())
 
-    def test_a_deaf_watch_is_found(self) -> None:
-        """A configuration took 15 s to come to an instance.
-
-        1. The store is silent when the watch is sent; the watch is lost.
-        2. The store comes back; the connection is open all the while.
-        3. A change is made that the watch never hears of.
-        """
+    def test_a_stalled_watch_is_detected(self) -> None:
+        """Guard against a lost watch on a connection that stays open."""
         store = self.store()
         store.is_deaf = True
         self.follow(store)
         self.run_for(0.1)
         self.keys.put('p/a', b'1')
         self.run_for(2 * follower.CHECK_SECONDS + 0.1)
-        self.assertEqual(['+p/a'], self.heard())
+        self.assertEqual(['+p/a'], self.recorded())
 
-    def test_a_removal_that_was_not_heard_is_found(self) -> None:
+    def test_a_missed_removal_is_detected(self) -> None:
         store = self.store()
         store.is_deaf = True
         self.keys.put('p/a', b'1')
@@ -81,11 +76,11 @@
         self.run_for(0.1)
         self.keys.remove('p/a')
         self.run_for(3 * follower.CHECK_SECONDS + 0.1)
-        self.assertEqual(['+p/a', '-p/a'], self.heard())
+        self.assertEqual(['+p/a', '-p/a'], self.recorded())
 
-    def test_lost_history_is_read_again(self) -> None:
-        # The store drops its history in the middle of a watch, after a
-        # change and a removal that were not told.
+    def test_keys_are_read_again_after_a_lost_history(self) -> None:
+        # The store drops its history during a watch, after a change and a
+        # removal that the watch did not report.
         self.keys.put('p/a', b'1')
         self.follow(self.store())
         self.run_for(0.1)
@@ -94,9 +89,9 @@
         self.keys.forget_history()
         self.keys.put('p/b', b'1')
         self.run_for(0.2)
-        self.assertEqual({'+p/a', '+p/b', '-p/a'}, set(self.heard()))
+        self.assertEqual({'+p/a', '+p/b', '-p/a'}, set(self.recorded()))
 
-    def test_nothing_is_lost_while_the_store_is_away(self) -> None:
+    def test_nothing_is_lost_during_an_outage(self) -> None:
         store = self.store()
         self.follow(store)
         self.run_for(0.1)
@@ -105,7 +100,7 @@
         self.keys.put('p/a', b'1')
         store.refuses = False
         self.run_for(1.0)
-        self.assertEqual(['+p/a'], self.heard())
+        self.assertEqual(['+p/a'], self.recorded())
 
     def test_an_older_value_never_comes_after_a_newer_one(self) -> None:
         store = self.store()
@@ -121,12 +116,7 @@
         self.assertEqual(19, values[-1])
 
     def test_a_busy_prefix_is_read_once(self) -> None:
-        """Eleven watchers read all targets anew every 3 s, and paid for it.
-
-        1. Engines' entries change all the time; a watch waits a moment
-           before it is sent again, so that one call tells of several.
-        2. A check in that moment finds what the next watch will tell.
-        """
+        """Guard against repeated reads if a check runs between two watches."""
         store = self.store()
         found = follower.PrefixFollower(
             store, 'p/', lambda _: None, self.clock, settle_seconds=0.9
@@ -140,12 +130,8 @@
         self.assertEqual(0, store.calls.count('page'))
         self.assertLess(store.calls.count('watch'), 36)
 
-    def test_an_old_page_brings_no_removed_key_back(self) -> None:
-        """Watchers read everything anew after each instance that stopped.
-
-        1. A key is removed; the watch tells.
-        2. The next check's page is some seconds old, and still has it.
-        """
+    def test_a_stale_page_restores_no_removed_key(self) -> None:
+        """Guard against a stale page that still has a removed key."""
         self.keys.put('p/a', b'1')
         store = self.store()
         self.follow(store)
@@ -154,21 +140,16 @@
         self.keys.remove('p/a')
         self.run_for(0.1)
         with mock.patch.object(
-            store, 'page', wraps=_old_page(store.page, old)
+            store, 'page', wraps=_stale_page_with(store.page, old)
         ):
             self.run_for(3 * follower.CHECK_SECONDS)
-        self.assertEqual(['+p/a', '-p/a'], self.heard())
+        self.assertEqual(['+p/a', '-p/a'], self.recorded())
         self.assertEqual(0, store.calls.count('page'))
 
     def test_a_change_lost_with_the_history_is_read_after_a_loss(self) -> None:
-        """Requests on a new route still got 404 4.7 s after its change.
-
-        1. Watches hear nothing for a second, in which a change is made.
-        2. A watch reaches the end of its time then: its answer holds no
-           change, and a revision beyond the one that it did not tell.
-        3. The history is dropped and the connections are cut. A watch from
-           that revision on is not told that anything is missing; cheap
-           reads are seconds old.
+        """Guard against a change that no watch can report after a refresh.
+
+        The watch had passed its revision when the store dropped its history.
         """
         store = self.store()
         found = self.follow(store)
@@ -176,25 +157,27 @@
         self.keys.revision += 1
         self.keys._put(store_module.Write(key='p/a', value=b''))
         self.keys.history.clear()
-        found._revision = found._known = store_module.Revision(
+        found._watch_revision = found._latest_revision = store_module.Revision(
             self.keys.revision
         )
         found.refresh()
         self.run_for(0.1)
-        self.assertEqual(['+p/a'], self.heard())
+        self.assertEqual(['+p/a'], self.recorded())
 
 
 class CopyTest(FollowerTest):
-    """Others may follow a copy as they follow the store."""
+    """Test how readers follow a copy of the store."""
 
-    def test_changes_are_told_to_followers(self) -> None:
+    def test_changes_are_reported_to_readers(self) -> None:
         self.keys.put('p/a', b'1')
         found = self.follow(self.store())
         self.run_for(0.1)
         copied = found.copy()
         cursor = found.cursor
         self.assertEqual(['p/a'], [c.key for c in copied.changes])
-        waiting = defer.Deferred.fromCoroutine(found.changes(cursor, 1.5))
+        waiting = defer.Deferred.fromCoroutine(
+            found.wait_for_changes(cursor, 1.5)
+        )
         self.run_for(0.1)
         self.keys.put('p/b', b'1')
         self.run_for(0.1)
@@ -202,17 +185,17 @@
         self.assertEqual(['p/b'], [c.key for c in page.changes])
         self.assertGreater(page.revision, copied.revision)
 
-    def test_one_far_behind_has_to_copy_again(self) -> None:
+    def test_a_reader_far_behind_has_to_copy_again(self) -> None:
         found = self.follow(self.store())
         self.run_for(0.1)
         cursor = found.cursor
         for _ in range(500):
             self.keys.put('p/a', b'1')
             self.run_for(0.01)
-        page = self.finish(found.changes(cursor, 1.5))
+        page = self.finish(found.wait_for_changes(cursor, 1.5))
         self.assertIsNone(page)
 
-    def test_age_grows_while_the_store_is_away(self) -> None:
+    def test_age_grows_during_an_outage(self) -> None:
         store = self.store()
         found = self.follow(store)
         self.run_for(3.0)
--- a/packages/yuccarill-daemon/tests/gateway/test_observer.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_observer.py
@@ -1,4 +1,4 @@
-"""Test what one process makes of the keys in the store."""
+"""Test how changes in the store update the state of a process."""
 
 from __future__ import annotations
 
@@ -54,14 +54,12 @@
         msgspec.json.encode({**ENTRY, 'state': 'unknown'}),
         msgspec.json.encode({**ENTRY, 'slots': 'four'}),
     )
-    def test_another_writer_takes_away_one_target_only(
+    def test_an_invalid_entry_removes_one_target_only(
         self, value: bytes
     ) -> None:
-        """Requests went to an address that no target had written.
+        """Guard against requests to an address that no target wrote.
 
-        1. Two targets are listed.
-        2. Something else writes under the key of one of them.
-        3. The other one goes on; the first is back with its next heartbeat.
+        The target is listed again after its next heartbeat.
         """
         self.write('t0', msgspec.json.encode(ENTRY))
         self.write('t1', msgspec.json.encode(ENTRY))
@@ -70,7 +68,7 @@
         self.write('t0', msgspec.json.encode(ENTRY))
         self.assertEqual(['t0', 't1'], self.ready())
 
-    def test_a_start_under_the_same_id_is_told(self) -> None:
+    def test_a_restart_under_the_same_id_is_reported(self) -> None:
         self.write('t0', msgspec.json.encode(ENTRY))
         known = self.known.targets.targets_by_id[TargetId('t0')]
         self.write('t0', msgspec.json.encode({**ENTRY, 'seq': 9}))
@@ -80,7 +78,7 @@
         found = self.known.targets.targets_by_id[TargetId('t0')]
         self.assertEqual(2, found.start.started_at)
 
-    # What stands in the store, and what it means.
+    # Stored value and expected division.
     @params(
         (msgspec.msgpack.encode(1), partitions.WHOLE),
         (msgspec.msgpack.encode(3), partitions.Division(parts=3)),
@@ -92,20 +90,16 @@
     def test_a_division_of_any_version_is_read(
         self, value: bytes, expected: partitions.Division
     ) -> None:
-        """Without it nobody contends, and no job is run."""
+        """Guard against a service without a holder, whose jobs do not run."""
         self.keys.put(keys.partitions(world.SERVICE), value)
         self.run_for(2.0)
         self.assertEqual(expected, self.known.division(world.SERVICE))
 
-    def test_changes_that_come_together_are_told_once(self) -> None:
-        """A holder looks at all its engines each time it is told.
-
-        Weights change at hundreds of engines within a second, and each writes
-        its entry anew.
-        """
+    def test_a_batch_of_changes_is_reported_once(self) -> None:
+        """Guard against a scan of all engines for each of many changes."""
         self.run_for(2.0)
-        told: list[None] = []
-        self.observer.listen(lambda: told.append(None))
+        notifications: list[None] = []
+        self.observer.listen(lambda: notifications.append(None))
         writes = [
             store.Write(
                 key=f'{keys.TARGET_PREFIX}t{number}',
@@ -116,16 +110,10 @@
         self.keys.commit(writes, ())
         self.run_for(2.0)
         self.assertEqual(300, len(self.ready()))
-        self.assertLessEqual(len(told), 2)
+        self.assertLessEqual(len(notifications), 2)
 
-    def test_nobody_acts_on_a_part_of_what_came_together(self) -> None:
-        """A score went to a target 4 s after it had said that it leaves.
-
-        1. Entries of hundreds of engines change, and one target leaves.
-        2. All of it comes in one answer.
-        3. Acted on after each change, with a look at all engines, the last
-           ones were known seconds later, and work was sent meanwhile.
-        """
+    def test_listeners_never_see_part_of_a_batch(self) -> None:
+        """Guard against work for a leaving target while a batch is applied."""
         self.write('t0', msgspec.json.encode(ENTRY))
         seen: list[bool] = []
         self.observer.listen(lambda: seen.append('t0' in self.ready()))
--- a/packages/yuccarill-daemon/tests/gateway/test_store_outage.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_store_outage.py
@@ -1,10 +1,4 @@
-"""Test what an outage of the store costs in calls of it.
-
-The pattern is that of a large fleet whose store is away for some seconds:
-each instance follows three prefixes and keeps a lease, and each refused call
-is paid for in full. On 165 instances 5,166 of 7,042 calls of a day were
-refused, by a log of each call.
-"""
+"""Test how many billed calls instances make during an outage of the store."""
 
 from __future__ import annotations
 
@@ -19,26 +13,24 @@
 from . import world
 
 
-class TurnedAwayPeerTest(world.WorldTest):
-    def test_a_peer_that_is_turned_away_is_asked_once(self) -> None:
-        """Peers that had not noticed an outage made refused calls for others.
-
-        1. The store turns this instance away, which it does not know yet.
-        2. Two others ask it to pass a call on.
-        """
-        links = test_store_way.Links(self.clock, {'store:3': 503})
-        way = store_way.StoreWay(self.state('a'), links, self.clock)
+class RefusedPeerTest(world.WorldTest):
+    def test_a_refused_peer_calls_the_store_once(self) -> None:
+        """Guard against a refused, billed call for each request of a peer."""
+        connections = test_store_way.FakeConnections(
+            self.clock, {'store:3': 503}
+        )
+        way = store_way.StoreWay(self.state('a'), connections, self.clock)
         request = small_server.SmallRequest(method='GET', target='/x')
         for _ in range(2):
             page = self.finish(way.pass_on(request))
             self.assertEqual(store_way.STATUS_NOT_REACHED, page.status)
-        self.assertEqual(1, len(links.sent))
+        self.assertEqual(1, len(connections.sent))
 
 
 class BackgroundTest(world.WorldTest):
-    """The store is away from a fleet of 40; refused calls are paid in full.
+    """No instance reaches the store, and refused calls are billed.
 
-    This instance is none of those that watch the store for the others.
+    The tested instance is not a watcher.
     """
 
     SIZE = 40
@@ -51,11 +43,11 @@
         for number in range(1, self.SIZE):
             world.list_instance(state, f'n{number}')
             statuses[f'n{number}:2'] = store_way.STATUS_NOT_REACHED
-        self.links = test_store_way.Links(self.clock, statuses)
-        self.way = store_way.StoreWay(state, self.links, self.clock)
+        self.connections = test_store_way.FakeConnections(self.clock, statuses)
+        self.way = store_way.StoreWay(state, self.connections, self.clock)
 
-    def paid(self) -> int:
-        return self.links.sent.count('store:3')
+    def billed_calls(self) -> int:
+        return self.connections.sent.count('store:3')
 
     def send_four(self) -> list[defer.Deferred[object]]:
         found = [
@@ -68,44 +60,35 @@
             each.addErrback(lambda f: f.trap(http_exchange.NotConnected))
         return found
 
-    def test_one_call_finds_out_for_all(self) -> None:
-        """Each instance made four calls in the moment of an outage.
-
-        1. Three reads and a renewal of one instance are due at once.
-        2. The first one is refused; the others need not be.
-        """
+    def test_one_call_detects_the_outage_for_all(self) -> None:
+        """Guard against concurrent billed calls at the start of an outage."""
         self.send_four()
         self.run_for(0.5)
-        self.assertEqual(1, self.paid())
+        self.assertEqual(1, self.billed_calls())
 
-    def test_calls_go_on_at_once_where_the_store_answers(self) -> None:
-        self.links.statuses_by_address['store:3'] = 200
+    def test_calls_are_not_delayed_if_the_store_answers(self) -> None:
+        self.connections.statuses_by_address['store:3'] = 200
         self.send_four()
         self.run_for(0.02)
-        self.assertEqual(4, self.paid())
+        self.assertEqual(4, self.billed_calls())
 
-    def test_an_instance_that_nobody_waits_for_hardly_probes(self) -> None:
-        """A fleet of 165 made 2,146 probes in a minute with two outages."""
+    def test_probes_are_rare_without_a_waiting_caller(self) -> None:
+        """Guard against many billed probes by idle instances."""
         self.send_four()
         self.run_for(10.0)
-        self.assertLessEqual(self.paid(), 6)
+        self.assertLessEqual(self.billed_calls(), 6)
 
-    def test_one_that_is_waited_for_probes_often(self) -> None:
+    def test_probes_are_frequent_with_a_waiting_caller(self) -> None:
         with self.assertRaises(http_exchange.NotConnected):
             self.finish(self.way.send(test_store_way.POST, 0.8))
         self.run_for(2.0)
-        self.assertGreaterEqual(self.paid(), 3)
-
-    def test_a_watcher_that_is_back_shows_the_return(self) -> None:
-        """Instances were missing from the directory after an outage.
+        self.assertGreaterEqual(self.billed_calls(), 3)
 
-        1. Probes of an instance have become rare.
-        2. The store is back; a watcher notices and answers its readers.
-        3. The instance probes at once, and registers again.
-        """
+    def test_a_recovered_watcher_triggers_a_probe(self) -> None:
+        """Guard against late registration after an outage with rare probes."""
         self.send_four()
         self.run_for(8.0)
-        self.links.statuses_by_address['store:3'] = 200
+        self.connections.statuses_by_address['store:3'] = 200
         self.way.expect_return()
         self.run_for(0.02)
         found = self.finish(
