--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/direct_way.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/direct_way.py
@@ -50,7 +50,7 @@
         self.on_lost: Callable[[], None] = lambda: None
         self.on_regained: Callable[[], None] = lambda: None
         self._answered_at = Instant(-math.inf)
-        self._caller_waited_at = Instant(-math.inf)
+        self._called_at = Instant(-math.inf)
         self._probe_interval = PROBE_INTERVAL_SECONDS
         self._next_probe: Any = None
 
@@ -61,7 +61,7 @@
 
     def note_waiting_caller(self) -> None:
         """Record that a caller waits for an answer of the store."""
-        self._caller_waited_at = Instant(self._clock.seconds())
+        self._called_at = Instant(self._clock.seconds())
 
     def probe_now(self) -> None:
         """Probe at once if direct calls fail."""
@@ -127,10 +127,7 @@
 
     def _is_recovery_awaited(self) -> bool:
         """Return whether a caller or a reader waits for the recovery."""
-        if (
-            self._clock.seconds()
-            < self._caller_waited_at + FREQUENT_PROBE_SECONDS
-        ):
+        if self._clock.seconds() < self._called_at + FREQUENT_PROBE_SECONDS:
             return True
         # Readers of a watcher recover only after the watcher has recovered.
         names = watchers.watchers(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/feed.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/feed.py
@@ -143,7 +143,7 @@
         self._has_read = True
         if not after and not is_check:
             copy, self._pending_copy = self._pending_copy, None
-            copy = copy or await self._copy_from_watcher(prefix)
+            copy = copy or await self._fetch_copy(prefix)
             if copy is not None:
                 return copy
         page = await self._read(prefix, after, is_stale)
@@ -159,7 +159,7 @@
             polled = await self._poll(watcher, prefix)
             if polled is not None:
                 return polled
-        self._pending_copy = await self._copy_from_watcher(prefix)
+        self._pending_copy = await self._fetch_copy(prefix)
         if self._pending_copy is not None:
             # The new watcher's copy has to be compared with all known keys.
             raise store_module.HistoryGone
@@ -197,9 +197,7 @@
         self.answer_age = 0.0
         return page
 
-    async def _copy_from_watcher(
-        self, prefix: str
-    ) -> store_module.Page | None:
+    async def _fetch_copy(self, prefix: str) -> store_module.Page | None:
         """Return the copy of the first watcher that answers."""
         while (watcher := self._choose_watcher()) is not None:
             self._cursor = ''
@@ -248,8 +246,8 @@
             headers=(('Host', watcher.peer_address),),
         )
         poll_seconds = POLL_SECONDS if self._cursor else 0.0
-        asked_at = self._clock.seconds()
-        deadline = Instant(asked_at + poll_seconds + ANSWER_SECONDS)
+        started_at = self._clock.seconds()
+        deadline = Instant(started_at + poll_seconds + ANSWER_SECONDS)
         try:
             reply = await self._connections.exchange(
                 watcher.peer_address, request, deadline
@@ -260,7 +258,7 @@
             http_exchange.ExchangeBroken,
             WatcherUnusable,
         ) as error:
-            elapsed = self._clock.seconds() - asked_at
+            elapsed = self._clock.seconds() - started_at
             self._exclude(watcher, error, elapsed)
             return None
         self.is_direct = False
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/follower.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/follower.py
@@ -89,8 +89,8 @@
         self._clock = clock
         self._history = history.History(clock)
         self._contacted_at = 0.0
-        # Changes that the last check found and the watch had not reported. If
-        # they are still unknown at the next check, the watch has stalled.
+        # Revisions by key that the last check found and the watch had not
+        # reported. If any is unknown at the next check, the watch has stalled.
         self._unseen: Mapping[str, Revision] = {}
         # Revisions of removals: a stale page that still has a removed key must
         # not restore it.
@@ -311,11 +311,8 @@
 
     async def _is_watch_stalled(self, found: Mapping[str, Revision]) -> bool:
         """Return whether the watch fails to report keys that were found."""
-        was_unseen, self._unseen = (
-            self._unseen,
-            self._newer(found),
-        )
-        if self._newer(was_unseen):
+        previous, self._unseen = self._unseen, self._newer(found)
+        if self._newer(previous):
             return True
         watching = self._watching
         if watching is None or not self._unseen:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/observer.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/observer.py
@@ -50,7 +50,7 @@
     def __init__(
         self,
         state: GatewayState,
-        create_source: Callable[[], Source],
+        make_source: Callable[[], Source],
         clock: Any,
     ) -> None:
         self._state = state
@@ -61,25 +61,12 @@
         self.on_start: Callable[[ListedTarget], None] = lambda target: None
         self.followers_by_prefix = {
             prefix: follower.PrefixFollower(
-                create_source(),
-                prefix,
-                on_change,
-                clock,
-                self._finish_batch,
-                settle,
+                make_source(), prefix, on_change, clock, self._on_read, settle
             )
             for prefix, on_change, settle in (
-                (
-                    keys.CONFIGURATION,
-                    self._apply_configuration,
-                    SETTLE_SECONDS,
-                ),
-                (
-                    keys.TARGET_PREFIX,
-                    self._apply_target,
-                    TARGET_SETTLE_SECONDS,
-                ),
-                (keys.FLEET_PREFIX, self._apply_fleet_entry, SETTLE_SECONDS),
+                (keys.CONFIGURATION, self._on_configuration, SETTLE_SECONDS),
+                (keys.TARGET_PREFIX, self._on_target, TARGET_SETTLE_SECONDS),
+                (keys.FLEET_PREFIX, self._on_fleet_change, SETTLE_SECONDS),
             )
         }
 
@@ -88,11 +75,11 @@
         return [each.follow() for each in self.followers_by_prefix.values()]
 
     def age(self) -> float:
-        """Return the seconds since the last contact, of the oldest prefix."""
+        """Return the largest age of any prefix's copy in seconds."""
         return max(each.age() for each in self.followers_by_prefix.values())
 
     def least_age(self) -> float:
-        """Return the seconds since the last contact, of the newest prefix."""
+        """Return the smallest age of any prefix's copy in seconds."""
         return min(each.age() for each in self.followers_by_prefix.values())
 
     def refresh(self) -> None:
@@ -105,14 +92,14 @@
         self.followers_by_prefix[keys.CONFIGURATION].apply(entry)
 
     def configuration_age(self) -> float:
-        """Return the seconds since the configuration was last confirmed."""
+        """Return the age of the configuration's copy in seconds."""
         return self.followers_by_prefix[keys.CONFIGURATION].age()
 
     def listen(self, on_change: Callable[[], None]) -> None:
         """Call a function after each batch of changes."""
         self._listeners.append(on_change)
 
-    def _apply_configuration(self, entry: Entry | Removal) -> None:
+    def _on_configuration(self, entry: Entry | Removal) -> None:
         if isinstance(entry, store_module.Removal):
             return
         try:
@@ -150,7 +137,7 @@
             keys=None if accounts is None else len(accounts),
         )
 
-    def _apply_target(self, change: Entry | Removal) -> None:
+    def _on_target(self, change: Entry | Removal) -> None:
         target_id = keys.target_of(change.key)
         if isinstance(change, store_module.Removal):
             self._state.targets.remove(target_id)
@@ -192,7 +179,7 @@
                 revision=change.revision,
             )
 
-    def _apply_fleet_entry(self, change: Entry | Removal) -> None:
+    def _on_fleet_change(self, change: Entry | Removal) -> None:
         try:
             self._update_fleet(change)
         except msgspec.MsgspecError as error:
@@ -251,7 +238,7 @@
                 change.value, type=state_module.QuarantineRecord
             )
 
-    def _finish_batch(self) -> None:
+    def _on_read(self) -> None:
         if not self._state.is_current:
             self._state.is_current = all(
                 each.is_current for each in self.followers_by_prefix.values()
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/store_way.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/store_way.py
@@ -116,8 +116,8 @@
                         peer, request, seconds
                     )
                 except http_exchange.NotConnected:
-                    # After an outage, direct calls work again before a
-                    # probe of any instance shows it.
+                    # Falls through to a direct call: the store may have
+                    # recovered before a probe of any instance shows it.
                     if self._clock.seconds() >= started_at + seconds:
                         raise
         return await self._send_directly(request, seconds)
@@ -168,8 +168,8 @@
         except http_exchange.ExchangeBroken:
             return Page(status=STATUS_UNCLEAR)
         if store_module.is_turned_away(reply.head.status):
-            # Later calls of peers are rejected without a billed call; this
-            # peer tries another one.
+            # Rejects further calls of peers without a billed call; the peer
+            # that made this call tries another one.
             self._direct.mark_failed(f'status {reply.head.status}')
             return Page(status=STATUS_NOT_REACHED)
         return Page(status=reply.head.status, body=reply.body)
@@ -206,15 +206,15 @@
     ) -> Reply:
         started_at = self._clock.seconds()
         deadline = Instant(started_at + seconds)
-        end = 'no answer'
+        outcome = 'no answer'
         try:
             reply = await self._connections.exchange(
                 address, request, deadline
             )
-            end = f'status {reply.head.status}'
+            outcome = f'status {reply.head.status}'
             return reply
         finally:
-            meters.STORE_CALLS.labels(way, end).inc()
+            meters.STORE_CALLS.labels(way, outcome).inc()
             if seconds <= store_module.CALL_SECONDS + HOP_SECONDS:
                 elapsed = self._clock.seconds() - started_at
                 meters.STORE_SECONDS.labels(way).observe(elapsed)
--- a/packages/yuccarill-daemon/tests/gateway/test_store_way.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_store_way.py
@@ -81,9 +81,7 @@
         self.send()
         self.assertEqual(['store:3'], self.connections.sent)
 
-    def test_few_peers_are_tried_during_an_outage(
-        self,
-    ) -> None:
+    def test_few_peers_are_tried_during_an_outage(self) -> None:
         # Refused calls are billed as well.
         lost = http_exchange.NotConnected('away')
         self.connections.statuses_by_address['store:3'] = lost
@@ -221,14 +219,14 @@
 
     def failed_calls(self) -> int:
         """Return how many of a holder's calls fail in 36 s."""
-        lost = 0
+        failed = 0
         for _ in range(60):
             try:
                 self.finish(self.way.send(POST, 0.8))
             except http_exchange.NotConnected:
-                lost += 1
+                failed += 1
             self.run_for(0.6)
-        return lost
+        return failed
 
     # Seeds with which the first four chosen peers are cut off as well.
     @params(73, 76, 191, 238, 391, 429, 494, 544)
