--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/feed.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/feed.py
@@ -89,7 +89,7 @@
         cursor = query.get('after', [''])[0]
         page: store_module.Page | None
         if cursor:
-            page = await follower.wait_for_changes(cursor, POLL_SECONDS)
+            page = await follower.await_changes(cursor, POLL_SECONDS)
         else:
             page = follower.copy()
         if page is None:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/follower.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/follower.py
@@ -157,9 +157,7 @@
         """Return the position from which a reader continues after `copy`."""
         return self._history.cursor
 
-    async def wait_for_changes(
-        self, cursor: str, seconds: float
-    ) -> Page | None:
+    async def await_changes(self, cursor: str, seconds: float) -> Page | None:
         """Wait for changes after a cursor; None if any were dropped."""
         found = self._history.changes_since(cursor)
         if found == []:
@@ -179,10 +177,7 @@
                 await self._watch()
             self._mark_reached()
         except store_module.HistoryGone:
-            log.info(
-                'Store dropped its history; reading the prefix again.',
-                prefix=self._prefix,
-            )
+            log.info('History dropped; reading again.', prefix=self._prefix)
             self._must_read = True
         except (
             store_module.StoreRefused,
--- a/packages/yuccarill-daemon/tests/gateway/test_follower.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_follower.py
@@ -176,7 +176,7 @@
         cursor = found.cursor
         self.assertEqual(['p/a'], [c.key for c in copied.changes])
         waiting = defer.Deferred.fromCoroutine(
-            found.wait_for_changes(cursor, 1.5)
+            found.await_changes(cursor, 1.5)
         )
         self.run_for(0.1)
         self.keys.put('p/b', b'1')
@@ -192,7 +192,7 @@
         for _ in range(500):
             self.keys.put('p/a', b'1')
             self.run_for(0.01)
-        page = self.finish(found.wait_for_changes(cursor, 1.5))
+        page = self.finish(found.await_changes(cursor, 1.5))
         self.assertIsNone(page)
 
     def test_age_grows_during_an_outage(self) -> None:
