--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/direct_way.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/direct_way.py
@@ -23,11 +23,11 @@
 # Seconds between probes while direct calls fail; refused probes are billed.
 PROBE_INTERVAL_SECONDS = 0.6
 # Upper bound in seconds of the doubling interval at an instance that no caller
-# waits for. Such an instance learns of the recovery from a watcher for free.
+# waits for; a watcher reports the recovery to it without a billed call.
 MAX_PROBE_INTERVAL_SECONDS = 5.0
 # Seconds after a call with a waiting caller in which probes stay frequent.
 FREQUENT_PROBE_SECONDS = 3.0
-# Seconds for which an answer proves that direct calls work.
+# Seconds for which an answered call proves that direct calls work.
 FRESH_SECONDS = 0.5
 PROBE_TIMEOUT_SECONDS = 0.5
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/feed.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/feed.py
@@ -1,4 +1,4 @@
-"""Follow the store through a watcher: an instance that watches for others."""
+"""Follow the store through a watcher, an instance that serves its copy."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 # unnoticed. A poll costs no store call.
 POLL_SECONDS = 1.5
 ANSWER_SECONDS = 0.6
-# Maximum age in seconds of a watcher's last contact with the store: a new
-# configuration has to apply within 2 to 3 s.
+# Maximum seconds since a watcher's last contact with the store: instances must
+# apply a new configuration within 2 to 3 s.
 MAX_AGE_SECONDS = 2.2
 # Seconds for which a failed watcher is excluded.
 EXCLUDED_SECONDS = 3.0
@@ -55,7 +55,7 @@
 
 
 class Feed(msgspec.Struct, frozen=True, kw_only=True):
-    """A watcher's answer to a poll of one prefix."""
+    """Hold a watcher's answer to a poll of one prefix."""
 
     page: store_module.Page
     # Start position of the next poll.
@@ -95,8 +95,8 @@
         if page is None:
             return HttpPage(status=410)
         if not follower.is_store_reached:
-            # Reported before the copy exceeds MAX_AGE_SECONDS: otherwise
-            # readers would learn of new routes too late and answer 404.
+            # Rejects polls before the copy exceeds MAX_AGE_SECONDS: readers
+            # would otherwise learn of new routes too late and answer 404.
             return HttpPage(status=503)
         feed = Feed(page=page, cursor=follower.cursor, age=follower.age())
         return HttpPage(
@@ -169,8 +169,8 @@
             await task.deferLater(self._clock, STARTING_RETRY_SECONDS)
             return await self._read_as_changes(prefix, after)
         if not was_direct:
-            # Watchers usually lose the store together with all instances. A
-            # stale read shows that as soon as a watch, at a tenth of its cost.
+            # An outage usually affects all instances. A stale read detects
+            # it as early as a watch does, at a tenth of the cost.
             return await self._read_as_changes(prefix, after)
         page = await self._store.watch(prefix, after, seconds)
         self.answer_age = 0.0
@@ -181,8 +181,8 @@
     ) -> store_module.Page:
         """Return a stale read in the form of changes since a revision."""
         page = await self._read(prefix, None, is_stale=True)
-        # A read does not show removals, so the revision stays: the next watch
-        # from it, or a watcher's copy, reports them.
+        # A read does not show removals. The revision is kept, so that the next
+        # watch, or a watcher's copy, reports them.
         return msgspec.structs.replace(page, revision=after)
 
     async def _read(
@@ -191,7 +191,7 @@
         try:
             page = await self._store.page(prefix, after, is_stale)
         except (store_module.StoreRefused, store_module.StoreUnclear):
-            # The store is unreachable, so the watchers are not at fault.
+            # End the exclusion of watchers: the store itself may be down.
             self._peers.clear()
             raise
         self.answer_age = 0.0
@@ -212,7 +212,7 @@
         )
 
     async def pause(self, seconds: float) -> None:
-        """Wait before a retry; readers wait longer than watchers."""
+        """Wait before a retry; readers wait a fixed time."""
         if self._is_watcher():
             await self._store.pause(seconds)
         else:
@@ -226,7 +226,7 @@
             return None
         chosen = self._peers.choose(self._watcher_names(), is_near=True)
         if chosen is not None:
-            self._peers.keep(chosen.instance)
+            self._peers.prefer(chosen.instance)
         return chosen
 
     def _watcher_names(self) -> tuple[str, ...]:
@@ -264,7 +264,7 @@
         self.is_direct = False
         self.answer_age = feed.age
         if not self._cursor_owner:
-            # The watcher reaches the store, so this instance probes as well.
+            # The watcher may have just regained the store; probe it here too.
             self._store.expect_return()
         self._cursor = feed.cursor
         self._cursor_owner = watcher.instance
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/follower.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/follower.py
@@ -29,11 +29,11 @@
 WATCH_SECONDS = 15.0
 # Seconds that a watch may lag behind a check, which uses another connection.
 WATCH_DELAY_SECONDS = 0.2
-# Number of remembered removals; covers some seconds of a restart of all
-# instances.
+# Maximum number of remembered removals; covers the age of a stale page even
+# while all instances restart.
 MAX_REMOVALS = 1000
-# Seconds between checks for missed changes. A configuration has to apply 2 s
-# after its acknowledgement; a check costs a tenth of a read.
+# Seconds between checks for missed changes; a check costs a tenth of a read.
+# Instances must apply a configuration within 2 s of its acknowledgement.
 CHECK_SECONDS = 1.0
 # Seconds before a retry; doubled after each failure up to the maximum.
 FIRST_PAUSE_SECONDS = 0.05
@@ -71,7 +71,7 @@
         prefix: str,
         on_change: Callable[[Entry | Removal], None],
         clock: Any,
-        # Called once per batch of changes.
+        # Called after each full read and once per batch of changes.
         on_read: Callable[[], None] = lambda: None,
         settle_seconds: float = 0.0,
     ) -> None:
@@ -90,7 +90,7 @@
         self._history = history.History(clock)
         self._contacted_at = 0.0
         # Revisions by key that the last check found and the watch had not
-        # reported. If any is unknown at the next check, the watch has stalled.
+        # reported. A key still unreported at the next check proves a stall.
         self._unseen: Mapping[str, Revision] = {}
         # Revisions of removals: a stale page that still has a removed key must
         # not restore it.
@@ -119,9 +119,9 @@
         self._on_read()
 
     def refresh(self) -> None:
-        """Read every key again if the open watch may have stalled.
+        """Read every key again, unless a watcher's copy is followed.
 
-        Polls of a watcher's copy are short and need no refresh.
+        An open watch may have stalled; polls of a watcher are short.
         """
         if self._store.is_direct:
             self._schedule_read()
@@ -177,7 +177,7 @@
                 await self._watch()
             self._mark_reached()
         except store_module.HistoryGone:
-            log.info('History dropped; reading again.', prefix=self._prefix)
+            log.info('Changes missing; reading all keys.', prefix=self._prefix)
             self._must_read = True
         except (
             store_module.StoreRefused,
@@ -186,7 +186,7 @@
             await self._pause_after_failure(error)
 
     async def _read(self) -> None:
-        # Cleared first: a refresh during the read must not be lost.
+        # Cleared before the read, so that a refresh during it is not lost.
         self._must_read = False
         try:
             await self._read_pages()
@@ -282,8 +282,8 @@
         self._history.wake()
 
     async def _check(self) -> None:
-        # A watch sent while the store is silent is never answered, although
-        # its connection stays open. A stale page shows what the watch missed.
+        # A watch sent to an unresponsive store is never answered, although its
+        # connection stays open. A stale page shows the missed changes.
         page = await self._store.page(self._prefix, is_stale=True)
         found = {change.key: change.revision for change in page.changes}
         missing: set[str] = set()
@@ -311,8 +311,8 @@
             return True
         watching = self._watching
         if watching is None or not self._unseen:
-            # No watch is open; the next one reports the changes. Without this
-            # case, watchers of a busy prefix would read every key repeatedly.
+            # No watch is open; the next one reports the changes. Reporting a
+            # stall here would make a busy prefix be read repeatedly.
             return False
         await task.deferLater(self._clock, WATCH_DELAY_SECONDS)
         return self._watching is watching and bool(self._newer(self._unseen))
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/history.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/history.py
@@ -1,4 +1,4 @@
-"""Keep the latest changes under a prefix for readers of this copy."""
+"""Keep a copy of a prefix and its latest changes for other instances."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     from yuccarill.platform.store import Entry
     from yuccarill.platform.store import Removal
 
-# Minimum number of changes kept; above it, one per entry. A reader that is
-# further behind copies every key again.
+# Minimum number of retained changes; with more entries, one per entry. Readers
+# that are further behind copy every key again.
 MIN_CHANGES = 400
 
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/observer.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/observer.py
@@ -37,10 +37,10 @@
 # Seconds between a change and the next watch, to batch changes: each answered
 # watch is billed. Configurations and leaving targets must be known in 2 s.
 SETTLE_SECONDS = 0.3
-# Longer for targets: most changes are engines that switch weights, and the
-# holder of their service learns of a switch directly.
+# Longer for targets: most changes report engines that switch weights, and the
+# holder of the engine's service learns of a switch directly.
 TARGET_SETTLE_SECONDS = 0.9
-# Number of remembered instances that are no longer listed.
+# Maximum number of remembered instances that are no longer listed.
 MAX_GONE_INSTANCES = 512
 
 
@@ -55,7 +55,7 @@
     ) -> None:
         self._state = state
         self._listeners: list[Callable[[], None]] = []
-        # Called with the previous target when its process was restarted.
+        # Called with the previous entry of a target whose process restarted.
         self.on_restart: Callable[[ListedTarget], None] = lambda target: None
         # Called with each target whose process is new.
         self.on_start: Callable[[ListedTarget], None] = lambda target: None
@@ -83,7 +83,7 @@
         return min(each.age() for each in self.followers_by_prefix.values())
 
     def refresh(self) -> None:
-        """Read every key again after an outage of the store."""
+        """Read every prefix again that is followed at the store itself."""
         for each in self.followers_by_prefix.values():
             each.refresh()
 
@@ -151,7 +151,7 @@
             self._state.targets.remove(target_id)
             meters.ENTRIES_LEFT_OUT.inc()
             log.error(
-                'Invalid store entry ignored.',
+                'Target with an invalid store entry removed.',
                 key=change.key,
                 revision=change.revision,
                 cause=error.message,
@@ -197,7 +197,7 @@
             if isinstance(change, store_module.Removal):
                 gone = state.instances_by_id.pop(instance, None)
                 if gone is not None:
-                    _remember(state.known_instances_by_id, instance, gone)
+                    _remember_gone(state.known_instances_by_id, instance, gone)
                 log.info('Instance no longer listed.', instance=instance)
                 return
             state.instances_by_id[instance] = msgspec.msgpack.decode(
@@ -250,7 +250,7 @@
             listener()
 
 
-def _remember(
+def _remember_gone(
     known: dict[InstanceId, state_module.InstanceRecord],
     instance: InstanceId,
     record: state_module.InstanceRecord,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/peer_choice.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/peer_choice.py
@@ -57,11 +57,11 @@
         until = self._excluded_until_by_name.get(instance, Instant(0.0))
         return self._clock.seconds() < until
 
-    def count_out(self) -> int:
+    def count_excluded(self) -> int:
         """Return the number of peers that are excluded now."""
         return sum(self.is_out(name) for name in self._excluded_until_by_name)
 
-    def keep(self, instance: str) -> None:
+    def prefer(self, instance: str) -> None:
         """Prefer a peer that answered."""
         self._preferred = instance
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/store_way.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/store_way.py
@@ -32,9 +32,9 @@
 # Seconds for which a peer that cannot reach the store is excluded: each call
 # through a peer may be billed.
 PEER_EXCLUDED_SECONDS = 1.5
-# Number of excluded peers that indicates an outage of the store itself. With
-# fewer, a holder that happens to choose only partitioned peers would give up
-# and lose its lease.
+# Bounds of the number of excluded peers that indicates a store outage. With a
+# lower number, a holder that happens to choose only partitioned peers would
+# give up and lose its lease.
 MIN_EXCLUDED_PEERS = 2
 MAX_EXCLUDED_PEERS = 8
 INSTANCES_PER_EXCLUDED_PEER = 5
@@ -44,7 +44,7 @@
 # have executed it.
 STATUS_NOT_REACHED = 530
 STATUS_UNCLEAR = 531
-# Timeout of a call that this instance forwards, long enough for a watch.
+# Timeout in seconds of a forwarded call, long enough for a watch.
 MAX_FORWARDED_SECONDS = 20.0
 
 
@@ -75,18 +75,18 @@
         While direct calls fail, only peers are tried. Raises as `send` does.
         """
         if seconds > store_module.CALL_SECONDS or self._direct.is_fresh():
-            return await self._send_unawaited(request, seconds)
+            return await self._send_by_working_path(request, seconds)
         # At the start of an outage, only one of several concurrent calls is
         # sent and billed.
         await self._first_call_lock.acquire()
         try:
             if not self._direct.is_fresh():
-                return await self._send_unawaited(request, seconds)
+                return await self._send_by_working_path(request, seconds)
         finally:
             self._first_call_lock.release()
-        return await self._send_unawaited(request, seconds)
+        return await self._send_by_working_path(request, seconds)
 
-    async def _send_unawaited(
+    async def _send_by_working_path(
         self, request: OutgoingRequest, seconds: float
     ) -> Reply:
         if self._direct.is_working:
@@ -97,7 +97,7 @@
         return await self._send_through_peers(peer, request, seconds)
 
     def expect_return(self) -> None:
-        """Probe at once, since another instance reaches the store."""
+        """Probe at once if direct calls fail."""
         self._direct.probe_now()
 
     async def send(self, request: OutgoingRequest, seconds: float) -> Reply:
@@ -168,8 +168,8 @@
         except http_exchange.ExchangeBroken:
             return Page(status=STATUS_UNCLEAR)
         if store_module.is_turned_away(reply.head.status):
-            # Rejects further calls of peers without a billed call; the peer
-            # that made this call tries another one.
+            # Later calls of peers are rejected without a billed call; the
+            # calling peer tries another instance.
             self._direct.mark_failed(f'status {reply.head.status}')
             return Page(status=STATUS_NOT_REACHED)
         return Page(status=reply.head.status, body=reply.body)
@@ -202,7 +202,7 @@
         return await self._exchange('direct', address, request, seconds)
 
     async def _exchange(
-        self, way: str, address: str, request: OutgoingRequest, seconds: float
+        self, path: str, address: str, request: OutgoingRequest, seconds: float
     ) -> Reply:
         started_at = self._clock.seconds()
         deadline = Instant(started_at + seconds)
@@ -214,18 +214,18 @@
             outcome = f'status {reply.head.status}'
             return reply
         finally:
-            meters.STORE_CALLS.labels(way, outcome).inc()
+            meters.STORE_CALLS.labels(path, outcome).inc()
             if seconds <= store_module.CALL_SECONDS + HOP_SECONDS:
                 elapsed = self._clock.seconds() - started_at
-                meters.STORE_SECONDS.labels(way).observe(elapsed)
+                meters.STORE_SECONDS.labels(path).observe(elapsed)
 
     async def _send_through_peers(
         self, peer: InstanceRecord, request: OutgoingRequest, seconds: float
     ) -> Reply:
         """Try peers in turn until one forwards the call.
 
-        After a partition, several peers may be cut off as well. Only a call
-        that certainly did not reach the store is retried at the next peer.
+        In a partition, several peers may be cut off as well. Only a call that
+        is known not to have reached the store is retried at the next peer.
         """
         deadline = self._clock.seconds() + seconds + HOP_SECONDS
         while True:
@@ -256,7 +256,7 @@
             raise http_exchange.ExchangeBroken(
                 'peer got no answer from the store'
             )
-        self._peers.keep(peer.instance)
+        self._peers.prefer(peer.instance)
         return reply
 
     def _choose_peer(self) -> InstanceRecord | None:
@@ -264,7 +264,7 @@
         threshold = min(
             known // INSTANCES_PER_EXCLUDED_PEER, MAX_EXCLUDED_PEERS
         )
-        if self._peers.count_out() >= max(threshold, MIN_EXCLUDED_PEERS):
+        if self._peers.count_excluded() >= max(threshold, MIN_EXCLUDED_PEERS):
             return None
         return self._peers.choose()
 
@@ -292,17 +292,17 @@
 class BackgroundWay:
     """Send calls without a waiting caller, such as those of followers."""
 
-    def __init__(self, way: StoreWay) -> None:
-        self._way = way
+    def __init__(self, store_way: StoreWay) -> None:
+        self._store_way = store_way
 
     async def send(self, request: OutgoingRequest, seconds: float) -> Reply:
         """Return the store's answer; raise as `StoreWay.send` does."""
-        return await self._way.send_in_background(request, seconds)
+        return await self._store_way.send_in_background(request, seconds)
 
     async def pause(self, seconds: float) -> None:
         """Wait before a retry; longer while no peer reaches the store."""
-        await self._way.pause(seconds)
+        await self._store_way.pause(seconds)
 
     def expect_return(self) -> None:
         """Probe at once if direct calls fail."""
-        self._way.expect_return()
+        self._store_way.expect_return()
--- a/packages/yuccarill-daemon/tests/gateway/memory_store.py
+++ b/packages/yuccarill-daemon/tests/gateway/memory_store.py
@@ -92,15 +92,15 @@
     """One instance's client of the shared keys.
 
     Faults: `refuses` rejects calls unexecuted; `is_silent` never answers;
-    `loses_replies` executes writes without an answer; with `is_deaf`, only
-    watches are never answered.
+    `loses_replies` executes writes without an answer; `ignores_watches` leaves
+    only watches unanswered.
     """
 
     keys: Keys
     refuses: bool = False
     is_silent: bool = False
     loses_replies: bool = False
-    is_deaf: bool = False
+    ignores_watches: bool = False
     calls: list[str] = dataclasses.field(default_factory=list)
     is_direct: bool = True
     answer_age: float = 0.0
@@ -134,7 +134,7 @@
     ) -> store.Page:
         await self._start_call('watch')
         deadline = self.keys.clock.seconds() + seconds
-        if self.is_deaf:
+        if self.ignores_watches:
             await self._sleep(seconds + 1.5)
             raise store.StoreUnclear('no answer')
         while True:
@@ -206,7 +206,7 @@
             await self._sleep(store.CALL_SECONDS)
             raise store.StoreUnclear('no answer')
         if self.refuses:
-            raise store.StoreRefused('turned away')
+            raise store.StoreRefused('call refused')
 
     async def _sleep(self, seconds: float) -> None:
         await task.deferLater(self.keys.clock, seconds)
--- a/packages/yuccarill-daemon/tests/gateway/test_feed.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_feed.py
@@ -147,12 +147,12 @@
         self.assertEqual(['+p/a'], self.recorded)
         self.assertIn('watch', self.own_store.calls)
 
-    def test_a_change_comes_in_time_though_the_watcher_lost_the_store(
+    def test_a_change_arrives_in_time_if_the_watcher_lost_the_store(
         self,
     ) -> None:
-        """Guard against an open poll at a watcher that lost the store.
+        """Guard against a poll that stays open after the watcher's failure.
 
-        The copy is still younger than the maximum age.
+        The watcher's copy is still younger than the maximum age.
         """
         self.run_for(0.1)
         self.read()
@@ -166,10 +166,10 @@
         self.run_for(0.5)
         self.assertEqual(['+p/a'], self.recorded)
 
-    def test_a_change_comes_in_time_though_the_store_is_silent(self) -> None:
-        """Guard against trust in a watcher whose last check failed.
+    def test_a_change_arrives_in_time_if_the_store_is_silent(self) -> None:
+        """Guard against use of a watcher whose last check failed.
 
-        The copy is still younger than the maximum age.
+        The watcher's copy is still younger than the maximum age.
         """
         self.run_for(0.1)
         self.read()
@@ -189,7 +189,7 @@
         self.run_for(4.0)
         self.assertEqual(['+p/a', '-p/a'], self.recorded)
 
-    def test_watchers_ask_the_store(self) -> None:
+    def test_watchers_read_the_store(self) -> None:
         self.reader_state.instances_by_id.clear()
         self.read()
         self.run_for(feed.START_WAIT_SECONDS + feed.STARTING_RETRY_SECONDS)
@@ -200,11 +200,11 @@
 
     def test_a_fleet_that_starts_makes_few_watches(self) -> None:
         """Guard against starting instances that all select themselves."""
-        names = dict(self.reader_state.instances_by_id)
+        instances = dict(self.reader_state.instances_by_id)
         self.reader_state.instances_by_id.clear()
         self.read()
         self.run_for(0.4)
-        self.reader_state.instances_by_id.update(names)
+        self.reader_state.instances_by_id.update(instances)
         self.keys.put('p/a', b'')
         self.run_for(feed.START_WAIT_SECONDS + 1.0)
         self.assertEqual(['+p/a'], self.recorded)
@@ -220,7 +220,7 @@
         self.run_for(feed.START_WAIT_SECONDS + 1.0)
         self.assertEqual(['+p/a', '-p/a'], self.recorded)
 
-    def test_readers_come_back_through_their_watchers(self) -> None:
+    def test_readers_recover_through_their_watchers(self) -> None:
         """Guard against reads by every instance after a store outage."""
         self.run_for(0.1)
         self.read()
@@ -241,23 +241,23 @@
         self.run_for(0.1)
         self.read()
         self.run_for(0.5)
-        followed = self.source._cursor_owner
-        del self.connections.servers_by_address[f'{followed}:2']
+        watcher = self.source._cursor_owner
+        del self.connections.servers_by_address[f'{watcher}:2']
         self.run_for(2.0)
         self.keys.put('p/a', b'')
         self.run_for(0.1)
         self.assertEqual(['+p/a'], self.recorded)
         self.assertEqual([], self.own_store.calls)
 
-    def test_all_start_at_once(self) -> None:
+    def test_all_instances_start_at_once(self) -> None:
         """Guard against repeated reads if readers start before watchers."""
         self.watcher.is_current = False
-        names = dict(self.reader_state.instances_by_id)
+        instances = dict(self.reader_state.instances_by_id)
         self.reader_state.instances_by_id.clear()
         self.keys.put('p/a', b'')
         self.read()
-        # The first read shows which instances watch.
-        self.reader_state.instances_by_id.update(names)
+        # The first read shows which instances are watchers.
+        self.reader_state.instances_by_id.update(instances)
         self.run_for(0.5)
         self.watcher.is_current = True
         self.run_for(3.0)
--- a/packages/yuccarill-daemon/tests/gateway/test_follower.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_follower.py
@@ -15,13 +15,13 @@
 from . import world
 
 
-def _stale_page_with(read: Any, entry: store_module.Entry) -> Any:
-    """Return a read whose stale pages still have an entry."""
+def _page_with_stale_entry(read_page: Any, entry: store_module.Entry) -> Any:
+    """Return a `page` method whose stale pages still have an entry."""
 
     async def page(
         prefix: str, after: str | None = None, is_stale: bool = False
     ) -> store_module.Page:
-        found = await read(prefix, after, is_stale)
+        found = await read_page(prefix, after, is_stale)
         if not is_stale:
             return found
         return msgspec.structs.replace(found, changes=(*found.changes, entry))
@@ -61,7 +61,7 @@
     def test_a_stalled_watch_is_detected(self) -> None:
         """Guard against a lost watch on a connection that stays open."""
         store = self.store()
-        store.is_deaf = True
+        store.ignores_watches = True
         self.follow(store)
         self.run_for(0.1)
         self.keys.put('p/a', b'1')
@@ -70,7 +70,7 @@
 
     def test_a_missed_removal_is_detected(self) -> None:
         store = self.store()
-        store.is_deaf = True
+        store.ignores_watches = True
         self.keys.put('p/a', b'1')
         self.follow(store)
         self.run_for(0.1)
@@ -78,7 +78,7 @@
         self.run_for(3 * follower.CHECK_SECONDS + 0.1)
         self.assertEqual(['+p/a', '-p/a'], self.recorded())
 
-    def test_keys_are_read_again_after_a_lost_history(self) -> None:
+    def test_keys_are_read_again_if_history_is_dropped(self) -> None:
         # The store drops its history during a watch, after a change and a
         # removal that the watch did not report.
         self.keys.put('p/a', b'1')
@@ -140,16 +140,16 @@
         self.keys.remove('p/a')
         self.run_for(0.1)
         with mock.patch.object(
-            store, 'page', wraps=_stale_page_with(store.page, old)
+            store, 'page', wraps=_page_with_stale_entry(store.page, old)
         ):
             self.run_for(3 * follower.CHECK_SECONDS)
         self.assertEqual(['+p/a', '-p/a'], self.recorded())
         self.assertEqual(0, store.calls.count('page'))
 
-    def test_a_change_lost_with_the_history_is_read_after_a_loss(self) -> None:
+    def test_a_refresh_reads_a_change_dropped_from_the_history(self) -> None:
         """Guard against a change that no watch can report after a refresh.
 
-        The watch had passed its revision when the store dropped its history.
+        The store drops its history after the watch passed that revision.
         """
         store = self.store()
         found = self.follow(store)
--- a/packages/yuccarill-daemon/tests/gateway/test_observer.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_observer.py
@@ -31,11 +31,13 @@
 class TargetEntriesTest(world.WorldTest):
     def setUp(self) -> None:
         super().setUp()
-        self.known = self.state('a')
-        self.known.targets = TargetList()
-        self.observer = observer.Observer(self.known, self.store, self.clock)
-        self.ended: list[object] = []
-        self.observer.on_restart = self.ended.append
+        self.observed = self.state('a')
+        self.observed.targets = TargetList()
+        self.observer = observer.Observer(
+            self.observed, self.store, self.clock
+        )
+        self.restarted: list[object] = []
+        self.observer.on_restart = self.restarted.append
         for following in self.observer.following():
             running = defer.Deferred.fromCoroutine(following)
             running.addErrback(lambda failure: failure.trap(Exception))
@@ -46,7 +48,7 @@
         self.run_for(2.0)
 
     def ready(self) -> list[str]:
-        return sorted(self.known.targets.ready(world.SERVICE))
+        return sorted(self.observed.targets.ready(world.SERVICE))
 
     @params(
         b'\xff',
@@ -57,7 +59,7 @@
     def test_an_invalid_entry_removes_one_target_only(
         self, value: bytes
     ) -> None:
-        """Guard against requests to an address that no target wrote.
+        """Guard against requests to an address that may be out of date.
 
         The target is listed again after its next heartbeat.
         """
@@ -70,12 +72,12 @@
 
     def test_a_restart_under_the_same_id_is_reported(self) -> None:
         self.write('t0', msgspec.json.encode(ENTRY))
-        known = self.known.targets.targets_by_id[TargetId('t0')]
+        known = self.observed.targets.targets_by_id[TargetId('t0')]
         self.write('t0', msgspec.json.encode({**ENTRY, 'seq': 9}))
-        self.assertEqual([], self.ended)
+        self.assertEqual([], self.restarted)
         self.write('t0', msgspec.json.encode({**ENTRY, 'born': 2, 'seq': 1}))
-        self.assertEqual([known.id], [target.id for target in self.ended])
-        found = self.known.targets.targets_by_id[TargetId('t0')]
+        self.assertEqual([known.id], [target.id for target in self.restarted])
+        found = self.observed.targets.targets_by_id[TargetId('t0')]
         self.assertEqual(2, found.start.started_at)
 
     # Stored value and expected division.
@@ -93,7 +95,7 @@
         """Guard against a service without a holder, whose jobs do not run."""
         self.keys.put(keys.partitions(world.SERVICE), value)
         self.run_for(2.0)
-        self.assertEqual(expected, self.known.division(world.SERVICE))
+        self.assertEqual(expected, self.observed.division(world.SERVICE))
 
     def test_a_batch_of_changes_is_reported_once(self) -> None:
         """Guard against a scan of all engines for each of many changes."""
--- a/packages/yuccarill-daemon/tests/gateway/test_store_way.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_store_way.py
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass
 class FakeConnections:
-    """Answer each address with its configured status or error."""
+    """Answer calls to each address with a configured status or error."""
 
     clock: task.Clock
     statuses_by_address: dict[str, int | Exception]
@@ -59,8 +59,8 @@
 
     def test_a_peer_forwards_calls_while_direct_calls_fail(self) -> None:
         """Guard against a lost lease while only this instance is cut off."""
-        lost = http_exchange.ExchangeBroken('silent')
-        self.connections.statuses_by_address['store:3'] = lost
+        error = http_exchange.ExchangeBroken('no answer')
+        self.connections.statuses_by_address['store:3'] = error
         self.assertEqual(200, self.send())
         self.connections.sent.clear()
         self.assertEqual(200, self.send())
@@ -83,8 +83,8 @@
 
     def test_few_peers_are_tried_during_an_outage(self) -> None:
         # Refused calls are billed as well.
-        lost = http_exchange.NotConnected('away')
-        self.connections.statuses_by_address['store:3'] = lost
+        error = http_exchange.NotConnected('unreachable')
+        self.connections.statuses_by_address['store:3'] = error
         for peer in ('b:2', 'c:2'):
             self.connections.statuses_by_address[peer] = (
                 store_way.STATUS_NOT_REACHED
@@ -110,8 +110,8 @@
         self.assertEqual(200, self.send())
 
     def fail_everywhere(self) -> None:
-        away = http_exchange.NotConnected('away')
-        self.connections.statuses_by_address['store:3'] = away
+        error = http_exchange.NotConnected('unreachable')
+        self.connections.statuses_by_address['store:3'] = error
         for peer in ('b:2', 'c:2'):
             self.connections.statuses_by_address[peer] = (
                 store_way.STATUS_NOT_REACHED
@@ -146,15 +146,15 @@
 
     def test_a_pause_is_short_if_a_peer_may_reach_the_store(self) -> None:
         self.connections.statuses_by_address['store:3'] = (
-            http_exchange.NotConnected('cut')
+            http_exchange.NotConnected('partitioned')
         )
         self.send()
         self.assertLess(self.pause(0.05), 0.1)
 
     def test_an_unclear_outcome_stays_unclear(self) -> None:
         # A write that a peer may have forwarded must not count as refused.
-        lost = http_exchange.NotConnected('cut')
-        self.connections.statuses_by_address['store:3'] = lost
+        error = http_exchange.NotConnected('partitioned')
+        self.connections.statuses_by_address['store:3'] = error
         for peer in ('b:2', 'c:2'):
             self.connections.statuses_by_address[peer] = (
                 store_way.STATUS_UNCLEAR
@@ -205,13 +205,13 @@
         super().setUp()
         state = self.fleet_state = self.state('n0')
         statuses: dict[str, int | Exception] = {
-            'store:3': http_exchange.NotConnected('cut')
+            'store:3': http_exchange.NotConnected('partitioned')
         }
         for number in range(self.SIZE):
-            is_cut = number % 3 == 0
+            is_partitioned = number % 3 == 0
             name = f'n{number}'
             statuses[f'{name}:2'] = (
-                store_way.STATUS_NOT_REACHED if is_cut else 200
+                store_way.STATUS_NOT_REACHED if is_partitioned else 200
             )
             world.list_instance(state, name)
         self.connections = FakeConnections(self.clock, statuses)
@@ -258,7 +258,7 @@
                 store_way.STATUS_NOT_REACHED
             )
         self.connections.statuses_by_address['store:3'] = (
-            http_exchange.NotConnected('away')
+            http_exchange.NotConnected('unreachable')
         )
         for _ in range(10):
             with self.assertRaises(http_exchange.NotConnected):
