--- a/packages/yuccarill-daemon/tests/gateway/test_feed.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_feed.py
@@ -150,9 +150,9 @@
     def test_a_change_arrives_in_time_if_the_watcher_lost_the_store(
         self,
     ) -> None:
-        """Guard against a poll that stays open after the watcher's failure.
+        """Guard against 404 for a new route after a watcher lost the store.
 
-        The watcher's copy is still younger than the maximum age.
+        An open poll has to end, although the copy is below the maximum age.
         """
         self.run_for(0.1)
         self.read()
@@ -167,7 +167,7 @@
         self.assertEqual(['+p/a'], self.recorded)
 
     def test_a_change_arrives_in_time_if_the_store_is_silent(self) -> None:
-        """Guard against use of a watcher whose last check failed.
+        """Guard against 404 for a new route after a watcher's check failed.
 
         The watcher's copy is still younger than the maximum age.
         """
--- a/packages/yuccarill-daemon/tests/gateway/test_observer.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_observer.py
@@ -92,7 +92,7 @@
     def test_a_division_of_any_version_is_read(
         self, value: bytes, expected: partitions.Division
     ) -> None:
-        """Guard against a service without a holder, whose jobs do not run."""
+        """Guard against an unread division, without which no job runs."""
         self.keys.put(keys.partitions(world.SERVICE), value)
         self.run_for(2.0)
         self.assertEqual(expected, self.observed.division(world.SERVICE))
@@ -115,7 +115,7 @@
         self.assertLessEqual(len(notifications), 2)
 
     def test_listeners_never_see_part_of_a_batch(self) -> None:
-        """Guard against work for a leaving target while a batch is applied."""
+        """Guard against work sent to a target that leaves within a batch."""
         self.write('t0', msgspec.json.encode(ENTRY))
         seen: list[bool] = []
         self.observer.listen(lambda: seen.append('t0' in self.ready()))
--- a/packages/yuccarill-daemon/tests/gateway/test_store_outage.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_store_outage.py
@@ -85,7 +85,7 @@
         self.assertGreaterEqual(self.billed_calls(), 3)
 
     def test_a_recovered_watcher_triggers_a_probe(self) -> None:
-        """Guard against late recovery of an instance with rare probes."""
+        """Guard against instances that register late after an outage."""
         self.send_four()
         self.run_for(8.0)
         self.connections.statuses_by_address['store:3'] = 200
