--- a/packages/yuccarill-daemon/src/yuccarill/daemon/__init__.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The process of one instance."""
+"""The yuccarill daemon, the process of one instance."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/__init__.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters to the systems around an instance."""
+"""Clients and servers for the systems that an instance talks to."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/connections.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/connections.py
@@ -1,4 +1,4 @@
-"""Open, keep and reuse the connections that HTTP requests go out over."""
+"""Pool outgoing HTTP connections."""
 
 from __future__ import annotations
 
@@ -17,23 +17,20 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Seconds to open a connection. Within a region it takes milliseconds; a
-# lost opening packet is sent again after a second, when another target is
-# the better choice.
+# Seconds to open a connection; shorter than TCP's one-second SYN retransmit,
+# so that a request fails over to another target instead.
 CONNECT_SECONDS = 0.6
-# Seconds to find out whether a process listens. One that ended refuses within
-# the way there and back; the next try of a request waits for this.
-LOOK_SECONDS = 0.2
-# Seconds for which such a connection has to stay open. While a process ends,
-# its port may still take a connection that then ends with the others: two of
-# ten ends in one run of the soak were taken for cut connections.
+# Seconds to check whether a process listens; the next retry waits for this.
+PROBE_SECONDS = 0.2
+# Seconds for which a probe connection must stay open: a process that exits
+# can still accept a connection and close it at once.
 SETTLE_SECONDS = 0.02
-# Idle connections kept to one address: as many as an engine has places.
-MAX_IDLE = 16
+# Idle connections per address; as many as an engine has request slots.
+MAX_IDLE_PER_ADDRESS = 16
 
 
 class Connections:
-    """Open, keep and reuse connections by address."""
+    """Open, pool and reuse connections by address."""
 
     def __init__(self, clock: Any, on_open: Callable[[str], None]) -> None:
         self._clock = clock
@@ -52,13 +49,13 @@
         is_fresh: bool = False,
         progress_seconds: float | None = None,
     ) -> http_exchange.Reply:
-        """Send one request and wait for its whole answer.
+        """Send one request and return its complete response.
 
-        Cancelling the returned work closes the connection. Raises
-        NotConnected if no byte was sent, else ExchangeBroken.
+        Cancelling the coroutine closes the connection. Raises NotConnected
+        if no byte was sent, else ExchangeBroken.
         """
         sink = sink or http_exchange.StreamSink()
-        connection = None if is_fresh else self._take_idle(address)
+        connection = None if is_fresh else self._pop_idle(address)
         if connection is None:
             connection = await self._open(address, deadline)
         timer = self._clock.callLater(
@@ -71,32 +68,32 @@
         finally:
             if timer.active():
                 timer.cancel()
-            self._keep(address, connection)
+            self._release(address, connection)
         assert sink.head is not None
         return http_exchange.Reply(head=sink.head, body=sink.body)
 
     async def is_refused(self, address: str) -> bool:
-        """Tell whether no process listens at an address.
+        """Return whether no process listens at an address.
 
-        A connection that opens is kept for the next request.
+        A connection that opens is pooled for the next request.
         """
-        deadline = Instant(self._clock.seconds() + LOOK_SECONDS)
+        deadline = Instant(self._clock.seconds() + PROBE_SECONDS)
         while True:
             try:
                 connection = await self._open(address, deadline)
             except http_exchange.ConnectionRefused:
                 return True
             except http_exchange.NotConnected:
-                # A way that is cut says nothing of the process at its end.
+                # A network failure does not show that the process has ended.
                 return False
             await task.deferLater(self._clock, SETTLE_SECONDS)
             if connection.is_usable(self._clock.seconds()):
-                self._keep(address, connection)
+                self._release(address, connection)
                 return False
             connection.close()
 
     def has_idle(self, address: str) -> bool:
-        """Tell whether a request to an address needs no new connection."""
+        """Return whether the pool has a usable connection to an address."""
         now = self._clock.seconds()
         return any(
             connection.is_usable(now)
@@ -104,7 +101,7 @@
         )
 
     def close_idle(self, address: str) -> None:
-        """Close what is kept to an address that has left."""
+        """Close the pooled connections to an address."""
         for connection in self._idle_by_address.pop(address, ()):
             connection.close()
 
@@ -114,9 +111,11 @@
         host, _, port = address.rpartition(':')
         seconds = min(CONNECT_SECONDS, deadline - self._clock.seconds())
         if seconds <= 0.0:
-            raise http_exchange.NotConnected('no time left to connect')
+            raise http_exchange.NotConnected(
+                'the deadline passed before connecting'
+            )
         opened: defer.Deferred[http_exchange.Connection] = defer.Deferred()
-        factory = _Factory(self._clock, opened)
+        factory = _ConnectionFactory(self._clock, opened)
         connector = self._clock.connectTCP(
             host, int(port), factory, timeout=seconds
         )
@@ -127,7 +126,7 @@
             connector.disconnect()
             raise
 
-    def _take_idle(self, address: str) -> http_exchange.Connection | None:
+    def _pop_idle(self, address: str) -> http_exchange.Connection | None:
         idle = self._idle_by_address.get(address)
         now = self._clock.seconds()
         while idle:
@@ -137,7 +136,7 @@
             connection.close()
         return None
 
-    def _keep(
+    def _release(
         self, address: str, connection: http_exchange.Connection
     ) -> None:
         if not connection.is_usable(self._clock.seconds()):
@@ -145,11 +144,11 @@
             return
         idle = self._idle_by_address[address]
         idle.append(connection)
-        if len(idle) > MAX_IDLE:
+        if len(idle) > MAX_IDLE_PER_ADDRESS:
             idle.popleft().close()
 
 
-class _Factory(protocol.ClientFactory):
+class _ConnectionFactory(protocol.ClientFactory):
     noisy = False
 
     def __init__(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/engine.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/engine.py
@@ -17,8 +17,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# An engine's step takes under a second; a stream that makes no progress
-# for this long is silent.
+# Seconds without data after which a stream counts as stalled; an engine step
+# takes less than one second.
 PROGRESS_SECONDS = 5.0
 _OK = 200
 
@@ -26,7 +26,7 @@
 
 
 class EngineAdapter:
-    """Generate tokens on engines."""
+    """Request token generation from engines."""
 
     def __init__(self, client: http.HttpClient, clock: Any = reactor) -> None:
         self._client = client
@@ -40,10 +40,10 @@
         on_chunk: Callable[[Chunk], None],
         on_report: Callable[[load.LoadReport], None] = lambda _: None,
     ) -> None:
-        """Stream one generation's chunks.
+        """Generate tokens and pass each chunk to `on_chunk`.
 
-        Raises NotRun if the engine took none of it, AnswerCut if the
-        stream ended or went silent before the engine said done.
+        Raises NotRun if the engine rejected the request, AnswerCut if the
+        stream ended or stalled before the final chunk.
         """
         try:
             response = await self._client.request(
@@ -63,25 +63,25 @@
             stream.finished.cancel()
             stream.finished.addErrback(lambda _: None)
             raise errors.NotRun(
-                f'The engine at {address} refused with {response.code}.',
+                f'The engine at {address} answered status {response.code}.',
                 retry_after=1.0,
             )
         try:
             await stream.finished.addTimeout(seconds, self._clock)
         except errors.YuccarillError as error:
             raise errors.AnswerCut(
-                f'The engine at {address} broke off. {error.message}'
+                f'The stream of engine {address} failed. {error.message}'
             ) from error
         except Exception as error:
             raise errors.AnswerCut(
-                f'The engine at {address} broke off: {error!r}.'
+                f'The stream of engine {address} failed: {error!r}.'
             ) from error
 
 
 def _read_report(
     response: Any, on_report: Callable[[load.LoadReport], None]
 ) -> None:
-    values = response.headers.getRawHeaders(load.HEADER, [''])
-    report = load.parse(values[0])
+    header_values = response.headers.getRawHeaders(load.HEADER, [''])
+    report = load.parse(header_values[0])
     if report is not None:
         on_report(report)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/engine_weights.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/engine_weights.py
@@ -1,4 +1,4 @@
-"""Read engines' weights and order changes of them over HTTP."""
+"""Read engines' weight versions and send them weight orders over HTTP."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 }
 
 
-class _State(msgspec.Struct, frozen=True):
+class _StateReply(msgspec.Struct, frozen=True):
     weight_version: WeightVersion
     model: ModelName = ModelName('')
     staged_version: WeightVersion | None = None
@@ -38,31 +38,31 @@
 
 
 class Ended(NamedTuple):
-    """Hold how an order ended and what the engine then said of itself."""
+    """The outcome of an order and the state that the engine then reported."""
 
     outcome: OrderOutcome
     state: TargetState | None
 
 
 class EngineWeightsAdapter:
-    """Speak to engines about their weights."""
+    """Read the state of engines and send them orders."""
 
     def __init__(self, client: http.HttpClient) -> None:
         self._client = client
-        self._decoder = msgspec.json.Decoder(_State)
+        self._decoder = msgspec.json.Decoder(_StateReply)
 
     async def read(self, address: str) -> TargetState | None:
-        """Return what an engine says of itself, None for no answer."""
+        """Return an engine's state, or None if it did not answer."""
         try:
             url = f'http://{address}/v1/state'.encode()
-            return self._state(await self._client.read(url, READ_SECONDS))
+            return self._decode(await self._client.read(url, READ_SECONDS))
         except Exception:
             return None
 
     async def order(
         self, address: str, order: Order, model: ModelName, epoch: Epoch
     ) -> Ended:
-        """Send an order and wait until the engine has carried it out."""
+        """Send an order and wait for its outcome."""
         body = {
             'kind': order.kind.value,
             'model': model,
@@ -76,20 +76,20 @@
                 seconds=desk.ORDER_SECONDS,
                 data=msgspec.json.encode(body),
             )
-            state = self._state(await http.body(response, BODY_SECONDS))
+            state = self._decode(await http.body(response, BODY_SECONDS))
         except Exception:
             return Ended(OrderOutcome.SILENT, None)
         outcome = _OUTCOMES_BY_STATUS.get(response.code, OrderOutcome.FAILED)
         return Ended(outcome, state)
 
-    def _state(self, content: bytes) -> TargetState:
-        said = self._decoder.decode(content)
+    def _decode(self, content: bytes) -> TargetState:
+        decoded = self._decoder.decode(content)
         return TargetState(
-            model=said.model,
-            weight_version=said.weight_version,
-            staged_version=said.staged_version or NO_VERSION,
-            epoch=said.epoch,
-            in_flight=said.in_flight,
-            queued=said.queued,
+            model=decoded.model,
+            weight_version=decoded.weight_version,
+            staged_version=decoded.staged_version or NO_VERSION,
+            epoch=decoded.epoch,
+            in_flight=decoded.in_flight,
+            queued=decoded.queued,
             seen_at=Instant(time.monotonic()),
         )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/event_stream.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/event_stream.py
@@ -6,19 +6,19 @@
 
 
 class RawEvent(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold one event with its fields as they came."""
+    """A server-sent event with its fields as received."""
 
-    # Fields in order, without the newline.
+    # Name and value, in the order received.
     fields: tuple[tuple[str, str], ...]
 
     @property
     def raw(self) -> bytes:
-        """Return the event as it goes over the wire."""
+        """Return the event in wire format."""
         lines = ''.join(f'{name}: {value}\n' for name, value in self.fields)
         return f'{lines}\n'.encode()
 
     def field(self, name: str) -> str | None:
-        """Return a field's last value."""
+        """Return the last value of a field, or None if it is absent."""
         found = None
         for known, value in self.fields:
             if known == name:
@@ -32,35 +32,35 @@
 
 
 class EventParser:
-    """Cut a byte stream into whole events."""
+    """Split a byte stream into complete events."""
 
     def __init__(self) -> None:
-        self._rest = b''
+        self._partial_line = b''
         self._fields: list[tuple[str, str]] = []
 
     @property
     def is_between_events(self) -> bool:
-        """Tell whether no part of an event is waiting for its end."""
-        return not self._rest and not self._fields
+        """Return whether no incomplete event is buffered."""
+        return not self._partial_line and not self._fields
 
     def receive(self, data: bytes) -> list[RawEvent]:
-        """Return the events that a part of the stream completes.
+        """Return the events that `data` completes.
 
-        Raises UnicodeDecodeError for bytes that are no text.
+        Raises UnicodeDecodeError for bytes that are not UTF-8.
         """
-        *lines, self._rest = (self._rest + data).split(b'\n')
+        *lines, self._partial_line = (self._partial_line + data).split(b'\n')
         found = []
         for line in lines:
             text = line.removesuffix(b'\r').decode('utf-8')
             if text:
-                self._take(text)
+                self._add_field(text)
             elif self._fields:
                 found.append(RawEvent(fields=tuple(self._fields)))
                 self._fields = []
         return found
 
-    def _take(self, line: str) -> None:
-        # A line that begins with a colon is a comment.
+    def _add_field(self, line: str) -> None:
+        # A line that starts with a colon is a comment.
         name, _, value = line.partition(':')
         if name:
             self._fields.append((name, value.removeprefix(' ')))
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/http.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/http.py
@@ -1,4 +1,4 @@
-"""Share one HTTP client between the adapters."""
+"""The HTTP client that the adapters share."""
 
 from __future__ import annotations
 
@@ -16,15 +16,19 @@
 
 
 class HttpClient:
-    """Send requests over kept connections or fresh ones."""
+    """Send requests over pooled or new connections."""
 
     def __init__(self) -> None:
         pool = client.HTTPConnectionPool(reactor, persistent=True)
         pool.maxPersistentPerHost = 32
         pool.retryAutomatically = False
-        opener = _Opener()
-        self._kept = client.Agent.usingEndpointFactory(reactor, opener, pool)
-        self._fresh = client.Agent.usingEndpointFactory(reactor, opener)
+        endpoint_factory = _EndpointFactory()
+        self._pooled_agent = client.Agent.usingEndpointFactory(
+            reactor, endpoint_factory, pool
+        )
+        self._unpooled_agent = client.Agent.usingEndpointFactory(
+            reactor, endpoint_factory
+        )
 
     def request(
         self,
@@ -33,30 +37,29 @@
         *,
         seconds: float,
         fresh: bool = False,
-        **more: Any,
+        **options: Any,
     ) -> defer.Deferred[Any]:
-        """Send one request; its time limit covers the reply's head."""
-        agent = self._fresh if fresh else self._kept
+        """Send one request; `seconds` limits the wait for the reply head."""
+        agent = self._unpooled_agent if fresh else self._pooled_agent
         return treq.client.HTTPClient(agent).request(
-            method, url, timeout=seconds, unbuffered=True, **more
+            method, url, timeout=seconds, unbuffered=True, **options
         )
 
     def read(self, url: bytes, seconds: float) -> defer.Deferred[bytes]:
-        """Get a small body over a kept connection.
+        """Return a small body, read over a pooled connection.
 
-        Cheaper than a request: for reads by the thousand, of which the
-        parsing of URLs and headers took most of the time.
+        Cheaper than `request`, which parses URLs and headers, for frequent
+        reads.
         """
-        reply = self._kept.request(b'GET', url)
+        reply = self._pooled_agent.request(b'GET', url)
         reply.addCallback(client.readBody)
         return with_timeout(reply, seconds)
 
 
 @implementer(iweb.IAgentEndpointFactory)
-class _Opener:
-    # The agent's own way races a name's addresses and notices that the last
-    # one was refused only at its next tick, 0.3 s later: three refused
-    # targets held a caller for 0.9 s. Every address here is one IP number.
+class _EndpointFactory:
+    # The agent's default endpoint reports a refused connection only after its
+    # happy-eyeballs delay, which delays each retry. Addresses here are IPv4.
     def endpointForURI(self, uri: Any) -> Any:  # noqa: N802
         return endpoints.TCP4ClientEndpoint(
             reactor, uri.host.decode(), uri.port, timeout=CONNECT_SECONDS
@@ -66,21 +69,21 @@
 def with_timeout(
     deferred: defer.Deferred[Any], seconds: float
 ) -> defer.Deferred[Any]:
-    """Cancel a Deferred after some seconds."""
+    """Cancel a Deferred that has not fired after `seconds`."""
     return deferred.addTimeout(seconds, reactor)
 
 
 async def body(response: Any, seconds: float) -> bytes:
-    """Read a response's whole body."""
+    """Return a response's complete body."""
     content: bytes = await with_timeout(treq.content(response), seconds)
     return content
 
 
 def cause(error: Exception) -> str:
-    """Return why a request failed, in words for a log line."""
-    # The client wraps what happened in a list of failure objects.
+    """Return why a request failed, as text for a message."""
+    # The client wraps the cause in a list of failures.
     reasons = getattr(error, 'reasons', None)
-    inner = reasons[0].value if reasons else error
-    if isinstance(inner, defer.CancelledError | defer.TimeoutError):
+    root_cause = reasons[0].value if reasons else error
+    if isinstance(root_cause, defer.CancelledError | defer.TimeoutError):
         return 'no reply in time'
-    return str(inner).rstrip('.') or type(inner).__name__
+    return str(root_cause).rstrip('.') or type(root_cause).__name__
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/instance_list.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/instance_list.py
@@ -12,14 +12,14 @@
 
 
 class InstanceListAdapter:
-    """Read which instances the platform runs."""
+    """Client of the platform's instance list."""
 
     def __init__(self, client: http.HttpClient, address: str) -> None:
         self._client = client
         self._url = f'http://{address}/v1/instances'
 
     async def read(self) -> list[Instance]:
-        """Return the instances as the platform shows them.
+        """Return the instances in the list.
 
         Raises StoreUnavailable.
         """
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/key_value.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/key_value.py
@@ -1,4 +1,4 @@
-"""Reach the platform's key-value service over HTTP."""
+"""Client of the platform's key-value service."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
         self._base = f'http://{address}/v1/keys/'
 
     async def get(self, key: str) -> Entry:
-        """Read a key.
+        """Return the entry of a key.
 
         Raises StoreUnavailable.
         """
         return await self._read(self._base + key, CALL_SECONDS)
 
     async def watch(self, key: str, after: int) -> Entry:
-        """Read a key once its version passes the given one.
+        """Return the entry of a key once its version is above `after`.
 
-        Returns the same version if nothing changed for some seconds.
+        Returns the unchanged entry after WATCH_SECONDS.
         Raises StoreUnavailable.
         """
         url = f'{self._base}{key}?after={after}&wait={WATCH_SECONDS}'
         return await self._read(url, WATCH_SECONDS + CALL_SECONDS)
 
     async def swap(self, key: str, value: bytes, expected: int) -> int:
-        """Write a key whose version is the expected one, 0 for absent.
+        """Write a key if its version is `expected`, 0 if it must be absent.
 
         Returns the new version. Raises StoreConflict if nothing was
         written, StoreUnavailable if the write may have taken effect.
@@ -53,7 +53,9 @@
         except Exception as error:
             raise _unavailable(http.cause(error)) from error
         if response.code == 412:
-            raise errors.StoreConflict(f'Another write of {key} came first.')
+            raise errors.StoreConflict(
+                f'Another writer changed {key} first; read it again.'
+            )
         if response.code != 200:
             raise _unavailable(f'status {response.code}')
         version: int = msgspec.json.decode(content)['version']
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/scorer.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/scorer.py
@@ -1,4 +1,4 @@
-"""Reach scoring services over HTTP."""
+"""Client of scoring services."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ScorerAdapter:
-    """Score samples."""
+    """Request scores of samples."""
 
     def __init__(self, client: http.HttpClient) -> None:
         self._client = client
@@ -34,9 +34,9 @@
             )
             content = await http.body(response, CALL_SECONDS)
             reply = msgspec.json.decode(content)
-            # A reply to another sample must not be taken for this one's.
+            # Guard against using the score of another sample.
             if reply['sample_id'] != sample.id:
-                raise ValueError('it scored another sample')
+                raise ValueError('the reply is for another sample')
             return float(reply['score'])
         except Exception as error:
             raise errors.AnswerCut(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/small_server.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/small_server.py
@@ -1,4 +1,4 @@
-"""Serve small HTTP pages beside the clients' port."""
+"""A small HTTP server for internal pages."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 log = logs.for_part('server')
 
-# Seconds for which an idle connection is kept.
+# Seconds after which an idle connection is closed.
 IDLE_SECONDS = 30.0
-# Bytes of one body; a store's value of a megabyte takes 1.4 as base64.
+# Bytes per request body; leaves room for a 1 MB store value in base64.
 MAX_BODY_BYTES = 4 * 1024 * 1024
 
 
 class SmallRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold one request."""
+    """A received request."""
 
     method: str
-    # Path and query as they came.
+    # Path and query, as in the request line.
     target: str
     body: bytes = b''
 
@@ -43,7 +43,7 @@
 
 
 class Page(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold one answer."""
+    """A response."""
 
     status: int
     content_type: str = 'application/json'
@@ -51,7 +51,7 @@
 
 
 class SmallServer(http.HTTPFactory):
-    """Answer each request by one coroutine."""
+    """Answer each request with the result of a coroutine."""
 
     noisy = False
 
@@ -75,7 +75,7 @@
         return channel
 
     def log(self, request: Any) -> None:
-        """Write no access log."""
+        """Do nothing; there is no access log."""
 
 
 class _Request(http.Request):
@@ -90,13 +90,13 @@
             target=self.uri.decode('latin-1'),
             body=self.content.read(),
         )
-        work = defer.Deferred.fromCoroutine(
+        answering = defer.Deferred.fromCoroutine(
             self.channel.factory.handle(request)
         )
-        self.notifyFinish().addErrback(lambda _: work.cancel())
-        work.addCallbacks(self._answer, self._failed)
+        self.notifyFinish().addErrback(lambda _: answering.cancel())
+        answering.addCallbacks(self._send_page, self._on_failure)
 
-    def _answer(self, page: Page) -> None:
+    def _send_page(self, page: Page) -> None:
         if self._disconnected:
             return
         self.setResponseCode(page.status)
@@ -105,8 +105,8 @@
         self.write(page.body)
         self.finish()
 
-    def _failed(self, failure: Any) -> None:
+    def _on_failure(self, failure: Any) -> None:
         if failure.check(defer.CancelledError):
             return
-        log.error('Page failed.', cause=failure.getTraceback())
-        self._answer(Page(status=500))
+        log.error('Request failed.', cause=failure.getTraceback())
+        self._send_page(Page(status=500))
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/target.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/target.py
@@ -1,4 +1,4 @@
-"""Reach plain services' targets over HTTP."""
+"""Send calls to the targets of services over HTTP."""
 
 from __future__ import annotations
 
@@ -31,39 +31,39 @@
 
 
 class TargetRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what is sent to a target."""
+    """A call to a target."""
 
     request_id: RequestId
     path: str
     query: str
     content_type: str
     body: bytes
-    # 0 goes before higher ones where the target heeds it.
+    # 0 is the highest priority; a target can ignore it.
     priority: int = 0
-    # Counts the attempts of one request, so that a target that passes it
-    # on can tell an extra attempt from a first one.
+    # Number of this attempt, from 1; lets a target tell retries from first
+    # attempts.
     attempt: int = 1
-    # Nothing is sent after the first; the answer is awaited to the second.
+    # Deadlines for opening the connection and for the complete answer.
     connect_by: Instant
     answer_by: Instant
 
     def url(self, address: str) -> str:
-        # A path may hold a quoted ? or #, which unquoted would turn its
-        # rest into a query and reach another path of the target.
+        # An unquoted ? or # in the path would reach another path of the
+        # target.
         path = urllib.parse.quote(self.path)
         query = f'?{self.query}' if self.query else ''
         return f'http://{address}/{path}{query}'
 
 
 class TargetReply(msgspec.Struct, frozen=True):
-    """Hold an answer and what its target said of its load."""
+    """A target's answer and its load report."""
 
     answer: Answer
     report: load.LoadReport | None = None
 
 
 class TargetAdapter:
-    """Send calls to targets."""
+    """Send calls, each over a new connection."""
 
     def __init__(self, now: Callable[[], float], clock: Any = reactor) -> None:
         self._now = now
@@ -75,33 +75,33 @@
         request: TargetRequest,
         on_step: Callable[[Step], None],
     ) -> TargetReply:
-        """Send one call and return its whole answer.
+        """Send one call and return its complete answer.
 
         Raises NotRun if no byte was sent, else OutcomeUnknown.
         """
-        # A kept connection may have died unseen: bytes written to it leave
-        # open whether the call ran. A fresh one tells refused from sent.
-        connection = _Connection(
-            self._clock, self._left(request.connect_by), on_step
+        # A pooled connection can be dead, so a failed write leaves the outcome
+        # unknown. A new connection shows whether anything was sent.
+        connection = _ConnectionTracker(
+            self._clock, self._remaining(request.connect_by), on_step
         )
         agent = client.Agent.usingEndpointFactory(self._clock, connection)
         try:
-            response = await self._within(
+            response = await self._limit(
                 self._send(agent, address, request), request.answer_by
             )
             on_step(Step.ANSWERING)
             reader = _BodyReader(connection.abort)
             response.deliverBody(reader)
-            body = await self._within(reader.finished, request.answer_by)
+            body = await self._limit(reader.finished, request.answer_by)
         except Exception as error:
             connection.abort()
             if not connection.is_open:
                 raise errors.NotRun(
-                    f'The target at {address} can not be reached.',
+                    f'The target at {address} cannot be reached.',
                     retry_after=1.0,
                 ) from error
             raise errors.OutcomeUnknown(
-                f'The target at {address} broke off ({error!r}); the call '
+                f'The call to the target at {address} failed ({error!r}) and '
                 'may have run.'
             ) from error
         on_step(Step.ANSWERED)
@@ -117,8 +117,7 @@
             request.url(address),
             data=_BodyProducer(request.body),
             unbuffered=True,
-            # A redirect is the caller's to follow: here it would run a
-            # call on a target that nobody chose.
+            # Following a redirect would run the call on an unselected target.
             allow_redirects=False,
             headers={
                 'Content-Type': request.content_type,
@@ -128,12 +127,12 @@
             },
         )
 
-    def _within(
+    def _limit(
         self, deferred: defer.Deferred[Any], deadline: Instant
     ) -> defer.Deferred[Any]:
-        return deferred.addTimeout(self._left(deadline), self._clock)
+        return deferred.addTimeout(self._remaining(deadline), self._clock)
 
-    def _left(self, deadline: Instant) -> float:
+    def _remaining(self, deadline: Instant) -> float:
         return max(0.0, deadline - self._now())
 
 
@@ -143,8 +142,8 @@
 
 
 @implementer(iweb.IAgentEndpointFactory)
-class _Connection:
-    """Note when a connection is open, the first point of no return."""
+class _ConnectionTracker:
+    """Record when the connection opens; later failures are ambiguous."""
 
     def __init__(
         self, clock: Any, seconds: float, on_step: Callable[[Step], None]
@@ -170,22 +169,22 @@
         self._on_step(Step.CONNECTING)
         connecting = self._endpoint.connect(factory)
         connecting.addTimeout(self._seconds, self._clock)
-        return connecting.addCallback(self._connected)
+        return connecting.addCallback(self._on_connected)
 
     def abort(self) -> None:
-        """Close at once, so that a silent target holds nothing here."""
+        """Close the connection at once, if it is open."""
         if self._protocol is not None:
             self._protocol.abort()
 
-    def _connected(self, opened: Any) -> Any:
-        self._protocol = opened
+    def _on_connected(self, connected: Any) -> Any:
+        self._protocol = connected
         self._on_step(Step.SENDING)
-        return opened
+        return connected
 
 
 @implementer(iweb.IBodyProducer)
 class _BodyProducer:
-    """Write a body that is in memory in one piece."""
+    """Write a body from memory in one piece."""
 
     def __init__(self, body: bytes) -> None:
         self._body = body
@@ -206,25 +205,25 @@
 
 
 class _BodyReader(protocol.Protocol):
-    """Collect a body and refuse one whose end is not known."""
+    """Collect a body; fail if its end cannot be verified."""
 
     def __init__(self, abort: Callable[[], None]) -> None:
         self.finished: defer.Deferred[bytes] = defer.Deferred()
         self._abort = abort
         self._parts: list[bytes] = []
-        self._bytes = 0
+        self._received_bytes = 0
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         self._parts.append(data)
-        self._bytes += len(data)
-        if self._bytes > MAX_ANSWER_BYTES:
+        self._received_bytes += len(data)
+        if self._received_bytes > MAX_ANSWER_BYTES:
             self._abort()
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802
         if self.finished.called:
             return
-        # An answer with neither a length nor chunks ends as a connection
-        # that was cut does; taking it for whole would hand a caller half.
+        # A body without a length or chunks ends like a lost connection;
+        # accepting it would return a truncated answer.
         if reason.check(client.ResponseDone):
             self.finished.callback(b''.join(self._parts))
         else:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/token_stream.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/token_stream.py
@@ -1,4 +1,4 @@
-"""Read an engine's stream of chunks and notice when it goes silent."""
+"""Read an engine's stream of chunks and fail if it stalls."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Chunk(msgspec.Struct, frozen=True):
-    """Hold tokens and the weight version that the engine reports."""
+    """Generated tokens and the weight version that produced them."""
 
     weight_version: WeightVersion | None = None
     tokens: tuple[int, ...] = ()
@@ -28,7 +28,7 @@
 
 
 class TokenStream(protocol.Protocol):
-    """Hand on chunks until the engine says done."""
+    """Pass on chunks until the final one."""
 
     def __init__(
         self,
@@ -36,51 +36,50 @@
         progress_seconds: float,
         clock: Any,
     ) -> None:
-        self.finished: defer.Deferred[None] = defer.Deferred(self._cancel)
+        self.finished: defer.Deferred[None] = defer.Deferred(self._on_cancel)
         self._on_chunk = on_chunk
-        self._seconds = progress_seconds
-        self._rest = b''
+        self._progress_seconds = progress_seconds
+        self._partial_line = b''
         self._is_done = False
-        self._is_over = False
-        # A stream whose connection was forgotten by something in between
-        # stays open with no byte for good; its caller would wait until its
-        # own deadline. Engines make tokens many times in this time.
+        self._is_finished = False
+        # Guard against a half-open connection, on which the caller would wait
+        # until its own deadline.
         self._timer = clock.callLater(
-            progress_seconds, self._end, errors.AnswerCut('It went silent.')
+            progress_seconds, self._finish, errors.AnswerCut('Stream stalled.')
         )
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        if self._is_over:
+        if self._is_finished:
             return
-        self._timer.reset(self._seconds)
-        *lines, self._rest = (self._rest + data).split(b'\n')
+        self._timer.reset(self._progress_seconds)
+        *lines, self._partial_line = (self._partial_line + data).split(b'\n')
         try:
             for line in lines:
-                self._take(line)
+                self._handle_line(line)
         except (errors.YuccarillError, msgspec.MsgspecError) as error:
-            self._end(error)
+            self._finish(error)
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802
-        # The line that says done, not the end of the connection, tells a
-        # whole answer from one that was cut.
+        # Only a final chunk, not the connection's end, shows that the stream
+        # is complete.
         self.transport = None
-        cut = errors.AnswerCut('It ended before it was done.')
-        self._end(None if self._is_done else cut)
+        truncated = errors.AnswerCut('Stream ended before its final chunk.')
+        self._finish(None if self._is_done else truncated)
 
-    def _take(self, line: bytes) -> None:
+    def _handle_line(self, line: bytes) -> None:
         chunk = _decoder.decode(line)
         self._is_done = self._is_done or chunk.done
         if chunk.tokens:
             self._on_chunk(chunk)
 
-    def _cancel(self, _: object) -> None:
-        self._is_over = True
+    def _on_cancel(self, _: object) -> None:
+        self._is_finished = True
         self._close()
 
-    def _end(self, error: Exception | None) -> None:
-        if self._is_over:
+    def _finish(self, error: Exception | None) -> None:
+        if self._is_finished:
             return
-        self._is_over = True
+        self._is_finished = True
         self._close()
         if error is None:
             self.finished.callback(None)
@@ -90,7 +89,7 @@
     def _close(self) -> None:
         if self._timer.active():
             self._timer.cancel()
-        # The engine stops making tokens when its connection closes.
+        # The engine stops generating when its connection closes.
         transport, self.transport = self.transport, None
         if not self._is_done and transport is not None:
             transport.loseConnection()
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/weight_store.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/weight_store.py
@@ -1,4 +1,4 @@
-"""Reach the platform's weight store over HTTP."""
+"""Client of the platform's weight store."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class WeightStoreAdapter:
-    """Read which weight versions there are."""
+    """Read the available weight versions."""
 
     def __init__(self, client: http.HttpClient, address: str) -> None:
         self._client = client
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/api/audit_view.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/api/audit_view.py
@@ -1,4 +1,4 @@
-"""Show operators who changed what."""
+"""Build the audit reply for operators."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 def reply(
     page: AuditPage, refusals: Iterable[Refusal] = ()
 ) -> operators.AuditReply:
-    """Return a page with the refusals of this instance, by time."""
+    """Return a page of the audit log merged with local refusals, by time."""
     entries = [_applied(change) for change in page.changes]
     entries += [_refused(refusal) for refusal in refusals]
     return operators.AuditReply(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/api/callers.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/api/callers.py
@@ -1,4 +1,4 @@
-"""The interface for callers."""
+"""The HTTP interface for callers."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Addresses(msgspec.Struct, frozen=True):
-    """Tell a caller which instances to use, and until when."""
+    """The instances that a caller can use, and until when."""
 
     addresses: list[str]
     valid_until: WallTime
@@ -41,14 +41,14 @@
 
 
 class GenerateRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Ask a model for tokens."""
+    """A request to generate tokens."""
 
     prompt: str
     max_tokens: int = 16
 
 
 class CallerApi:
-    """Answer callers."""
+    """Handle requests of callers."""
 
     app = replies.new_app()
 
@@ -68,7 +68,7 @@
         ticket = str(self._calls.new_ticket())
         chosen = address_choice.choose(
             self._membership.live(),
-            # Callers that give no name are rotated by their tickets.
+            # Spread callers without a name by their tickets.
             _caller(request) or ticket,
             DataCentreId(replies.argument(request, 'data_centre')),
         )
@@ -96,8 +96,8 @@
                 caller=_caller(request),
             )
         except errors.RequestError as error:
-            # This message starts nothing, but an earlier one under the
-            # same number may have: only the ticket's home can tell.
+            # With a ticket, an earlier attempt with the same request ID may
+            # have run; only the instance that issued the ticket knows.
             error.not_run = ticket is None
             raise
         answer = await self._calls.run(call)
@@ -109,13 +109,13 @@
     @replies.answering_errors
     async def outcome(self, request: IRequest, request_id: str) -> bytes:
         ticket = _header(request, 'Yuccarill-Ticket', '')
-        found = await self._calls.outcome(ticket, RequestId(request_id))
-        return replies.as_json(request, found)
+        call_outcome = await self._calls.outcome(ticket, RequestId(request_id))
+        return replies.as_json(request, call_outcome)
 
     @app.route('/models/<model>/generate', methods=['POST'])
     @replies.answering_errors
     async def generate(self, request: IRequest, model: str) -> bytes:
-        asked = replies.decode(request, GenerateRequest)
+        generate_request = replies.decode(request, GenerateRequest)
         has_begun = False
 
         def relay(chunk: Chunk) -> None:
@@ -131,8 +131,8 @@
                 ModelName(model),
                 {
                     'request_id': _request_id(request),
-                    'prompt': asked.prompt,
-                    'max_tokens': asked.max_tokens,
+                    'prompt': generate_request.prompt,
+                    'max_tokens': generate_request.max_tokens,
                 },
                 _seconds(request),
                 relay,
@@ -140,8 +140,8 @@
         except errors.YuccarillError as error:
             if not has_begun:
                 raise
-            # The head is sent: the last line tells that the answer is cut,
-            # and no short answer ends with the line that says done.
+            # The status is already sent, so the last line reports the error
+            # in place of the line that marks a complete stream.
             line = {'error': error.code, 'message': error.message}
             return msgspec.json.encode(line) + b'\n'
         return b'{"done":true}\n'
@@ -160,7 +160,7 @@
     value = _header(request, 'Yuccarill-Request-Id', '')
     if not value:
         raise errors.RequestError(
-            'The header Yuccarill-Request-Id is missing; number the request.'
+            'The header Yuccarill-Request-Id is missing; add a unique ID.'
         )
     return RequestId(value)
 
@@ -173,7 +173,7 @@
         seconds = math.nan
     if not 0 < seconds <= MAX_SECONDS:
         raise errors.RequestError(
-            f'The header Yuccarill-Timeout is {text}; write seconds up to '
-            f'{MAX_SECONDS}.'
+            f'The header Yuccarill-Timeout is {text}; write seconds, '
+            f'above 0 and up to {MAX_SECONDS}.'
         )
     return seconds
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/api/operators.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/api/operators.py
@@ -1,4 +1,4 @@
-"""The interface for operators."""
+"""The HTTP interface for operators."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class OperatorApi:
-    """Answer operators."""
+    """Handle requests of operators."""
 
     app = replies.new_app()
 
@@ -43,9 +43,9 @@
     @app.route('/configuration', methods=['PUT'])
     @replies.answering_errors
     async def apply(self, request: IRequest) -> bytes:
-        asked = replies.decode(request, operators.ApplyRequest)
+        body = replies.decode(request, operators.ApplyRequest)
         result = await self._configuration.apply(
-            asked.author, asked.base, asked.document, asked.change_id
+            body.author, body.base, body.document, body.change_id
         )
         return replies.as_json(
             request,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/api/replies.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/api/replies.py
@@ -27,7 +27,7 @@
 
 
 def as_json(request: IRequest, value: Any, status: int = 200) -> bytes:
-    """Encode a reply."""
+    """Return a value as JSON; set the status and headers of the reply."""
     request.setResponseCode(status)
     request.setHeader('Content-Type', 'application/json')
     encoded = msgspec.json.encode(value)
@@ -36,7 +36,7 @@
 
 
 def as_error(request: IRequest, error: errors.YuccarillError) -> bytes:
-    """Encode an error as its reply."""
+    """Return an error as JSON; set the status and headers of the reply."""
     metrics.count(metrics.Metric.API_ERRORS)
     if error.retry_after is not None:
         seconds = max(1, round(error.retry_after))
@@ -45,7 +45,7 @@
 
 
 def describe(error: errors.YuccarillError) -> operators.ErrorReply:
-    """Return an error in the form that clients read."""
+    """Return the JSON form of an error."""
     return operators.ErrorReply(
         error.code,
         error.code.name,
@@ -56,34 +56,32 @@
 
 
 def body_too_long() -> errors.BodyTooLong:
-    """Return the refusal of a body that is too long."""
+    """Return the error for a request body over the limit."""
     return errors.BodyTooLong(
-        f'The body is over {MAX_BODY_BYTES} bytes; send less.'
+        f'The body exceeds {MAX_BODY_BYTES} bytes; send less.'
     )
 
 
 def unknown_path() -> errors.UnknownPath:
-    """Return the refusal of a path that no interface has."""
-    return errors.UnknownPath(
-        'This path is not known; see docs/interfaces.md.'
-    )
+    """Return the error for an unknown path."""
+    return errors.UnknownPath('This path is unknown; see docs/interfaces.md.')
 
 
 def new_app() -> klein.Klein:
-    """Return an application whose unknown routes get numbered errors."""
+    """Return an application that answers routing errors with result codes."""
     app = klein.Klein()
-    app.handle_errors(exceptions.HTTPException)(_refuse_route)
+    app.handle_errors(exceptions.HTTPException)(_answer_routing_error)
     return app
 
 
-def _refuse_route(_api: Any, request: IRequest, failure: Any) -> bytes:
-    refused = failure.value
-    if not isinstance(refused, exceptions.MethodNotAllowed):
+def _answer_routing_error(_api: Any, request: IRequest, failure: Any) -> bytes:
+    error = failure.value
+    if not isinstance(error, exceptions.MethodNotAllowed):
         return as_error(request, unknown_path())
-    methods = ', '.join(sorted(refused.valid_methods or ()))
+    methods = ', '.join(sorted(error.valid_methods or ()))
     request.setHeader('Allow', methods)
     return as_error(
-        request, errors.WrongMethod(f'This path takes {methods} only.')
+        request, errors.WrongMethod(f'This path accepts only {methods}.')
     )
 
 
@@ -99,13 +97,13 @@
 
 
 def argument(request: IRequest, name: str) -> str:
-    """Return an argument of a request's address, or an empty text."""
+    """Return a query argument, or an empty string."""
     values = request.args.get(name.encode(), [b''])
     return str(values[0].decode(errors='replace'))
 
 
 def decode(request: IRequest, kind: Any) -> Any:
-    """Decode a request's JSON body to a type.
+    """Return a request's JSON body, decoded as a type.
 
     Raises RequestError.
     """
@@ -120,14 +118,16 @@
 def answering_errors(
     function: Callable[..., Any],
 ) -> Callable[..., Any]:
-    """Reply to a request with the error that its handler raised."""
+    """Wrap a handler so that errors it raises become replies."""
 
     @functools.wraps(function)
-    async def answer(self: Any, request: IRequest, **places: str) -> Any:
+    async def answer(
+        self: Any, request: IRequest, **path_arguments: str
+    ) -> Any:
         metrics.count(metrics.Metric.API_REQUESTS)
-        begun_at = time.monotonic()
+        started_at = time.monotonic()
         try:
-            return await function(self, request, **places)
+            return await function(self, request, **path_arguments)
         except errors.YuccarillError as error:
             return as_error(request, error)
         except UnicodeDecodeError:
@@ -139,7 +139,7 @@
             return as_error(request, errors.YuccarillError('Internal error.'))
         finally:
             metrics.timing(
-                metrics.Metric.API_TIME, time.monotonic() - begun_at
+                metrics.Metric.API_TIME, time.monotonic() - started_at
             )
 
     return answer
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/api/root.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/api/root.py
@@ -1,4 +1,4 @@
-"""Mount the interfaces under one HTTP server."""
+"""The resource tree of the HTTP interfaces."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 def build(callers: Any, trainers: Any, operators: Any) -> resource.Resource:
-    """Return the tree of all interfaces."""
-    return _Root(_Prefixed(callers.app.resource(), trainers, operators))
+    """Return the root resource of all interfaces."""
+    return _Root(_VersionResource(callers.app.resource(), trainers, operators))
 
 
-class _Refusal(resource.Resource):
-    """Answer any method with one error."""
+class _ErrorResource(resource.Resource):
+    """Answer any method with a fixed error."""
 
     isLeaf = True
 
@@ -40,15 +40,15 @@
         try:
             urllib.parse.unquote_to_bytes(request.path).decode()
         except UnicodeDecodeError:
-            return _Refusal(
+            return _ErrorResource(
                 errors.RequestError('The path is not UTF-8; correct it.')
             )
         if path == _VERSION and request.postpath:
             return self._version
-        return _Refusal(replies.unknown_path())
+        return _ErrorResource(replies.unknown_path())
 
 
-class _Prefixed(resource.Resource):
+class _VersionResource(resource.Resource):
     def __init__(self, callers: Any, trainers: Any, operators: Any) -> None:
         super().__init__()
         self._callers = callers
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/api/site.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/api/site.py
@@ -1,4 +1,4 @@
-"""Serve HTTP with a bound on what one request may bring."""
+"""Serve HTTP with a limit on the request body size."""
 
 from __future__ import annotations
 
@@ -24,39 +24,38 @@
 
 
 class BoundedRequest(server.Request):
-    """Refuse a body while it arrives, once it is over the limit."""
+    """Reject a body as soon as it exceeds the limit."""
 
     _received = 0
-    _is_refused = False
+    _is_rejected = False
     _is_counted = False
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
-        """Take the announced length, none if the body comes in chunks."""
-        # The base class keeps long bodies in a file. Most instances have no
-        # disk, and the limit is small enough for memory.
+        """Handle the Content-Length, None for a chunked body."""
+        # The base class spools long bodies to a file; most instances have no
+        # disk, and the limit fits in memory.
         self.content = io.BytesIO()
         self._is_counted = True
-        # The channel is gone once the connection is lost.
+        # The channel is unset once the connection is lost.
         self._site = self.channel.site
         self._site.begin(self)
         if length is not None and length > replies.MAX_BODY_BYTES:
-            self._refuse(length)
+            self._reject(length)
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802
-        """Take a part of the body."""
-        if self._is_refused:
+        """Handle a part of the body."""
+        if self._is_rejected:
             return
-        # A body in chunks announces no length, and its end may never come:
-        # without a count it would fill this process's memory.
+        # Guard against an endless chunked body that fills the memory.
         self._received += len(data)
         if self._received > replies.MAX_BODY_BYTES:
-            self._refuse(self._received)
+            self._reject(self._received)
         else:
             self.content.write(data)
 
     def process(self) -> None:
-        """Answer, unless the request is refused already."""
-        if self._is_refused:
+        """Handle the request, unless it is rejected already."""
+        if self._is_rejected:
             return
         try:
             self._site.check(self)
@@ -67,25 +66,25 @@
             super().process()
 
     def finish(self) -> None:
-        """End the answer."""
-        self._end()
+        """Finish the response."""
+        self._count_end()
         super().finish()
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802
-        """Take the loss of the connection before the answer's end."""
-        self._end()
+        """Handle a connection lost before the response is complete."""
+        self._count_end()
         super().connectionLost(reason)
 
-    def _end(self) -> None:
+    def _count_end(self) -> None:
         if self._is_counted:
             self._is_counted = False
             self._site.end()
 
-    def _refuse(self, length: int) -> None:
-        self._is_refused = True
+    def _reject(self, length: int) -> None:
+        self._is_rejected = True
         self.content = io.BytesIO()
         error = replies.body_too_long()
-        log.info('Body refused.', length=length, code=error.code)
+        log.info('Request body was rejected.', length=length, code=error.code)
         body = msgspec.json.encode(replies.describe(error))
         head = _REFUSAL_HEAD.format(
             status=error.http_status,
@@ -97,9 +96,9 @@
 
 
 def build(resource: Any) -> draining.DrainingSite:
-    """Return the site that serves a tree of resources."""
-    # Forms are no part of the interfaces; the library would parse
-    # megabytes of them before any handler saw the request.
+    """Return the site that serves a resource tree."""
+    # The interfaces use no forms; parsing large ones before the handler runs
+    # would waste CPU.
     return draining.DrainingSite(
         resource, BoundedRequest, parsePOSTFormSubmission=False
     )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/api/status_view.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/api/status_view.py
@@ -1,4 +1,4 @@
-"""Show operators what this instance knows."""
+"""Build the status reply for operators."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class StatusView:
-    """Read the blackboard for operators."""
+    """Build status replies from this instance's state."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self._traffic = traffic
 
     def reply(self) -> operators.StatusReply:
-        """Return what this instance knows."""
+        """Return this instance's view of the fleet."""
         head = self._blackboard.head
         return operators.StatusReply(
             instance=self._blackboard.me.id,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/api/trainers.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/api/trainers.py
@@ -1,4 +1,4 @@
-"""The interface for trainers."""
+"""The HTTP interface for trainers."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Announcement(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Tell the newest weight version that a trainer has made."""
+    """The newest weight version of a trainer."""
 
     newest_version: Annotated[
         WeightVersion, msgspec.Meta(ge=0, le=step_module.MAX_NUMBER)
@@ -31,7 +31,7 @@
 
 
 class TrainerApi:
-    """Answer trainers."""
+    """Handle requests of trainers."""
 
     app = replies.new_app()
 
@@ -41,9 +41,9 @@
     @app.route('/<trainer>/steps', methods=['POST'])
     @replies.answering_errors
     async def submit(self, request: IRequest, trainer: str) -> bytes:
-        asked = replies.decode(request, StepRequest)
-        await self._steps.submit(TrainerId(trainer), asked)
-        return replies.as_json(request, {'step': asked.step}, 202)
+        body = replies.decode(request, StepRequest)
+        await self._steps.submit(TrainerId(trainer), body)
+        return replies.as_json(request, {'step': body.step}, 202)
 
     @app.route(f'/<trainer>/steps/{_STEP}', methods=['GET'])
     @replies.answering_errors
@@ -71,6 +71,8 @@
     @app.route('/<trainer>/newest', methods=['PUT'])
     @replies.answering_errors
     async def announce(self, request: IRequest, trainer: str) -> bytes:
-        told = replies.decode(request, Announcement)
-        await self._steps.announce(TrainerId(trainer), told.newest_version)
-        return replies.as_json(request, told)
+        announcement = replies.decode(request, Announcement)
+        await self._steps.announce(
+            TrainerId(trainer), announcement.newest_version
+        )
+        return replies.as_json(request, announcement)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/application.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/application.py
@@ -24,13 +24,13 @@
 
 EXIT_FAILED = 1
 EXIT_SETTINGS_INVALID = 2
-# A stop that cut off work in flight, by its time limit or a second signal.
+# Shutdown aborted work in flight, at its timeout or by a second signal.
 EXIT_CUT = 3
 
 
 def _options() -> list[click.Option]:
-    # The texts are converted by the reader, which names all faults; click
-    # would end at the first one.
+    # setting_reader converts the values and reports all errors; click would
+    # stop at the first.
     return [
         click.Option(
             [setting.flag],
@@ -38,13 +38,13 @@
             envvar=setting.variable,
             show_envvar=True,
             show_default=setting.default or False,
-            help=f'{setting.help} Write {setting.wanted}.',
+            help=f'{setting.help} Write {setting.valid_values}.',
         )
         for setting in setting_reader.all_settings()
     ]
 
 
-def _read(text_by_name: dict[str, str | None]) -> Settings:
+def _read_settings(text_by_name: dict[str, str | None]) -> Settings:
     for warning in setting_reader.unknown_variables(os.environ):
         click.echo(f'Warning: {warning}', err=True)
     try:
@@ -63,7 +63,7 @@
 )
 def main(check_settings: bool, **text_by_name: str | None) -> None:
     """Run one instance of yuccarill."""
-    settings = _read(text_by_name)
+    settings = _read_settings(text_by_name)
     if check_settings:
         click.echo('The settings are valid.')
         return
@@ -79,12 +79,12 @@
     def begin_stop() -> None:
         nonlocal has_signal
         stopped = defer.ensureDeferred(process.stop())
-        # A second signal hurries the first one's stop, which ends it.
+        # A second signal shortens the shutdown that the first one began.
         if not has_signal:
             has_signal = True
-            stopped.addCallbacks(end, failed)
+            stopped.addCallbacks(on_stopped, on_failure)
 
-    def end(outcome: StopOutcome) -> None:
+    def on_stopped(outcome: StopOutcome) -> None:
         nonlocal exit_code
         if outcome is StopOutcome.CUT:
             exit_code = EXIT_CUT
@@ -93,13 +93,13 @@
     def begin() -> None:
         signal.signal(signal.SIGTERM, stop)
         started = defer.ensureDeferred(process.start())
-        started.addErrback(failed)
+        started.addErrback(on_failure)
 
-    def failed(failure: Any) -> None:
+    def on_failure(failure: Any) -> None:
         nonlocal exit_code
         exit_code = EXIT_FAILED
         logs.for_part('instance').error(
-            'Not started or not stopped.', cause=failure.getErrorMessage()
+            'Start or stop failed.', cause=failure.getErrorMessage()
         )
         reactor.stop()
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/control_parts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/control_parts.py
@@ -1,4 +1,4 @@
-"""Compose the parts of one instance that agree with others."""
+"""Compose the components that coordinate an instance with its peers."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class ControlParts:
-    """Hold what knows the members, the configuration and the leases."""
+    """The components for membership, configuration and leases."""
 
     def __init__(
         self,
@@ -72,8 +72,8 @@
             reactor,
         )
 
-    def following(self) -> list[Awaitable[None]]:
-        """Return what runs until the process ends."""
+    def create_loops(self) -> list[Awaitable[None]]:
+        """Return the background loops, which run until the process ends."""
         return [
             self.configuration.follow(),
             self.membership.follow(),
@@ -82,9 +82,9 @@
         ]
 
     async def handle(self, body: messages.Body) -> messages.Body:
-        """Answer a peer.
+        """Answer a peer's request.
 
-        Raises FrameInvalid if the message is no request.
+        Raises FrameInvalid if the message is not a request.
         """
         match body:
             case (
@@ -100,4 +100,4 @@
             case messages.ConfigurationFetch():
                 return self.configuration.handle(body)
             case _:
-                raise errors.FrameInvalid('This message is no request.')
+                raise errors.FrameInvalid('The message is not a request.')
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/idle.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/idle.py
@@ -1,8 +1,7 @@
-"""Stand by on an instance with a disk, which keeps nothing.
+"""Run as a placeholder process on machines with a disk.
 
-The platform wants a process on each class of machines. What must last is
-kept in its store, so this one only starts and stops. It imports next to
-nothing: 7 MB of memory at its peak beside the 40 MB of a gateway.
+The platform requires a process on each machine class, but keeps durable data
+in its own store. Few imports save memory.
 """
 
 from __future__ import annotations
@@ -20,13 +19,13 @@
 
 
 def main() -> None:
-    """Wait for the signal to stop."""
+    """Wait for SIGTERM or SIGINT."""
     stopping = {signal.SIGTERM, signal.SIGINT}
     reloading = {signal.SIGHUP}
     signal.pthread_sigmask(signal.SIG_BLOCK, stopping | reloading)
     _log('Started.')
     while signal.sigwait(stopping | reloading) in reloading:
-        _log('Settings changed; none is used here.')
+        _log('Settings reload ignored; this process has no settings.')
     _log('Stopped.')
 
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/instance.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/instance.py
@@ -1,4 +1,4 @@
-"""Compose and run one instance."""
+"""Compose and run the components of one instance."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
 
 
 class InstanceProcess:
-    """Run one instance."""
+    """Own the components of one instance; start and stop them."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
-        self._blackboard = Blackboard(me=_me(settings))
+        self._blackboard = Blackboard(me=_local_instance(settings))
         self._incarnation = Incarnation(uuid.uuid4().hex[:12])
         client = http.HttpClient()
         store = key_value.KeyValueAdapter(client, settings.key_value)
@@ -70,20 +70,20 @@
         self._shutdown = self._build_shutdown()
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start the background loops and accept requests."""
         settings = self._settings
         await self._control.peers.listen(settings.host, settings.peer_port)
-        for work in self._control.following() + self._work.following():
-            defer.ensureDeferred(work).addErrback(self._broken)
+        for loop in self._control.create_loops() + self._work.create_loops():
+            defer.ensureDeferred(loop).addErrback(self._on_loop_failure)
         endpoint = endpoints.TCP4ServerEndpoint(
             reactor, settings.http_port, interface=settings.host, backlog=1024
         )
         self._shutdown.ports.append(await endpoint.listen(self._site))
         vitals.Vitals(self._blackboard, reactor).start()
-        log.info('Serving.', port=settings.http_port)
+        log.info('Instance is serving requests.', port=settings.http_port)
 
     async def stop(self) -> StopOutcome:
-        """Finish what is in flight; called again, end soon."""
+        """Shut down gracefully; a second call shortens the shutdown."""
         return await self._shutdown.stop()
 
     def _build_site(self) -> Any:
@@ -133,12 +133,12 @@
             return answer
         return await self._control.handle(body)
 
-    def _broken(self, failure: object) -> None:
+    def _on_loop_failure(self, failure: object) -> None:
         metrics.count(metrics.Metric.PROCESS_CONTROLLERS_ENDED)
-        log.error('A controller ended.', cause=str(failure)[:500])
+        log.error('A controller failed and ended.', cause=str(failure)[:500])
 
 
-def _me(settings: Settings) -> Instance:
+def _local_instance(settings: Settings) -> Instance:
     return Instance(
         id=InstanceId(settings.instance),
         data_centre=DataCentreId(settings.data_centre),
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/launcher.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/launcher.py
@@ -4,17 +4,15 @@
 
 import sys
 
-# Twisted, asyncio and hashlib load these where they find them, and do
-# without where they don't. All links of an instance are plain TCP, and the
-# libraries would take a quarter of its resident memory.
-_UNUSED = ('OpenSSL', '_hashlib', 'ssl')
+# Optional imports of Twisted, asyncio and hashlib. An instance uses only
+# plain TCP, and these libraries would increase its resident memory.
+_UNUSED_MODULES = ('OpenSSL', '_hashlib', 'ssl')
 
 
 def main() -> None:
     """Run the command yuccarilld."""
-    for name in _UNUSED:
-        # An import of a name that stands for None fails as if the library
-        # were not installed.
+    for name in _UNUSED_MODULES:
+        # A None entry makes the import fail as if it were not installed.
         sys.modules[name] = None  # type: ignore[assignment]
     from yuccarill.daemon import application
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/left_out.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/left_out.py
@@ -1,4 +1,4 @@
-"""Stand in for modules that libraries import and a process never uses."""
+"""Replace modules that libraries import but the process never uses."""
 
 from __future__ import annotations
 
@@ -10,63 +10,63 @@
 
 
 class LeftOut(Exception):
-    """Report the use of a module that was left out."""
+    """Raised on use of a module that was replaced by a stub."""
 
 
-def leave_out(*names: str) -> None:
-    """Let imports of modules succeed without loading them."""
-    for name in names:
-        sys.modules[name] = _StandIn(name)
+def leave_out(*module_names: str) -> None:
+    """Replace modules by stubs, so that importing them loads nothing."""
+    for name in module_names:
+        sys.modules[name] = _StubModule(name)
 
 
 def leave_out_asyncio() -> None:
-    """Leave asyncio out, apart from what Twisted asks it of coroutines."""
-    module = _StandIn('asyncio')
+    """Replace asyncio by a stub with the one function that Twisted calls."""
+    module = _StubModule('asyncio')
     module.iscoroutine = _is_coroutine
     sys.modules['asyncio'] = module
 
 
 def leave_out_typing_extensions() -> None:
-    """Let typing stand for its extensions, which annotations alone need."""
-    module = _Typing('typing_extensions')
+    """Replace typing_extensions by typing, enough for annotations."""
+    module = _TypingProxy('typing_extensions')
     module.TypeVar = _type_var
     module.override = _override
     sys.modules['typing_extensions'] = module
 
 
-class _Typing(types.ModuleType):
-    """Hand out the names of typing."""
+class _TypingProxy(types.ModuleType):
+    """Provide the attributes of typing."""
 
     def __getattr__(self, name: str) -> Any:
         return getattr(typing, name)
 
 
-def _type_var(name: str, *bounds: Any, **rest: Any) -> Any:
-    # Only type checkers read the default, which typing does not take yet.
-    rest.pop('default', None)
-    return typing.TypeVar(name, *bounds, **rest)  # type: ignore[misc]
+def _type_var(name: str, *bounds: Any, **options: Any) -> Any:
+    # Only type checkers read `default`, which typing does not accept yet.
+    options.pop('default', None)
+    return typing.TypeVar(name, *bounds, **options)  # type: ignore[misc]
 
 
 def _override(method: Any) -> Any:
     return method
 
 
-class _StandIn(types.ModuleType):
-    """Hold a class for each name that is asked for."""
+class _StubModule(types.ModuleType):
+    """Create an unusable class for each attribute that is read."""
 
     def __getattr__(self, name: str) -> Any:
         if name.startswith('__'):
             raise AttributeError(name)
-        made = type(name, (_Unusable,), {'__module__': self.__name__})
-        setattr(self, name, made)
-        return made
+        stub_class = type(name, (_StubClass,), {'__module__': self.__name__})
+        setattr(self, name, stub_class)
+        return stub_class
 
 
-class _Unusable:
-    """Refuse to be made."""
+class _StubClass:
+    """Raise LeftOut when instantiated."""
 
     def __new__(cls, *_: Any, **__: Any) -> Any:
-        raise LeftOut(f'{cls.__module__}.{cls.__name__} was left out.')
+        raise LeftOut(f'{cls.__module__}.{cls.__name__} is stubbed out.')
 
 
 def _is_coroutine(value: object) -> bool:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/logs.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: short sentences with a fixed prefix a part."""
+"""Structured logs, with the name of a component before each event."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 def configure(
     log_format: LogFormat, log_level: LogLevel = LogLevel.INFO
 ) -> None:
-    """Set how log lines are written, and from which level on."""
+    """Set the format and the lowest level of log lines on stderr."""
     renderer: Any = structlog.dev.ConsoleRenderer(colors=False)
     if log_format is LogFormat.JSON:
         renderer = structlog.processors.JSONRenderer()
@@ -28,7 +28,7 @@
 
 
 def configure_stream(stream: Any, log_level: LogLevel) -> None:
-    """Write JSON lines to a stream of one's own, from a level on."""
+    """Write JSON log lines to a stream, from a lowest level."""
     _configure(structlog.processors.JSONRenderer(), stream, log_level)
 
 
@@ -38,8 +38,8 @@
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt='iso', utc=True),
-            _plain,
-            _prefix,
+            _replace_enums,
+            _add_prefix,
             renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(level),
@@ -48,11 +48,11 @@
 
 
 def for_part(part: str) -> Any:
-    """Return the logger of one part."""
+    """Return the logger of a component."""
     return structlog.get_logger(part=part)
 
 
-def _plain(
+def _replace_enums(
     _logger: Any, _name: str, event: MutableMapping[str, Any]
 ) -> MutableMapping[str, Any]:
     for key, value in event.items():
@@ -61,7 +61,7 @@
     return event
 
 
-def _prefix(
+def _add_prefix(
     _logger: Any, _name: str, event: MutableMapping[str, Any]
 ) -> MutableMapping[str, Any]:
     part = event.pop('part', 'instance')
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/metrics.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/metrics.py
@@ -12,7 +12,7 @@
 
 
 class Kind(enum.Enum):
-    """Say how a statsd server sums up a metric."""
+    """How a statsd server aggregates a metric."""
 
     COUNT = 'count'
     GAUGE = 'gauge'
@@ -20,7 +20,7 @@
 
 
 class Meter(NamedTuple):
-    """Describe one metric as docs/metrics.md shows it."""
+    """A metric, as listed in docs/metrics.md."""
 
     name: str
     kind: Kind
@@ -29,7 +29,7 @@
 
 
 class Metric(enum.Enum):
-    """List every metric; docs/metrics.md has a row for each."""
+    """All metrics; docs/metrics.md has a row for each."""
 
     API_REQUESTS = Meter(
         'api.requests', Kind.COUNT, 'requests', 'HTTP requests answered'
@@ -91,12 +91,12 @@
 
 
 class _Client(statsd.StatsClient):
-    """Drop a datagram rather than wait for the socket's buffer."""
+    """Drop datagrams while the socket's send buffer is full."""
 
     def __init__(self, host: str, port: int) -> None:
         super().__init__(host, port, prefix=PREFIX)
-        # A full buffer would hold the loop, and with it every caller; the
-        # library already drops what raises an OSError.
+        # A blocking send would stall the event loop; the library drops a
+        # datagram whose send raises an OSError.
         self._sock.setblocking(False)
 
 
@@ -104,7 +104,7 @@
 
 
 def configure(address: str | None) -> None:
-    """Send to IP:PORT from now on, or nowhere."""
+    """Send metrics to a server given as IP:PORT, or nowhere if None."""
     global _client
     if _client is not None:
         _client.close()
@@ -115,7 +115,7 @@
 
 
 def count(metric: Metric, value: int = 1) -> None:
-    """Add to a counter."""
+    """Increase a counter."""
     if _client is not None:
         _client.incr(metric.value.name, value)
 
@@ -127,6 +127,6 @@
 
 
 def timing(metric: Metric, seconds: float) -> None:
-    """Record a duration, given in seconds and sent in milliseconds."""
+    """Record a duration in seconds; it is sent in milliseconds."""
     if _client is not None:
         _client.timing(metric.value.name, seconds * _MILLISECONDS)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/peers/__init__.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Streams between instances."""
+"""Message streams between instances."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/peers/ends.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/peers/ends.py
@@ -1,4 +1,4 @@
-"""Why streams between instances ended."""
+"""Causes for the end of a stream between instances."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class StreamEnd(enum.Enum):
-    """Name a cause that is counted."""
+    """The cause for which a stream ended."""
 
     LOST = 'lost'
     SILENT = 'silent'
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/peers/link.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/peers/link.py
@@ -1,4 +1,4 @@
-"""The one stream that this instance dials to a peer."""
+"""The single outgoing stream to a peer."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class PeerLink:
-    """Share one stream, or one attempt to open it, among requests."""
+    """Share one stream and one connection attempt among requests."""
 
     def __init__(
         self, local: Local, dial: Dial, jitter: random.Random
@@ -41,14 +41,14 @@
         self._retry_at = Instant(0.0)
 
     async def open(self, peer: Instance) -> stream.PeerStream:
-        """Return the open stream to a peer.
+        """Return the stream to a peer; connect if there is none.
 
-        Raises NotRun if there is none now.
+        Raises NotRun if the peer cannot be reached.
         """
         if self._stream is not None and self._stream.is_open:
             return self._stream
-        # Two requests that each dialled would leave a stream that nobody
-        # watches or closes; the second one waits for the first one's.
+        # Concurrent requests share one attempt: a second stream would never
+        # be checked or closed.
         waiter: defer.Deferred[None] = defer.Deferred()
         self._waiters.append(waiter)
         if not self._is_dialling:
@@ -63,31 +63,30 @@
             self._fail(_unreachable(peer, wait))
             return
         self._is_dialling = True
-        new = stream.PeerStream(self._local, peer.id)
+        new_stream = stream.PeerStream(self._local, peer.id)
         try:
-            await self._dial(peer, new)
-            await new.opened
+            await self._dial(peer, new_stream)
+            await new_stream.opened
         except Exception:
-            self._fail(_unreachable(peer, self._back_off()))
+            self._fail(_unreachable(peer, self._schedule_retry()))
             return
         self._failures = 0
-        self._stream = new
-        self._finish(None)
+        self._stream = new_stream
+        self._resolve_waiters(None)
 
-    def _back_off(self) -> float:
+    def _schedule_retry(self) -> float:
         self._failures += 1
-        steps = min(self._failures - 1, 10)
-        longest = min(BACKOFF_SECONDS * 2**steps, BACKOFF_MAX_SECONDS)
-        # Without jitter all instances would dial a restarted peer at the
-        # same instants.
-        wait = longest * self._jitter.uniform(0.5, 1.0)
+        doublings = min(self._failures - 1, 10)
+        max_wait = min(BACKOFF_SECONDS * 2**doublings, BACKOFF_MAX_SECONDS)
+        # Jitter prevents all instances from dialling a restarted peer at once.
+        wait = max_wait * self._jitter.uniform(0.5, 1.0)
         self._retry_at = Instant(self._local.clock.seconds() + wait)
         return wait
 
     def _fail(self, error: errors.NotRun) -> None:
-        self._finish(failure.Failure(error))
+        self._resolve_waiters(failure.Failure(error))
 
-    def _finish(self, result: Any) -> None:
+    def _resolve_waiters(self, result: Any) -> None:
         self._is_dialling = False
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
@@ -96,5 +95,5 @@
 
 def _unreachable(peer: Instance, wait: float) -> errors.NotRun:
     return errors.NotRun(
-        f'Instance {peer.id} can not be reached.', retry_after=wait
+        f'Instance {peer.id} cannot be reached.', retry_after=wait
     )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/peers/local.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/peers/local.py
@@ -1,4 +1,4 @@
-"""What all streams of this instance share."""
+"""State that all peer streams of this instance share."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class OpenStream(Protocol):
-    """Show what the owner of all streams needs of each."""
+    """The interface of a stream that `Peers` uses."""
 
     transport: Any
-    # The peer's requests that are being answered.
+    # Number of requests of the peer in flight.
     in_hand: int
     used_at: Instant
 
@@ -36,14 +36,14 @@
 
     def check(self) -> None: ...
 
-    def forgive(self) -> None: ...
+    def reset_silence(self) -> None: ...
 
     def close(self, end: StreamEnd) -> None: ...
 
 
 @dataclasses.dataclass(kw_only=True)
 class Local:
-    """Hold this side's identity, handler, clock and open streams."""
+    """The identity, handler, clock and open streams of this instance."""
 
     me: Instance
     incarnation: Incarnation
@@ -59,7 +59,7 @@
     )
 
     def hello(self, addressee: InstanceId) -> messages.Hello:
-        """Return the message that opens a stream."""
+        """Return the first message of a stream."""
         return messages.Hello(
             instance=self.me.id,
             incarnation=self.incarnation,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/peers/outbox.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/peers/outbox.py
@@ -1,4 +1,4 @@
-"""Hold back what a stream's transport can't take yet."""
+"""Queue frames while a stream's transport is paused."""
 
 from __future__ import annotations
 
@@ -13,60 +13,59 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-MAX_HELD_BYTES = 32 * 1024 * 1024
+MAX_QUEUED_BYTES = 32 * 1024 * 1024
 
 
 @implementer(interfaces.IPushProducer)
 class Outbox:
-    """Write frames in order while the transport takes them."""
+    """Write frames in order; queue them while the transport is paused."""
 
     def __init__(
         self,
         on_drained: Callable[[], None],
-        count: Callable[[int], None] = lambda size: None,
-        max_bytes: int = MAX_HELD_BYTES,
+        on_sent: Callable[[int], None] = lambda size: None,
+        max_bytes: int = MAX_QUEUED_BYTES,
     ) -> None:
         self._on_drained = on_drained
-        self._count = count
+        self._on_sent = on_sent
         self._max_bytes = max_bytes
         self._transport: Any = None
         self._is_paused = False
-        self._held_bytes = 0
+        self._queued_bytes = 0
         self._frames_by_key: dict[object, bytes] = {}
 
     def open(self, transport: Any) -> None:
-        """Begin to write to a transport."""
+        """Start writing to a transport."""
         self._transport = transport
         transport.registerProducer(self, True)
 
     def write(self, key: object, frame: bytes) -> None:
-        """Send a frame, now or in its turn.
+        """Send a frame, or queue it while the transport is paused.
 
-        Raises Overloaded if too many bytes wait already.
+        Raises Overloaded if the queue is full.
         """
         if not self._is_paused:
             self._send(frame)
             return
-        # A peer that reads slower than this process writes would have its
-        # frames pile up here until the process is out of memory.
-        if self._held_bytes + len(frame) > self._max_bytes:
+        # Guard against a slow peer whose frames would fill the memory.
+        if self._queued_bytes + len(frame) > self._max_bytes:
             raise errors.Overloaded(
                 'The stream to the peer is congested; try again.',
                 retry_after=1.0,
             )
         self._frames_by_key[key] = frame
-        self._held_bytes += len(frame)
+        self._queued_bytes += len(frame)
 
-    def write_at_once(self, frame: bytes) -> None:
-        """Send a small frame ahead of those held back."""
+    def write_immediately(self, frame: bytes) -> None:
+        """Send a small frame ahead of the queued ones."""
         self._send(frame)
 
-    def withdraw(self, key: object) -> bool:
-        """Take back a frame; tell whether none of its bytes was sent."""
+    def remove_queued(self, key: object) -> bool:
+        """Remove a queued frame; return whether it was still queued."""
         frame = self._frames_by_key.pop(key, None)
         if frame is None:
             return False
-        self._held_bytes -= len(frame)
+        self._queued_bytes -= len(frame)
         return True
 
     def pauseProducing(self) -> None:  # noqa: N802
@@ -78,12 +77,12 @@
         while self._frames_by_key and not self._is_paused:
             key = next(iter(self._frames_by_key))
             frame = self._frames_by_key.pop(key)
-            self._held_bytes -= len(frame)
+            self._queued_bytes -= len(frame)
             self._send(frame)
 
     def stopProducing(self) -> None:  # noqa: N802
         self._is_paused = True
 
     def _send(self, frame: bytes) -> None:
-        self._count(len(frame))
+        self._on_sent(len(frame))
         self._transport.write(frame)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/peers/peers.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/peers/peers.py
@@ -1,4 +1,4 @@
-"""Streams to and from all peers."""
+"""Streams to and from all peers of this instance."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 CONNECT_SECONDS = 1.0
 CHECK_SECONDS = 0.25
-# A check that comes this late shows that this process itself stood still.
+# A gap of this many seconds between checks means that the process was paused.
 PAUSE_SECONDS = 1.0
 IDLE_SECONDS = 60.0
-MAX_INBOUND = 1024
+MAX_STREAMS = 1024
 
 
 class Peers:
-    """Serve peers' requests and send them ours."""
+    """Answer requests of peers and send requests to them."""
 
     def __init__(
         self,
@@ -60,42 +60,42 @@
         self._links_by_id: dict[InstanceId, link.PeerLink] = {}
         self._port: Any = None
         self._checked_at = Instant(clock.seconds())
-        self._checking = task.LoopingCall(self.check)
-        self._checking.clock = clock
+        self._check_loop = task.LoopingCall(self.check)
+        self._check_loop.clock = clock
         self.ends_by_cause = self._local.ends_by_cause
         self.traffic = self._local.traffic
 
     @property
     def stream_count(self) -> int:
-        """Count the open streams of both directions."""
+        """Return the number of open streams, incoming and outgoing."""
         return len(self._local.streams)
 
     @property
     def in_hand(self) -> int:
-        """Count the peers' requests that are being answered."""
+        """Return the number of requests of peers in flight."""
         return sum(each.in_hand for each in self._local.streams)
 
     async def listen(self, host: str, port: int) -> Any:
-        """Accept streams of peers and watch all for silence."""
+        """Accept streams of peers and start checking all streams."""
         factory = protocol.Factory.forProtocol(self.accept)
         endpoint = endpoints.TCP4ServerEndpoint(reactor, port, interface=host)
-        self._checking.start(CHECK_SECONDS, now=False)
+        self._check_loop.start(CHECK_SECONDS, now=False)
         self._port = await endpoint.listen(factory)
         return self._port
 
     async def close(self) -> None:
-        """Take no more streams and end those that are open."""
-        if self._checking.running:
-            self._checking.stop()
+        """Stop listening and close all streams."""
+        if self._check_loop.running:
+            self._check_loop.stop()
         if self._port is not None:
             await defer.maybeDeferred(self._port.stopListening)
         for each in list(self._local.streams):
-            # What was written is sent first.
+            # loseConnection sends the buffered data first.
             each.transport.loseConnection()
 
     def accept(self) -> stream.PeerStream | None:
-        """Return the protocol of an incoming stream, or none to refuse."""
-        if len(self._local.streams) >= MAX_INBOUND:
+        """Return the protocol of an incoming stream, or None to reject it."""
+        if len(self._local.streams) >= MAX_STREAMS:
             self.ends_by_cause[ends.StreamEnd.TOO_MANY] += 1
             return None
         return stream.PeerStream(self._local)
@@ -106,7 +106,7 @@
         """Send a request to a peer and return its reply.
 
         Raises NotRun if no byte was sent, PeerUnavailable if the peer may
-        have taken the request, else what the peer raised.
+        have received the request, else the error that the peer returned.
         """
         peer_link = self._links_by_id.get(peer.id)
         if peer_link is None:
@@ -116,22 +116,22 @@
         return await peer_stream.request(body, seconds)
 
     def check(self) -> None:
-        """Look for silent and unused streams."""
+        """Close silent and idle streams."""
         now = Instant(self._local.clock.seconds())
         self.traffic.report()
-        # After a pause of this process the peers' bytes wait unread in its
-        # sockets; the streams would be taken for silent and all closed.
+        # After a pause of this process, data waits unread in the sockets;
+        # without a reset all streams would be closed as silent.
         was_paused = now - self._checked_at >= PAUSE_SECONDS
         self._checked_at = now
         for each in list(self._local.streams):
             if was_paused:
-                each.forgive()
+                each.reset_silence()
             each.check()
             if now - each.used_at >= IDLE_SECONDS and not each.is_busy:
                 each.close(ends.StreamEnd.IDLE)
 
     def forget(self, peer: InstanceId) -> None:
-        """Drop what is kept for a peer that is gone for good."""
+        """Delete the link to a peer that has left."""
         self._links_by_id.pop(peer, None)
 
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/peers/stream.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/peers/stream.py
@@ -1,4 +1,4 @@
-"""One stream between two instances, with numbered requests."""
+"""A stream between two instances, with numbered requests."""
 
 from __future__ import annotations
 
@@ -26,29 +26,29 @@
 log = logs.for_part('peers')
 
 HELLO_SECONDS = 2.0
-HELLO_MAX_BYTES = 4096
-MAX_IN_HAND = 1024
+MAX_HELLO_BYTES = 4096
+MAX_IN_FLIGHT = 1024
 
 
 class PeerStream(protocol.Protocol):
-    """Match replies to requests by number and answer the peer's."""
+    """Send requests, match replies by number and answer the peer."""
 
     def __init__(
         self, local: Local, addressee: InstanceId | None = None
     ) -> None:
         self._local = local
-        # Set on the side that dialled.
+        # None on the accepting side.
         self._addressee = addressee
         self._decoder = frames.Decoder()
         self._numbers = itertools.count(1)
-        self._waiting_by_number: dict[int, defer.Deferred[Any]] = {}
-        self._due_since: Instant | None = None
+        self._replies_by_number: dict[int, defer.Deferred[Any]] = {}
+        self._waiting_since: Instant | None = None
         self.in_hand = 0
         self._received_bytes = 0
         self._end = ends.StreamEnd.LOST
         self._outbox = outbox.Outbox(self._on_progress, self._count_sent)
         self._health = stream_health.StreamHealth(local.policy, self._now())
-        self._hello_until = Instant(self._now() + HELLO_SECONDS)
+        self._hello_deadline = Instant(self._now() + HELLO_SECONDS)
         self.is_open = False
         self._is_closing = False
         self.used_at = self._now()
@@ -57,19 +57,19 @@
 
     @property
     def is_busy(self) -> bool:
-        """Tell whether a request of either side is in flight."""
-        return bool(self._waiting_by_number or self.in_hand)
+        """Return whether a request of either side is in flight."""
+        return bool(self._replies_by_number or self.in_hand)
 
     def request(
         self, body: messages.Body, seconds: float
     ) -> defer.Deferred[Any]:
         """Send a request and return its reply.
 
-        Fails with NotRun if no byte of it was sent, with PeerUnavailable
-        if the stream was lost or no reply came in time.
+        Fails with NotRun if no byte was sent, with PeerUnavailable if the
+        stream was lost or the reply timed out.
         """
         if not self.is_open:
-            return defer.fail(_not_sent())
+            return defer.fail(_not_sent_error())
         number = next(self._numbers)
         reply: defer.Deferred[Any] = defer.Deferred()
         try:
@@ -77,33 +77,33 @@
         except errors.Overloaded:
             return defer.fail()
         self.used_at = self._now()
-        if not self._waiting_by_number:
-            self._due_since = self.used_at
-        self._waiting_by_number[number] = reply
+        if not self._replies_by_number:
+            self._waiting_since = self.used_at
+        self._replies_by_number[number] = reply
         reply.addTimeout(seconds, self._local.clock)
-        return reply.addBoth(self._settle, number)
+        return reply.addBoth(self._on_result, number)
 
     def check(self) -> None:
-        """Look for silence; called a few times a second."""
+        """Send a heartbeat or close the stream if it is silent."""
         now = self._now()
         if self.hello is None:
-            if now >= self._hello_until:
+            if now >= self._hello_deadline:
                 self.close(ends.StreamEnd.NO_HELLO)
             return
-        match self._health.check(now, self._due_since):
+        match self._health.check(now, self._waiting_since):
             case stream_health.HealthAction.HEARTBEAT:
-                beat = messages.Heartbeat()
-                self._outbox.write_at_once(_frame(0, False, beat))
+                heartbeat = messages.Heartbeat()
+                self._outbox.write_immediately(_frame(0, False, heartbeat))
             case stream_health.HealthAction.CLOSE:
                 self.close(ends.StreamEnd.SILENT)
 
-    def forgive(self) -> None:
-        """Count silence anew after a pause of this process."""
-        self._hello_until = Instant(self._now() + HELLO_SECONDS)
+    def reset_silence(self) -> None:
+        """Restart the silence timeouts after a pause of this process."""
+        self._hello_deadline = Instant(self._now() + HELLO_SECONDS)
         self._on_progress()
 
     def close(self, end: ends.StreamEnd) -> None:
-        """Drop the stream at once and count why."""
+        """Abort the stream and record the cause."""
         if not self._is_closing:
             self._end = end
             self._is_closing = True
@@ -117,7 +117,7 @@
             self.transport.setTcpNoDelay(True)
         if self._addressee is not None:
             hello = self._local.hello(self._addressee)
-            self._outbox.write_at_once(_frame(0, False, hello))
+            self._outbox.write_immediately(_frame(0, False, hello))
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         self._on_progress()
@@ -125,11 +125,11 @@
         self._local.traffic.received += len(data)
         try:
             for envelope in self._decoder.feed(data):
-                self._take(envelope)
-            self._limit_hello()
+                self._dispatch(envelope)
+            self._check_hello_size()
         except errors.FrameInvalid as error:
             log.warning(
-                'Invalid frame; stream closed. Compare the versions.',
+                'Stream closed by an invalid frame; compare the versions.',
                 peer=self.hello.instance if self.hello else None,
                 cause=error.message,
             )
@@ -145,45 +145,43 @@
         if self._addressee is not None and not self.opened.called:
             self.opened.errback(
                 errors.NotRun(
-                    f'The stream ended before it was open ({self._end.value})',
+                    f'The stream was not opened ({self._end.value}).',
                     retry_after=1.0,
                 )
             )
-        for number, reply in list(self._waiting_by_number.items()):
+        for number, reply in list(self._replies_by_number.items()):
             if not reply.called:
-                reply.errback(self._lost(number))
+                reply.errback(self._lost_error(number))
 
-    def _take(self, envelope: messages.Envelope) -> None:
+    def _dispatch(self, envelope: messages.Envelope) -> None:
         match envelope.body:
             case messages.Hello():
-                self._open(envelope.body)
+                self._on_hello(envelope.body)
             case _ if self.hello is None:
-                raise errors.FrameInvalid('The first message is no Hello.')
+                raise errors.FrameInvalid('The first message is not a Hello.')
             case messages.Heartbeat():
                 if not envelope.is_reply:
-                    beat = _frame(0, True, messages.Heartbeat())
-                    self._outbox.write_at_once(beat)
+                    heartbeat = _frame(0, True, messages.Heartbeat())
+                    self._outbox.write_immediately(heartbeat)
             case _ if envelope.is_reply:
-                # A reply that came after its request was given up is
-                # dropped.
-                reply = self._waiting_by_number.get(envelope.number)
+                # Drop the reply to a request that has timed out.
+                reply = self._replies_by_number.get(envelope.number)
                 if reply is not None and not reply.called:
                     reply.callback(envelope.body)
             case _:
                 self._serve(envelope)
 
-    def _open(self, hello: messages.Hello) -> None:
+    def _on_hello(self, hello: messages.Hello) -> None:
         if self.hello is not None:
-            raise errors.FrameInvalid('A second Hello came.')
-        # Another instance may have started under the address. Requests
-        # meant for the former one, a ticket's calls say, would be answered
-        # by one that knows nothing of them.
-        is_meant = hello.addressee == self._local.me.id
-        is_sought = self._addressee in (None, hello.instance)
+            raise errors.FrameInvalid('The stream received a second Hello.')
+        # Guard against requests to an instance that has reused the address of
+        # another one and lacks its state, such as tickets.
+        is_for_me = hello.addressee == self._local.me.id
+        is_expected_peer = self._addressee in (None, hello.instance)
         if self._addressee is None:
             answer = self._local.hello(hello.instance)
-            self._outbox.write_at_once(_frame(0, True, answer))
-        if not (is_meant and is_sought):
+            self._outbox.write_immediately(_frame(0, True, answer))
+        if not (is_for_me and is_expected_peer):
             self._end = ends.StreamEnd.WRONG_ADDRESSEE
             self.transport.loseConnection()
             return
@@ -192,18 +190,17 @@
         if not self.opened.called:
             self.opened.callback(None)
 
-    def _limit_hello(self) -> None:
-        # Whoever has not said who it is may not make this process buffer
-        # a whole frame.
-        if self.hello is None and self._received_bytes > HELLO_MAX_BYTES:
+    def _check_hello_size(self) -> None:
+        # Limit the buffer of a peer that has not identified itself.
+        if self.hello is None and self._received_bytes > MAX_HELLO_BYTES:
             raise errors.FrameInvalid('The first message is too long.')
 
     def _serve(self, envelope: messages.Envelope) -> None:
         self.used_at = self._now()
-        if self.in_hand >= MAX_IN_HAND:
+        if self.in_hand >= MAX_IN_FLIGHT:
             body = messages.Refusal(
                 code=errors.ResultCode.OVERLOADED,
-                text='Too many requests wait on the stream; try again.',
+                text='Too many requests on this stream; try again.',
                 retry_after=1.0,
             )
             self._reply(envelope.number, body)
@@ -234,25 +231,24 @@
         try:
             self._outbox.write(('reply', number), _frame(number, True, body))
         except errors.Overloaded:
-            # The reply can't be kept; a lost stream tells the peer that
-            # its request may have been taken, a missing reply would not.
+            # Closing the stream tells the peer at once that the outcome of
+            # its request is unknown; dropping the reply would not.
             self.close(ends.StreamEnd.CONGESTED)
 
-    def _settle(self, result: Any, number: int) -> Any:
-        self._waiting_by_number.pop(number, None)
-        if not self._waiting_by_number:
-            self._due_since = None
+    def _on_result(self, result: Any, number: int) -> Any:
+        self._replies_by_number.pop(number, None)
+        if not self._replies_by_number:
+            self._waiting_since = None
         if isinstance(result, messages.Refusal):
             raise errors.by_code(result.code)(result.text, result.retry_after)
         if hasattr(result, 'check') and result.check(defer.TimeoutError):
-            raise self._lost(number)
+            raise self._lost_error(number)
         return result
 
-    def _lost(self, number: int) -> errors.YuccarillError:
-        # Frames still held back never left this process; for all others
-        # nobody can tell how far they got.
-        if self._outbox.withdraw(number):
-            return _not_sent()
+    def _lost_error(self, number: int) -> errors.YuccarillError:
+        # A queued frame was not sent; any other frame may have arrived.
+        if self._outbox.remove_queued(number):
+            return _not_sent_error()
         return errors.PeerUnavailable(
             'The peer did not reply; it may have taken the request.'
         )
@@ -267,7 +263,7 @@
         return Instant(self._local.clock.seconds())
 
 
-def _not_sent() -> errors.NotRun:
+def _not_sent_error() -> errors.NotRun:
     return errors.NotRun(
         'The request was not sent; try again.', retry_after=1.0
     )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/peers/traffic.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/peers/traffic.py
@@ -1,4 +1,4 @@
-"""Count the bytes of all streams."""
+"""Byte counters of all peer streams."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass
 class Traffic:
-    """Sum up bytes since the start; streams add, operators read."""
+    """Bytes sent and received since the start of the process."""
 
     sent: int = 0
     received: int = 0
@@ -17,7 +17,7 @@
     _received_reported: int = 0
 
     def report(self) -> None:
-        """Count what was added since the last report."""
+        """Add the bytes since the last report to the metrics."""
         if self.sent == self._sent_reported:
             return
         metrics.count(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/rollout_parts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/rollout_parts.py
@@ -1,4 +1,4 @@
-"""Compose the parts of one instance that work on trainers' steps."""
+"""Compose the components that process trainers' steps."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class RolloutParts:
-    """Hold what makes, keeps and delivers samples."""
+    """The components that generate, store and deliver samples."""
 
     def __init__(
         self,
@@ -52,11 +52,11 @@
         self._peers = peers
         ledger = step_ledger.StepLedger(key_value)
         self._disk: disk_store.DiskStore | None = None
-        self._mine: replicas.Disk | None = None
+        self._local_disk: replicas.Disk | None = None
         if data_folder is not None:
-            self._open(pathlib.Path(data_folder), ledger)
+            self._open_disk(pathlib.Path(data_folder), ledger)
         self._registry = disk_store.DiskRegistry(key_value, membership)
-        store = sample_store.SampleStore(self._registry, self._ask_disk)
+        store = sample_store.SampleStore(self._registry, self._request_disk)
         self._maker = sampling.SampleMaker(
             blackboard, incarnation, engines, scorer, store
         )
@@ -77,41 +77,41 @@
 
     @property
     def active(self) -> int:
-        """Return how many samples are being made right now."""
+        """Return the number of samples in generation."""
         return self._maker.active
 
-    def following(self) -> list[Awaitable[None]]:
-        """Return what runs until the process ends."""
-        works: list[Awaitable[None]] = [
-            self._registry.follow(self._mine),
+    def create_loops(self) -> list[Awaitable[None]]:
+        """Return the background loops, which run until the process ends."""
+        loops: list[Awaitable[None]] = [
+            self._registry.follow(self._local_disk),
             self._maker.follow(),
         ]
         if self._disk is not None:
-            works.append(self._disk.follow())
-        return works
+            loops.append(self._disk.follow())
+        return loops
 
     async def handle_disk(self, body: messages.DiskRequest) -> messages.Body:
-        """Answer a peer's request to this instance's disk.
+        """Answer a request to this instance's sample store.
 
-        Raises NotRun if it has none.
+        Raises NotRun if it has no data folder.
         """
         if self._disk is None:
             raise errors.NotRun('This instance has no data folder.')
         return await self._disk.handle(body)
 
-    def _open(
+    def _open_disk(
         self, folder: pathlib.Path, ledger: step_ledger.StepLedger
     ) -> None:
         opened = disk_log.DiskLog(folder / 'samples')
         self._disk = disk_store.DiskStore(opened, ledger)
         me = self._blackboard.me
-        self._mine = replicas.Disk(
+        self._local_disk = replicas.Disk(
             instance=me.id,
             data_centre=me.data_centre,
             store_id=opened.store_id,
         )
 
-    async def _ask_disk(
+    async def _request_disk(
         self, disk: InstanceId, body: messages.DiskRequest
     ) -> Any:
         if disk == self._blackboard.me.id:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/setting_reader.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/setting_reader.py
@@ -1,4 +1,4 @@
-"""Read settings from flags and environment variables, and check them."""
+"""Convert and check settings from flags and environment variables."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
 PREFIX = 'YUCCARILL_'
 CHECK_SETTINGS = 'check_settings'
-# Variables of the command line, which may share the environment.
-_COMMAND_LINE = (
+# Variables of the command-line client, which can share the environment.
+_CLIENT_VARIABLES = (
     'ADDRESS',
     'ADDRESSES_',
     'APPLY_',
@@ -37,13 +37,13 @@
 
 
 class Setting(msgspec.Struct, frozen=True, kw_only=True):
-    """Describe one setting to people."""
+    """The name, type and help of a setting."""
 
     name: str
     is_required: bool
     default: str
-    # What to write.
-    wanted: str
+    # The valid values, for help and error messages.
+    valid_values: str
     help: str
     kind: Any
 
@@ -61,13 +61,13 @@
         default = 'required' if self.is_required else self.default or 'none'
         return (
             f'| `{self.flag}` | `{self.variable}` | {default} '
-            f'| {self.wanted} | {self.help} |'
+            f'| {self.valid_values} | {self.help} |'
         )
 
 
 @functools.cache
 def all_settings() -> tuple[Setting, ...]:
-    """Return every setting, in the order of the page."""
+    """Return all settings, in the order of docs/settings.md."""
     hints = get_type_hints(settings_module.Settings, include_extras=True)
     return tuple(
         _describe(field, hints[field.name])
@@ -78,24 +78,24 @@
 def read(
     text_by_name: Mapping[str, str | None],
 ) -> settings_module.Settings:
-    """Convert and check settings as they were written.
+    """Convert and check the text of each setting.
 
-    Raises SettingsInvalid with every fault that was found.
+    Raises SettingsInvalid with all errors.
     """
     faults: list[str] = []
     values: dict[str, Any] = {}
     for setting in all_settings():
         text = text_by_name.get(setting.name)
-        place = f'{setting.flag} ({setting.variable})'
+        label = f'{setting.flag} ({setting.variable})'
         if text is not None:
             try:
                 values[setting.name] = _convert(setting, text)
             except msgspec.ValidationError:
                 faults.append(
-                    f'{place}: {text!r} is wrong; write {setting.wanted}'
+                    f'{label}: {text!r} is wrong; write {setting.valid_values}'
                 )
         elif setting.is_required:
-            faults.append(f'{place}: is missing; write {setting.wanted}')
+            faults.append(f'{label}: is missing; write {setting.valid_values}')
     ports = [values.get(name) for name in ('http_port', 'peer_port')]
     if ports[0] is not None and ports[0] == ports[1]:
         faults.append(
@@ -107,30 +107,30 @@
 
 
 def unknown_variables(names: Iterable[str]) -> Iterator[str]:
-    """Return a warning for each variable that looks like a setting."""
+    """Yield a warning for each unknown variable with the prefix."""
     known = [setting.variable for setting in all_settings()]
     known.append(PREFIX + CHECK_SETTINGS.upper())
-    foreign = tuple(PREFIX + name for name in _COMMAND_LINE)
+    client_variables = tuple(PREFIX + name for name in _CLIENT_VARIABLES)
     for name in sorted(names):
         if not name.startswith(PREFIX) or name in known:
             continue
-        if name.startswith(foreign):
+        if name.startswith(client_variables):
             continue
-        near = difflib.get_close_matches(name, known, n=1)
-        advice = f'did you mean {near[0]}?' if near else 'remove it'
-        yield f'{name}: is no setting and has no effect; {advice}'
+        matches = difflib.get_close_matches(name, known, n=1)
+        advice = f'did you mean {matches[0]}?' if matches else 'remove it'
+        yield f'{name}: is not a setting and has no effect; {advice}'
 
 
 def _convert(setting: Setting, text: str) -> Any:
     value = msgspec.convert(text, setting.kind, strict=False)
-    for check in _marks(setting.kind, setting_types.Check):
+    for check in _metadata(setting.kind, setting_types.Check):
         if not check.is_valid(value):
             raise msgspec.ValidationError
     return value
 
 
 def _describe(field: msgspec.structs.FieldInfo, hint: Any) -> Setting:
-    (help_line,) = _marks(hint, setting_types.Help)
+    (help_line,) = _metadata(hint, setting_types.Help)
     kind = get_args(hint)[0]
     if type(None) in get_args(kind):
         kind = get_args(kind)[0]
@@ -139,24 +139,24 @@
     default = field.default
     if isinstance(default, enum.Enum):
         default = default.value
-    shown = '' if field.required or default is None else f'`{default}`'
+    default_text = '' if field.required or default is None else f'`{default}`'
     return Setting(
         name=field.name,
         is_required=field.required,
-        default=shown,
-        wanted=_wanted(kind),
+        default=default_text,
+        valid_values=_valid_values(kind),
         help=help_line.text,
         kind=kind,
     )
 
 
-def _wanted(kind: Any) -> str:
-    for meta in _marks(kind, msgspec.Meta):
+def _valid_values(kind: Any) -> str:
+    for meta in _metadata(kind, msgspec.Meta):
         return str(meta.description)
     members = get_args(kind)[0]
     return 'one of ' + ', '.join(member.value for member in members)
 
 
-def _marks(hint: Any, kind: type[Any]) -> list[Any]:
-    marks = getattr(hint, '__metadata__', ())
-    return [mark for mark in marks if isinstance(mark, kind)]
+def _metadata(hint: Any, kind: type[Any]) -> list[Any]:
+    metadata = getattr(hint, '__metadata__', ())
+    return [entry for entry in metadata if isinstance(entry, kind)]
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/setting_types.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/setting_types.py
@@ -1,4 +1,4 @@
-"""What a setting says about itself besides its type."""
+"""Metadata of settings, for use in type annotations."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Help:
-    """Describe a setting in one line."""
+    """The one-line description of a setting."""
 
     text: str
 
 
 @dataclasses.dataclass(frozen=True)
 class Check:
-    """Refuse a value for more than its type."""
+    """A check of a value beyond its type."""
 
     is_valid: Callable[[str], bool]
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/settings.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an instance, as docs/settings.md lists them."""
+"""Settings of an instance, as listed in docs/settings.md."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class LogFormat(enum.Enum):
-    """Say how log lines are written."""
+    """The format of log lines."""
 
     TEXT = 'text'
     JSON = 'json'
 
 
 class LogLevel(enum.Enum):
-    """Say from which level on log lines are written."""
+    """The lowest level of log lines that are written."""
 
     DEBUG = 'debug'
     INFO = 'info'
@@ -74,7 +74,7 @@
 
 
 class Settings(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what flags and environment variables say."""
+    """The settings of an instance."""
 
     instance: Annotated[_Name, Help('Name in the instance list.')]
     data_centre: Annotated[_Name, Help('Data centre it stands in.')]
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/storage/__init__.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Finished samples on the disk of this instance."""
+"""Storage of finished samples on this instance's disk."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/storage/disk_log.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/storage/disk_log.py
@@ -1,4 +1,4 @@
-"""An append-only log of finished samples in bounded space."""
+"""An append-only log of finished samples with a size limit."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     from yuccarill.core.ids import StepNumber
     from yuccarill.core.ids import TrainerId
     from yuccarill.core.ids import WeightVersion
-    from yuccarill.daemon.storage.segment import Place
+    from yuccarill.daemon.storage.segment import Extent
     from yuccarill.daemon.storage.segment import SampleRecord
     from yuccarill.daemon.storage.segment import Segment
 
@@ -30,20 +30,20 @@
 
 SEGMENT_BYTES = 64 << 20
 MAX_BYTES = 4 << 30
-# Below this part of live bytes a full segment's rest is copied onwards.
-SPARSE_PART = 0.5
+# A full segment with a smaller fraction of live bytes is compacted.
+MIN_LIVE_FRACTION = 0.5
 
 
-class Slot(msgspec.Struct, frozen=True):
-    """Say which segment holds a sample, and where."""
+class IndexEntry(msgspec.Struct, frozen=True):
+    """The segment and position of a sample."""
 
     segment: int
-    place: segment_module.Place
+    extent: segment_module.Extent
     oldest_version: WeightVersion
 
 
 class DiskLog:
-    """Keep samples until their step is dropped."""
+    """Store samples until their step is dropped."""
 
     def __init__(
         self,
@@ -58,15 +58,15 @@
         self._live_bytes_by_number: collections.Counter[int] = (
             collections.Counter()
         )
-        self._slots_by_step: dict[StepKey, dict[SampleId, Slot]] = {}
+        self._entries_by_step: dict[StepKey, dict[SampleId, IndexEntry]] = {}
         self._unsynced: set[int] = set()
         folder.mkdir(parents=True, exist_ok=True)
         self.store_id = _store_id(folder)
         for path in sorted(folder.glob('*.log')):
             self._recover(int(path.stem), path)
-        # What a crash tore stays at the end of its segment; a new one is
-        # begun instead of cutting a file that may be wanted as evidence.
-        self._active = self._begin()
+        # A torn write stays at the end of its segment, for diagnosis; new
+        # records go to a new segment.
+        self._active_number = self._start_segment()
 
     @property
     def size(self) -> int:
@@ -74,38 +74,38 @@
         return sum(s.size for s in self._segments_by_number.values())
 
     def append(self, records: list[SampleRecord]) -> None:
-        """Write records; they are safe after the next sync.
+        """Write records; they are durable after the next `sync`.
 
         Raises DiskFull.
         """
-        slots = self._slots_by_step
+        entries = self._entries_by_step
         new = [
             record
             for record in records
-            if record.id not in slots.get((record.trainer, record.step), {})
+            if record.id not in entries.get((record.trainer, record.step), {})
         ]
         if not new:
             return
         if self.size > self._max_bytes:
             raise errors.DiskFull(
-                f'The samples of open steps fill {self._max_bytes} bytes in '
+                f'The samples of open steps exceed {self._max_bytes} bytes in '
                 f'{self._folder}; acknowledge steps or add a disk.',
                 retry_after=5.0,
             )
         try:
-            places = self._segment().append(new)
+            extents = self._writable_segment().append(new)
         except OSError as error:
-            self._active = self._begin()
+            self._active_number = self._start_segment()
             raise errors.DiskFull(
-                f'Writing in {self._folder} failed ({error}); free space.',
+                f'Writing to {self._folder} failed ({error}); free space.',
                 retry_after=5.0,
             ) from error
-        self._unsynced.add(self._active)
-        for record, place in zip(new, places, strict=True):
-            self._enter(self._active, place, record)
+        self._unsynced.add(self._active_number)
+        for record, extent in zip(new, extents, strict=True):
+            self._index_record(self._active_number, extent, record)
 
     def sync(self) -> None:
-        """Make all that was appended survive a loss of power."""
+        """Make all appended records durable."""
         for number in self._unsynced:
             if number in self._segments_by_number:
                 self._segments_by_number[number].sync()
@@ -114,26 +114,28 @@
     def versions_by_id(
         self, trainer: TrainerId, step: StepNumber
     ) -> dict[SampleId, WeightVersion]:
-        """Return which samples of a step are kept, with their versions."""
-        slots = self._slots_by_step.get((trainer, step), {})
-        return {name: slot.oldest_version for name, slot in slots.items()}
+        """Return the oldest weight version of each stored sample of a step."""
+        entries = self._entries_by_step.get((trainer, step), {})
+        return {name: entry.oldest_version for name, entry in entries.items()}
 
     def read(
         self, trainer: TrainerId, step: StepNumber, ids: Iterable[SampleId]
     ) -> list[SampleRecord]:
-        """Return those of the samples that are kept and not damaged."""
-        slots = self._slots_by_step.get((trainer, step), {})
-        found = (self._read(slots[name]) for name in ids if name in slots)
+        """Return the given samples, except for missing and damaged ones."""
+        entries = self._entries_by_step.get((trainer, step), {})
+        found = (
+            self._read_record(entries[name]) for name in ids if name in entries
+        )
         return [record for record in found if record is not None]
 
     def steps(self) -> list[StepKey]:
-        """Return the steps that samples are kept of."""
-        return list(self._slots_by_step)
+        """Return the steps that have stored samples."""
+        return list(self._entries_by_step)
 
     def drop(self, trainer: TrainerId, step: StepNumber) -> None:
-        """Forget a step's samples and give back their space."""
-        for slot in self._slots_by_step.pop((trainer, step), {}).values():
-            self._live_bytes_by_number[slot.segment] -= slot.place.length
+        """Delete a step's samples and reclaim their space."""
+        for entry in self._entries_by_step.pop((trainer, step), {}).values():
+            self._live_bytes_by_number[entry.segment] -= entry.extent.length
         for number in list(self._segments_by_number):
             self._reclaim(number)
 
@@ -147,70 +149,74 @@
         segment = segment_module.Segment(path)
         self._segments_by_number[number] = segment
         end = 0
-        for place, record in segment.scan():
-            self._enter(number, place, record)
-            end = place.offset + place.length
+        for extent, record in segment.scan():
+            self._index_record(number, extent, record)
+            end = extent.offset + extent.length
         if end < segment.size:
             log.warning(
-                'Damaged end left out; the copies elsewhere serve.',
+                'Damaged segment end skipped; replicas hold its samples.',
                 file=path.name,
                 bytes=segment.size - end,
             )
 
-    def _enter(self, number: int, place: Place, record: SampleRecord) -> None:
+    def _index_record(
+        self, number: int, extent: Extent, record: SampleRecord
+    ) -> None:
         step = (record.trainer, record.step)
-        slots = self._slots_by_step.setdefault(step, {})
-        earlier = slots.get(record.id)
+        entries = self._entries_by_step.setdefault(step, {})
+        earlier = entries.get(record.id)
         if earlier is not None:
-            self._live_bytes_by_number[earlier.segment] -= earlier.place.length
-        slots[record.id] = Slot(number, place, record.oldest_version)
-        self._live_bytes_by_number[number] += place.length
+            self._live_bytes_by_number[earlier.segment] -= (
+                earlier.extent.length
+            )
+        entries[record.id] = IndexEntry(number, extent, record.oldest_version)
+        self._live_bytes_by_number[number] += extent.length
 
-    def _read(self, slot: Slot) -> SampleRecord | None:
-        return self._segments_by_number[slot.segment].read(slot.place)
+    def _read_record(self, entry: IndexEntry) -> SampleRecord | None:
+        return self._segments_by_number[entry.segment].read(entry.extent)
 
-    def _segment(self) -> Segment:
-        segment = self._segments_by_number[self._active]
+    def _writable_segment(self) -> Segment:
+        segment = self._segments_by_number[self._active_number]
         if segment.size >= self._segment_bytes:
-            self._active = self._begin()
-        return self._segments_by_number[self._active]
+            self._active_number = self._start_segment()
+        return self._segments_by_number[self._active_number]
 
-    def _begin(self) -> int:
+    def _start_segment(self) -> int:
         number = max(self._segments_by_number, default=0) + 1
         path = self._folder / f'{number:012}.log'
         self._segments_by_number[number] = segment_module.Segment(path)
         return number
 
     def _reclaim(self, number: int) -> None:
-        if number == self._active:
+        if number == self._active_number:
             return
         segment = self._segments_by_number[number]
-        live = self._live_bytes_by_number[number]
-        if live > SPARSE_PART * segment.size:
+        live_bytes = self._live_bytes_by_number[number]
+        if live_bytes > MIN_LIVE_FRACTION * segment.size:
             return
-        # The rest is synced in its new place before its old one goes, or a
-        # loss of power in between would take the only copy here.
-        if live:
+        # Sync the copies before deleting the segment: power loss in between
+        # would lose the only local copy.
+        if live_bytes:
             try:
-                self._copy_onwards(number)
+                self._copy_live_records(number)
                 self.sync()
             except OSError as error:
-                log.warning('Space not given back.', cause=str(error))
+                log.warning('Disk space was not reclaimed.', cause=str(error))
                 return
         del self._segments_by_number[number]
         del self._live_bytes_by_number[number]
         segment.delete()
 
-    def _copy_onwards(self, number: int) -> None:
-        for step, slots in self._slots_by_step.items():
-            names = [n for n, s in slots.items() if s.segment == number]
+    def _copy_live_records(self, number: int) -> None:
+        for step, entries in self._entries_by_step.items():
+            names = [n for n, e in entries.items() if e.segment == number]
             records = self.read(*step, names)
-            places = self._segment().append(records)
-            self._unsynced.add(self._active)
-            for record, place in zip(records, places, strict=True):
-                self._enter(self._active, place, record)
+            extents = self._writable_segment().append(records)
+            self._unsynced.add(self._active_number)
+            for record, extent in zip(records, extents, strict=True):
+                self._index_record(self._active_number, extent, record)
             for name in set(names) - {record.id for record in records}:
-                del slots[name]
+                del entries[name]
 
 
 def _store_id(folder: pathlib.Path) -> str:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/storage/segment.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/storage/segment.py
@@ -1,4 +1,4 @@
-"""One file of the disk log: checksummed records, only ever appended."""
+"""One append-only file of the disk log, with checksummed records."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class SampleRecord(msgspec.Struct, frozen=True, array_like=True):
-    """Hold one finished sample as its trainer will receive it."""
+    """A finished sample, encoded for its trainer."""
 
     trainer: TrainerId
     step: StepNumber
@@ -32,66 +32,66 @@
     encoded: bytes
 
 
-class Place(msgspec.Struct, frozen=True):
-    """Say where in its file a record stands."""
+class Extent(msgspec.Struct, frozen=True):
+    """The position of a record in its file, in bytes."""
 
     offset: int
     length: int
 
 
 class Segment:
-    """Append to one file and read from it."""
+    """Append records to one file and read them."""
 
     def __init__(self, path: pathlib.Path) -> None:
         self.path = path
         self.size = path.stat().st_size if path.exists() else 0
         self._file = path.open('a+b', buffering=0)
 
-    def append(self, records: list[SampleRecord]) -> list[Place]:
-        """Write records with one call of the system.
+    def append(self, records: list[SampleRecord]) -> list[Extent]:
+        """Write records with one system call.
 
-        Raises OSError; the file may end in a torn record then and must not
-        be appended to any more.
+        Raises OSError; the file can then end in a torn record, so no more
+        records may be appended.
         """
-        frames = [_frame(record) for record in records]
-        places = []
+        frames = [_encode_frame(record) for record in records]
+        extents = []
         offset = self.size
         for frame in frames:
-            places.append(Place(offset, len(frame)))
+            extents.append(Extent(offset, len(frame)))
             offset += len(frame)
         data = b''.join(frames)
         written = self._file.write(data)
         if written != len(data):
-            raise OSError(f'{written} of {len(data)} bytes were written')
+            raise OSError(f'only {written} of {len(data)} bytes were written')
         self.size = offset
-        return places
+        return extents
 
     def sync(self) -> None:
-        """Make what was appended survive a loss of power."""
+        """Make all appended records durable."""
         os.fdatasync(self._file.fileno())
 
-    def read(self, place: Place) -> SampleRecord | None:
-        """Return the record at a place unless its bytes are damaged."""
-        data = os.pread(self._file.fileno(), place.length, place.offset)
+    def read(self, extent: Extent) -> SampleRecord | None:
+        """Return a record, or None if it is damaged."""
+        data = os.pread(self._file.fileno(), extent.length, extent.offset)
         try:
-            return _record(msgpack.unpackb(data))
+            return _decode_frame(msgpack.unpackb(data))
         except (ValueError, TypeError, msgpack.UnpackException):
             return None
 
-    def scan(self) -> Iterator[tuple[Place, SampleRecord]]:
-        """Return the whole records from the start up to a damaged one."""
-        # A crash in the middle of a write leaves a torn record at the end.
-        # Nothing behind it was confirmed to anyone, as writes go in order.
+    def scan(self) -> Iterator[tuple[Extent, SampleRecord]]:
+        """Yield the records up to the first damaged one."""
+        # A crash during a write leaves a torn record at the end. Writes are in
+        # order, so no later record was acknowledged.
         offset = 0
         with self.path.open('rb') as file:
             unpacker: Any = msgpack.Unpacker(file, read_size=READ_BYTES)
             while True:
                 try:
-                    record = _record(unpacker.unpack())
+                    record = _decode_frame(unpacker.unpack())
                 except (ValueError, TypeError, msgpack.UnpackException):
                     return
                 end = unpacker.tell()
-                yield Place(offset, end - offset), record
+                yield Extent(offset, end - offset), record
                 offset = end
 
     def close(self) -> None:
@@ -104,14 +104,14 @@
         self.path.unlink()
 
 
-def _frame(record: SampleRecord) -> bytes:
+def _encode_frame(record: SampleRecord) -> bytes:
     payload = msgspec.msgpack.encode(record)
     frame: bytes = msgpack.packb((xxhash.xxh3_64_intdigest(payload), payload))
     return frame
 
 
-def _record(frame: Any) -> SampleRecord:
+def _decode_frame(frame: Any) -> SampleRecord:
     checksum, payload = frame
     if xxhash.xxh3_64_intdigest(payload) != checksum:
-        raise ValueError('the checksum differs')
+        raise ValueError('the checksum does not match')
     return msgspec.msgpack.decode(payload, type=SampleRecord)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/vitals.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/vitals.py
@@ -1,4 +1,4 @@
-"""Report how the process itself is doing."""
+"""Report metrics of the process itself."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     from yuccarill.core.blackboard import Blackboard
 
 PERIOD_SECONDS = 1.0
-_STATM = pathlib.Path('/proc/self/statm')
+_STATM_PATH = pathlib.Path('/proc/self/statm')
 _PAGE_BYTES = os.sysconf('SC_PAGE_SIZE')
 
 
 class Vitals:
-    """Send the process's own metrics once a period."""
+    """Report loop delay, memory and configuration revision periodically."""
 
     def __init__(self, blackboard: Blackboard, clock: IReactorTime) -> None:
         self._blackboard = blackboard
@@ -28,16 +28,16 @@
         self._due_at = 0.0
 
     def start(self) -> None:
-        """Begin to report."""
+        """Schedule the next report."""
         self._due_at = self._clock.seconds() + PERIOD_SECONDS
         self._clock.callLater(PERIOD_SECONDS, self._report)
 
     def _report(self) -> None:
-        # The loop has one thread: how late this call comes is how long
-        # every caller waited for whatever held it.
+        # The delay of this timer is the time for which the event loop was
+        # blocked.
         delay = max(0.0, self._clock.seconds() - self._due_at)
         metrics.timing(Metric.PROCESS_LOOP_DELAY, delay)
-        pages = int(_STATM.read_text().split()[1])
+        pages = int(_STATM_PATH.read_text().split()[1])
         metrics.gauge(Metric.PROCESS_MEMORY, pages * _PAGE_BYTES)
         head = self._blackboard.head
         metrics.gauge(Metric.CONFIG_REVISION, head.revision if head else 0)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/work_parts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/work_parts.py
@@ -1,4 +1,4 @@
-"""Compose the parts of one instance that work for others."""
+"""Compose the components that serve callers, trainers and targets."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
     from yuccarill.daemon.control_parts import ControlParts
     from yuccarill.daemon.settings import Settings
 
-# Seconds for which a ticket outlives the addresses it was given out with,
-# so that a request sent at their end still arrives in time.
-TICKET_SECONDS = 30.0
+# Seconds for which a ticket outlives the addresses issued with it, so that a
+# request sent as they expire still arrives in time.
+GRACE_SECONDS = 30.0
 
 
 class WorkParts:
-    """Hold what serves callers and trainers and orders targets."""
+    """The components that serve callers and trainers and control targets."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
             engine.EngineAdapter(client),
             control.peers,
             ledger.Limits(
-                ticket_lifetime=settings.address_validity + TICKET_SECONDS
+                ticket_lifetime=settings.address_validity + GRACE_SECONDS
             ),
         )
         self.rollouts = rollout_parts.RolloutParts(
@@ -84,16 +84,16 @@
             reactor,
         )
 
-    def following(self) -> list[Awaitable[None]]:
-        """Return what runs until the process ends."""
+    def create_loops(self) -> list[Awaitable[None]]:
+        """Return the background loops, which run until the process ends."""
         return [
             self._targets.follow(),
             self._weights.follow(),
-            *self.rollouts.following(),
+            *self.rollouts.create_loops(),
         ]
 
     async def handle(self, body: messages.Body) -> messages.Body | None:
-        """Answer a peer, or return none for what is not work."""
+        """Answer a peer's request, or return None for other messages."""
         match body:
             case messages.CallRequest() | messages.OutcomeQuery():
                 return await self.calls.handle(body)
--- a/packages/yuccarill-daemon/tests/adapters/test_engine.py
+++ b/packages/yuccarill-daemon/tests/adapters/test_engine.py
@@ -1,4 +1,4 @@
-"""Test how an engine's stream is read and given up."""
+"""Test how an engine's stream is read and abandoned."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     def __init__(self, response: _Response) -> None:
         self._response = response
 
-    async def request(self, *words: Any, **more: Any) -> _Response:
+    async def request(self, *args: Any, **kwargs: Any) -> _Response:
         return self._response
 
 
@@ -70,9 +70,8 @@
 
     @params(b'', CHUNK)
     def test_silent_connection(self, received: bytes) -> None:
-        # The engine, or something on the way, goes silent; the connection
-        # stays open. The attempt must end after some seconds, and what
-        # comes later must not be taken, as another engine goes on by then.
+        # Guard against a connection that stays open without data. Chunks that
+        # arrive after the timeout must be ignored: another engine has resumed.
         response = _Response()
         self._generate(response)
         if received:
@@ -86,8 +85,8 @@
         self.assertEqual(before, len(self.chunks))
 
     def test_cancelled_stream_is_closed(self) -> None:
-        # A sample that is too old is cut off; the engine goes on making it
-        # unless its connection is closed.
+        # The engine continues a cancelled generation until its connection is
+        # closed.
         response = _Response()
         work = self._generate(response)
         response.reader.dataReceived(CHUNK)
--- a/packages/yuccarill-daemon/tests/adapters/test_http.py
+++ b/packages/yuccarill-daemon/tests/adapters/test_http.py
@@ -1,4 +1,4 @@
-"""Test what is said of requests that failed."""
+"""Test the causes that are reported for failed requests."""
 
 from __future__ import annotations
 
--- a/packages/yuccarill-daemon/tests/adapters/test_http_exchange.py
+++ b/packages/yuccarill-daemon/tests/adapters/test_http_exchange.py
@@ -1,4 +1,4 @@
-"""Test how answers are collected."""
+"""Test how response bodies are collected."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     def test_a_body_is_joined_once(
         self, parts: tuple[bytes, ...], expected: bytes
     ) -> None:
-        """Guard against copies of a long answer at each look at it."""
+        """Guard against copying a long body at each access."""
         sink = http_exchange.StreamSink()
         for part in parts:
             sink.receive(part)
--- a/packages/yuccarill-daemon/tests/adapters/test_target.py
+++ b/packages/yuccarill-daemon/tests/adapters/test_target.py
@@ -1,4 +1,4 @@
-"""Test what is sent to targets and what is said when it fails."""
+"""Test requests to targets and the errors of failed ones."""
 
 from __future__ import annotations
 
@@ -15,16 +15,15 @@
 
 class TargetAdapterTest(unittest.TestCase):
     @params((False, errors.NotRun), (True, errors.OutcomeUnknown))
-    def test_says_not_run_only_before_the_connection_is_open(
+    def test_reports_not_run_only_before_the_connection_is_open(
         self, is_open: bool, expected: type[Exception]
     ) -> None:
-        # The connection to the target ends with nothing received. Once it
-        # was open, the request may have been read and acted on.
+        # Once the connection was open, the target can have run the request.
         world = call_world.World()
         adapter = target.TargetAdapter(world.now, world.reactor)
         request = _request('charges')
-        called = adapter.call('127.0.0.1:81', request, lambda _: None)
-        result = call_world.Result(called)
+        calling = adapter.call('127.0.0.1:81', request, lambda _: None)
+        result = call_world.Result(calling)
         connection = world.connection()
         assert connection is not None
         if is_open:
--- a/packages/yuccarill-daemon/tests/api/test_site.py
+++ b/packages/yuccarill-daemon/tests/api/test_site.py
@@ -1,4 +1,4 @@
-"""Test what the HTTP server makes of bad input."""
+"""Test how the HTTP server handles bad input and draining."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 def _request(
     line: str, *headers: str, body: bytes = b'', length: int | None = None
 ) -> bytes:
-    shown = len(body) if length is None else length
-    lines = [f'{line} HTTP/1.1', 'Host: x', f'Content-Length: {shown}']
+    size = len(body) if length is None else length
+    lines = [f'{line} HTTP/1.1', 'Host: x', f'Content-Length: {size}']
     return '\r\n'.join([*lines, *headers, '', '']).encode('latin-1') + body
 
 
@@ -43,7 +43,7 @@
 
 
 class MemoryTransport:
-    """Keep what is written; the library's own one brings in trial."""
+    """Buffer written bytes; Twisted's own test transport imports trial."""
 
     def __init__(self) -> None:
         self.written = b''
@@ -64,10 +64,10 @@
     getPeer = getHost  # noqa: N815
 
     def registerProducer(self, *_: object) -> None:  # noqa: N802
-        """Take a producer, which is never paused."""
+        """Do nothing; the producer is never paused."""
 
     def unregisterProducer(self) -> None:  # noqa: N802
-        """Let go of a producer."""
+        """Do nothing."""
 
 
 class SiteTest(unittest.TestCase):
@@ -155,8 +155,7 @@
         self.assertEqual((status, code), (got, body['code']))
         self.calls.run.assert_not_called()
 
-    # A caller sends a body in chunks and never ends it. The answer comes
-    # once the limit is passed, and what still arrives is dropped.
+    # Guard against a chunked body without end that fills the memory.
     def test_refuses_an_endless_body_while_it_arrives(self) -> None:
         head = f'POST {CALL} HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked'
         self.channel.dataReceived(head.encode() + b'\r\n\r\n')
@@ -194,8 +193,8 @@
         return self.channel.site
 
     def test_counts_a_request_from_head_to_end(self) -> None:
-        # A stopping instance ends once nothing is in flight. A request
-        # whose body still arrives is, and so is one not answered yet.
+        # Guard against a shutdown that ends while a request body arrives or an
+        # answer is pending.
         answer: defer.Deferred = defer.Deferred()
 
         async def run(call: object) -> object:
@@ -217,9 +216,9 @@
         self.channel.connectionLost(failure.Failure(error.ConnectionLost()))
         self.assertEqual(0, self._site().in_flight)
 
-    def test_leaving_closes_kept_connections_after_an_answer(self) -> None:
-        # Kept open, the connection could bring the next request in the
-        # moment in which the process ends; the caller would see it cut.
+    def test_leaving_closes_connections_after_an_answer(self) -> None:
+        # A persistent connection could deliver a request just as the process
+        # exits.
         self._site().is_leaving = True
         self.channel.dataReceived(_request('GET /nothing'))
         self.assertIn(b'Connection: close', self.transport.written)
@@ -230,8 +229,8 @@
         (('Yuccarill-Ticket: t',), False, ResultCode.OUTCOME_UNKNOWN),
     )
     def test_refuses_after_a_second_signal(self, headers, not_run, code):
-        # Nothing of this message runs. Under a ticket an earlier message
-        # may have run, which this refusal must not deny.
+        # With a ticket an earlier attempt may have run, so the refusal must
+        # not say that nothing ran.
         self._site().is_refusing = True
         self.channel.dataReceived(_request(f'POST {CALL}', *headers))
         _, reply = self._reply()
--- a/packages/yuccarill-daemon/tests/api/test_views.py
+++ b/packages/yuccarill-daemon/tests/api/test_views.py
@@ -1,4 +1,4 @@
-"""Test what operators are shown."""
+"""Test the replies to operators."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 class StatusViewTest(unittest.TestCase):
-    def test_shows_only_targets_of_which_something_is_known(self) -> None:
+    def test_shows_only_targets_with_known_state(self) -> None:
         blackboard = mock.Mock(
             head=None,
             instances_by_id={},
--- a/packages/yuccarill-daemon/tests/peers/memory.py
+++ b/packages/yuccarill-daemon/tests/peers/memory.py
@@ -1,4 +1,4 @@
-"""Join two instances' streams in memory, with a clock set by hand."""
+"""Connect instances in memory, with a manual clock."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from yuccarill.wire import messages
 
 
-ASK = messages.ViewRequest()
+BODY = messages.ViewRequest()
 
-# A socket never hands over more than this at once.
+# Maximum bytes that one socket read returns.
 READ_BYTES = 64 * 1024
 
 
 class Transport:
-    """Hold written bytes; stand in for twisted's own test transport.
+    """Buffer written bytes, in place of twisted.internet.testing.
 
-    Importing twisted.internet.testing gives unittest.TestCase an attribute
-    that raises, and nose2 then can't load any test.
+    Importing that module adds an attribute to unittest.TestCase that raises,
+    and nose2 then fails to load any test.
     """
 
     def __init__(self) -> None:
@@ -39,7 +39,7 @@
     def write(self, data: bytes) -> None:
         self.written.append(data)
 
-    def take(self) -> bytes:
+    def pop_written(self) -> bytes:
         data = b''.join(self.written)
         self.written.clear()
         return data
@@ -52,7 +52,7 @@
 
 
 class Pair:
-    """Hold one dialled connection, both of its ends."""
+    """Both ends of one connection."""
 
     def __init__(self, dialling, accepting) -> None:
         self.ends = [(dialling, Transport()), (accepting, Transport())]
@@ -64,10 +64,10 @@
             protocol.makeConnection(transport)
 
     def pump(self) -> bool:
-        """Move the bytes written so far; tell whether there were any."""
+        """Deliver the written bytes; return whether there were any."""
         moved = False
         for (_, source), (target, _) in (self.ends, self.ends[::-1]):
-            data = source.take()
+            data = source.pop_written()
             if data and not self.is_silent and not self.is_lost:
                 for start in range(0, len(data), READ_BYTES):
                     target.dataReceived(data[start : start + READ_BYTES])
@@ -83,7 +83,7 @@
 
 
 class Network:
-    """Let instances dial each other."""
+    """Connect instances to each other."""
 
     def __init__(self) -> None:
         self.clock = task.Clock()
@@ -104,8 +104,8 @@
         return me
 
     def request(self, name: str, peer: Instance, seconds: float = 60.0):
-        """Send a request; the list returned receives its outcome."""
-        sent = self.peers_by_id[InstanceId(name)].request(peer, ASK, seconds)
+        """Send a request; its outcome is appended to the returned list."""
+        sent = self.peers_by_id[InstanceId(name)].request(peer, BODY, seconds)
         outcome: list[object] = []
         deferred = defer.ensureDeferred(sent)
         deferred.addCallbacks(
@@ -128,7 +128,7 @@
         self.dials += 1
         if self.is_refusing:
             return defer.fail(ConnectionRefusedError())
-        # The address decides who answers, not the name asked for.
+        # The address, not the name, decides which instance answers.
         answering = self.peers_by_id[InstanceId(peer.host)]
         pair = Pair(protocol, answering.accept())
         self.pairs.append(pair)
--- a/packages/yuccarill-daemon/tests/peers/test_peers.py
+++ b/packages/yuccarill-daemon/tests/peers/test_peers.py
@@ -1,4 +1,4 @@
-"""Test streams between instances on transports in memory."""
+"""Test streams between instances over in-memory transports."""
 
 from __future__ import annotations
 
@@ -33,9 +33,8 @@
         return dict(found)
 
     def test_two_first_requests_share_one_connection(self) -> None:
-        # Two requests start before any stream is open. Were each to dial,
-        # the first stream would be overwritten in the table: nobody would
-        # watch it, and the peer would hold two for good.
+        # Guard against a stream for each concurrent first request: all but the
+        # last would stay open unchecked.
         peer = self.network.add('b')
         outcomes = [self.network.request('a', peer) for _ in range(3)]
         self.network.pump()
@@ -53,10 +52,8 @@
         self.assertEqual(there.sent, here.received)
 
     def test_silent_stream_is_found_and_replaced(self) -> None:
-        # Something between the two loses track of the connection: bytes
-        # vanish, nothing is closed, new connections work. The caller of a
-        # waiting request learns in seconds that it may have been taken,
-        # and the next request goes over a new stream.
+        # Guard against a half-open connection: a pending request must fail in
+        # seconds and the next one must use a new stream.
         peer = self.network.add('b', never)
         outcome = self.network.request('a', peer)
         self.network.pump()
@@ -71,9 +68,8 @@
         self.assertEqual(2, self.network.dials)
 
     def test_own_pause_is_not_the_peers_silence(self) -> None:
-        # This process is stopped for ten seconds while a reply is due. On
-        # waking, its timer runs before it has read its sockets; taking
-        # the gap for silence would cut every stream it has.
+        # After a pause of this process its timer runs before it has read its
+        # sockets; no stream may be closed as silent.
         peer = self.network.add('b', never)
         outcome = self.network.request('a', peer)
         self.network.pump()
@@ -87,8 +83,8 @@
         self.assertEqual(([], {}), (outcome, self.ends_at('a')))
 
     def test_wrong_addressee_gets_no_request(self) -> None:
-        # Instance b is replaced and c starts under its address. A request
-        # for b must not be answered by c: nothing of it is sent.
+        # Instance c has reused the address of b: a request for b must not
+        # reach it.
         self.network.add('c')
         outcome = self.network.request('a', memory.instance('b', host='c'))
         self.network.pump()
@@ -98,8 +94,7 @@
             self.assertEqual(1, found[ends.StreamEnd.WRONG_ADDRESSEE], name)
 
     def test_refused_dials_back_off_with_bounds(self) -> None:
-        # The peer is down and requests keep coming. Each fails at once
-        # with NotRun; dialling is left to a few tries a second.
+        # Guard against a connection attempt per request while a peer is down.
         peer = self.network.add('b')
         self.network.is_refusing = True
         outcomes = []
@@ -115,9 +110,8 @@
         self.assertEqual([DONE], outcome)
 
     def test_lost_stream_tells_sent_from_unsent(self) -> None:
-        # The peer reads no more: the first request is on its way, the
-        # second is held back here. When the stream is lost the first may
-        # have been taken, the second can not have been.
+        # The first request is sent and the second is queued when the stream is
+        # lost: only the first may have been received.
         peer = self.network.add('b', never)
         first = self.network.request('a', peer)
         self.network.pump()
@@ -128,7 +122,7 @@
         self.assertIsInstance(first[0], errors.PeerUnavailable)
         self.assertIsInstance(second[0], errors.NotRun)
 
-    def test_held_frames_are_bounded_and_sent_in_order(self) -> None:
+    def test_queued_frames_are_bounded_and_sent_in_order(self) -> None:
         sender = self.network.peers_by_id[InstanceId('a')]
         peer = self.network.add('b')
         self.network.request('a', peer)
@@ -152,9 +146,11 @@
         ('long', b'\xc6\x00\xff\xff\xff' + bytes(5000), 'invalid'),
         ('nothing', b'', ends.StreamEnd.NO_HELLO),
     )
-    def test_stranger_is_shut_out_alone(self, name, data, end) -> None:
-        # Something that is no peer connects. Its stream is closed and
-        # counted; the open stream of a peer goes on.
+    def test_only_the_stream_of_a_stranger_is_closed(
+        self, name, data, end
+    ) -> None:
+        # The stream of a client that is no peer is closed and counted; other
+        # streams stay open.
         peer = self.network.add('b')
         self.network.request('a', peer)
         self.network.pump()
@@ -174,16 +170,16 @@
 
     def test_streams_have_a_limit(self) -> None:
         accepting = self.network.peers_by_id[InstanceId('a')]
-        for _ in range(peers.MAX_INBOUND):
+        for _ in range(peers.MAX_STREAMS):
             accepting.accept().makeConnection(memory.Transport())
         self.assertIsNone(accepting.accept())
         self.assertEqual({ends.StreamEnd.TOO_MANY: 1}, self.ends_at('a'))
 
-    def test_requests_in_hand_have_a_limit(self) -> None:
+    def test_requests_in_flight_have_a_limit(self) -> None:
         peer = self.network.add('b', never)
         outcomes = [
             self.network.request('a', peer)
-            for _ in range(stream.MAX_IN_HAND + 1)
+            for _ in range(stream.MAX_IN_FLIGHT + 1)
         ]
         self.network.pump()
         refused = [type(found[0]) for found in outcomes if found]
--- a/packages/yuccarill-daemon/tests/storage/test_disk_log.py
+++ b/packages/yuccarill-daemon/tests/storage/test_disk_log.py
@@ -1,4 +1,4 @@
-"""Test the disk log against a dictionary that loses nothing."""
+"""Test the disk log against a dictionary as the model."""
 
 from __future__ import annotations
 
@@ -64,33 +64,34 @@
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder)
             log = disk_log.DiskLog(path, SEGMENT_BYTES)
-            naive: dict[int, list[segment.SampleRecord]] = {}
+            model_records_by_step: dict[int, list[segment.SampleRecord]] = {}
             for number, (action, step) in enumerate(actions):
                 match action:
                     case 'append':
                         record = _record(step, number)
                         log.append([record])
-                        naive.setdefault(step, []).append(record)
+                        model_records_by_step.setdefault(step, []).append(
+                            record
+                        )
                     case 'drop':
                         log.drop(TRAINER, StepNumber(step))
-                        naive.pop(step, None)
+                        model_records_by_step.pop(step, None)
                     case _:
                         log.close()
                         log = disk_log.DiskLog(path, SEGMENT_BYTES)
-                        # A dropped step may come back until it is tidied.
+                        # A dropped step can reappear when the log is reopened.
                         for key in log.steps():
-                            if key[1] not in naive:
+                            if key[1] not in model_records_by_step:
                                 log.drop(*key)
-            for step, kept in naive.items():
-                names = [record.id for record in kept]
+            for step, expected in model_records_by_step.items():
+                names = [record.id for record in expected]
                 found = log.read(TRAINER, StepNumber(step), names)
-                self.assertEqual(kept, found)
+                self.assertEqual(expected, found)
             log.close()
 
-    def test_torn_at_every_byte(self) -> None:
-        # The machine loses power in the middle of a write. All records
-        # before the torn one come back, whichever byte was the last, and
-        # what is written afterwards is found as well.
+    def test_recovers_from_a_write_torn_at_any_byte(self) -> None:
+        # Guard against power loss during a write: records before the torn
+        # one and records written after recovery must be readable.
         log = self._open(segment_bytes=1 << 20)
         log.append([_record(1, 1), _record(1, 2)])
         path = next(self.folder.glob('*.log'))
@@ -125,8 +126,7 @@
         self.assertEqual({}, log.versions_by_id(TRAINER, StepNumber(1)))
 
     def test_space_is_bounded(self) -> None:
-        # Steps come and go for long while one early step stays open. Its
-        # records move on, so that no nearly empty segment stays behind.
+        # Guard against an old open step that keeps nearly empty segments.
         log = self._open()
         log.append([_record(999, 0)])
         for step in range(1, 200):
@@ -134,8 +134,8 @@
             log.drop(TRAINER, StepNumber(step))
         self.assertLess(log.size, 5 * SEGMENT_BYTES)
         self.assertLess(len(list(self.folder.glob('*.log'))), 5)
-        kept = log.read(TRAINER, StepNumber(999), [_record(999, 0).id])
-        self.assertEqual([_record(999, 0)], kept)
+        expected = log.read(TRAINER, StepNumber(999), [_record(999, 0).id])
+        self.assertEqual([_record(999, 0)], expected)
 
     def test_full_disk_refuses_until_a_step_is_closed(self) -> None:
         log = self._open(max_bytes=2 * SEGMENT_BYTES)
@@ -146,8 +146,8 @@
         log.append([_record(2, 1)])
 
     def test_failed_write_does_not_hide_later_ones(self) -> None:
-        # The system takes half of a write. The next record must not follow
-        # the torn one in its file, or recovery would stop before it.
+        # After a partial write the next record must go to a new segment, or
+        # recovery would stop before it.
         log = self._open()
         log.append([_record(1, 1)])
 
@@ -163,9 +163,9 @@
         found = log.versions_by_id(TRAINER, StepNumber(1))
         self.assertEqual({_record(1, 1).id, _record(1, 3).id}, set(found))
 
-    def test_copied_records_are_synced_before_the_old_go(self) -> None:
-        # Power is lost while a step's records move to a newer segment: the
-        # old file may only go once the new one is on the disk.
+    def test_copies_are_synced_before_the_old_segment_is_deleted(self) -> None:
+        # Guard against power loss during compaction: the old segment may be
+        # deleted only after the new one is synced.
         log = self._open()
         log.append([_record(999, 0)])
         log.append([_record(1, number) for number in range(8)])
--- a/packages/yuccarill-daemon/tests/test_launcher.py
+++ b/packages/yuccarill-daemon/tests/test_launcher.py
@@ -1,4 +1,4 @@
-"""Test what the command yuccarilld loads."""
+"""Test which modules the command yuccarilld loads."""
 
 from __future__ import annotations
 
--- a/packages/yuccarill-daemon/tests/test_left_out.py
+++ b/packages/yuccarill-daemon/tests/test_left_out.py
@@ -1,4 +1,4 @@
-"""Test what the gateway's process loads."""
+"""Test which modules the gateway process loads."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 """
 
 
-def run(*words: str) -> tuple[list[str], str]:
-    """Run the command; returns what is loaded and what it said."""
+def run(*arguments: str) -> tuple[list[str], str]:
+    """Run the gateway; return its output lines and its stderr."""
     finished = subprocess.run(
-        [sys.executable, '-c', _SCRIPT, *words],
+        [sys.executable, '-c', _SCRIPT, *arguments],
         capture_output=True,
         check=True,
         text=True,
@@ -42,8 +42,8 @@
 
 
 class LeftOutTest(unittest.TestCase):
-    def test_what_is_never_used_is_not_loaded(self) -> None:
-        """Guard against memory for modules that nothing here uses."""
+    def test_unused_modules_are_not_loaded(self) -> None:
+        """Guard against memory use by unused modules."""
         loaded, _ = run('--settings-file', '/dev/null')
         self.assertIn('yuccarill.daemon.gateway.process', loaded)
         unused = {
@@ -56,19 +56,19 @@
         }
         self.assertEqual(set(), set(loaded) & unused)
 
-    def test_a_use_of_what_is_left_out_says_so(self) -> None:
-        """Guard against a stand-in that is taken for the module itself."""
+    def test_use_of_a_stub_raises(self) -> None:
+        """Guard against a stub that is mistaken for the module."""
         loaded, _ = run('--settings-file', '/dev/null')
-        self.assertIn('ssl.SSLContext was left out.', loaded)
+        self.assertIn('ssl.SSLContext is stubbed out.', loaded)
         self.assertIn('coroutine False done', loaded)
 
-    def test_faults_of_the_command_line(self) -> None:
-        for words, said in (
+    def test_command_line_errors(self) -> None:
+        for arguments, expected in (
             (['--settings-file', '/dev/null'], 'node: is missing'),
             (['--log-level', 'loud'], "'loud' is not one of"),
             (['--other'], "No such option '--other'"),
             (['word'], 'Got unexpected extra argument (word)'),
         ):
-            lines, errors = run(*words)
-            self.assertEqual('2', lines[0], words)
-            self.assertIn(said, errors)
+            lines, errors = run(*arguments)
+            self.assertEqual('2', lines[0], arguments)
+            self.assertIn(expected, errors)
--- a/packages/yuccarill-daemon/tests/test_metrics.py
+++ b/packages/yuccarill-daemon/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Test the metrics and their page."""
+"""Test the metrics and docs/metrics.md."""
 
 from __future__ import annotations
 
--- a/packages/yuccarill-daemon/tests/test_settings.py
+++ b/packages/yuccarill-daemon/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Test reading settings, and their page."""
+"""Test reading settings, and docs/settings.md."""
 
 from __future__ import annotations
 
@@ -77,7 +77,7 @@
             ['--instance', '--host', '--http-port', '--statsd'], flags
         )
 
-    def test_warns_of_variables_that_are_no_settings(self) -> None:
+    def test_warns_of_unknown_variables(self) -> None:
         names = ['YUCCARILL_HTTP_PRT', 'YUCCARILL_HOST', 'YUCCARILL_ADDRESS']
         (warning,) = setting_reader.unknown_variables([*names, 'HOME'])
         self.assertIn('did you mean YUCCARILL_HTTP_PORT?', warning)
--- a/packages/yuccarill-daemon/tests/test_vitals.py
+++ b/packages/yuccarill-daemon/tests/test_vitals.py
@@ -1,4 +1,4 @@
-"""Test the process's own metrics."""
+"""Test the metrics of the process itself."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class VitalsTest(unittest.TestCase):
-    def test_tells_how_late_the_loop_is(self) -> None:
+    def test_reports_the_loop_delay(self) -> None:
         clock = task.Clock()
-        view = vitals.Vitals(mock.Mock(head=None), clock)
+        reporter = vitals.Vitals(mock.Mock(head=None), clock)
         with (
             mock.patch.object(metrics, 'timing', autospec=True) as timing,
             mock.patch.object(metrics, 'gauge', autospec=True) as gauge,
         ):
-            view.start()
+            reporter.start()
             clock.advance(vitals.PERIOD_SECONDS + 0.25)
             clock.advance(vitals.PERIOD_SECONDS)
         self.assertEqual(
