--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/connections.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/connections.py
@@ -20,7 +20,7 @@
 # Seconds to open a connection; shorter than TCP's one-second SYN retransmit,
 # so that a request fails over to another target instead.
 CONNECT_SECONDS = 0.6
-# Seconds to check whether a process listens; the next retry waits for this.
+# Seconds to check whether a process listens; a retry waits for the result.
 PROBE_SECONDS = 0.2
 # Seconds for which a probe connection must stay open: a process that exits
 # can still accept a connection and close it at once.
@@ -75,7 +75,7 @@
     async def is_refused(self, address: str) -> bool:
         """Return whether no process listens at an address.
 
-        A connection that opens is pooled for the next request.
+        A connection that stays open is pooled for the next request.
         """
         deadline = Instant(self._clock.seconds() + PROBE_SECONDS)
         while True:
@@ -168,9 +168,9 @@
         if not self._opened.called:
             cause = reason.getErrorMessage()
             is_refused = reason.check(net_error.ConnectionRefusedError)
-            kind = (
+            error_class = (
                 http_exchange.ConnectionRefused
                 if is_refused
                 else http_exchange.NotConnected
             )
-            self._opened.errback(kind(cause))
+            self._opened.errback(error_class(cause))
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/engine_weights.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/engine_weights.py
@@ -45,14 +45,14 @@
 
 
 class EngineWeightsAdapter:
-    """Read the state of engines and send them orders."""
+    """Read the state of engines and send them weight orders."""
 
     def __init__(self, client: http.HttpClient) -> None:
         self._client = client
         self._decoder = msgspec.json.Decoder(_StateReply)
 
     async def read(self, address: str) -> TargetState | None:
-        """Return an engine's state, or None if it did not answer."""
+        """Return an engine's state, or None if reading it fails."""
         try:
             url = f'http://{address}/v1/state'.encode()
             return self._decode(await self._client.read(url, READ_SECONDS))
@@ -62,7 +62,7 @@
     async def order(
         self, address: str, order: Order, model: ModelName, epoch: Epoch
     ) -> Ended:
-        """Send an order and wait for its outcome."""
+        """Send a weight order and wait for its outcome."""
         body = {
             'kind': order.kind.value,
             'model': model,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/event_stream.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/event_stream.py
@@ -19,11 +19,11 @@
 
     def field(self, name: str) -> str | None:
         """Return the last value of a field, or None if it is absent."""
-        found = None
-        for known, value in self.fields:
-            if known == name:
-                found = value
-        return found
+        last_value = None
+        for field_name, value in self.fields:
+            if field_name == name:
+                last_value = value
+        return last_value
 
     @property
     def data(self) -> str:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/http_exchange.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/http_exchange.py
@@ -66,8 +66,8 @@
 
     def header(self, name: str) -> str | None:
         """Return the first value of a header, by lower-case name."""
-        for known, value in self.headers:
-            if known == name:
+        for header_name, value in self.headers:
+            if header_name == name:
                 return value
         return None
 
@@ -80,7 +80,7 @@
 
 
 class StreamSink:
-    """Receive a response as it arrives; the base class buffers the body."""
+    """Receive a response in parts; this base class buffers the body."""
 
     def __init__(self) -> None:
         self.head: ReplyHead | None = None
@@ -88,7 +88,7 @@
 
     @property
     def body(self) -> bytes:
-        # Cache the joined body: joining briefly doubles its memory.
+        # Keep only the joined body: each join briefly doubles its memory.
         if len(self._parts) > 1:
             self._parts = [b''.join(self._parts)]
         return self._parts[0] if self._parts else b''
@@ -180,7 +180,7 @@
         if self._finished is None or self._is_paused:
             return
         self._is_paused = True
-        # No data arrives while reading is paused; this is no server stall.
+        # No data can arrive while reading is paused, even from a live server.
         self._stop_progress_timer()
         self.transport.pauseProducing()
 
@@ -270,7 +270,7 @@
             case h11.EndOfMessage():
                 self._on_message_end()
             case h11.ConnectionClosed():
-                self.fail(ConnectionLost('server closed the connection'))
+                self.fail(ConnectionLost('server closed without a response'))
             case _:
                 pass
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/target.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/target.py
@@ -79,8 +79,8 @@
 
         Raises NotRun if no byte was sent, else OutcomeUnknown.
         """
-        # A pooled connection can be dead, so a failed write leaves the outcome
-        # unknown. A new connection shows whether anything was sent.
+        # A new connection that fails to open has sent nothing. A pooled one
+        # can be dead, so a failure on it leaves the outcome unknown.
         connection = _ConnectionTracker(
             self._clock, self._remaining(request.connect_by), on_step
         )
@@ -159,10 +159,10 @@
 
     def endpointForURI(self, uri: Any) -> Any:  # noqa: N802
         host = uri.host.decode('ascii').strip('[]')
-        kind = endpoints.TCP4ClientEndpoint
+        endpoint_class = endpoints.TCP4ClientEndpoint
         if ':' in host:
-            kind = endpoints.TCP6ClientEndpoint
-        self._endpoint = kind(self._clock, host, uri.port)
+            endpoint_class = endpoints.TCP6ClientEndpoint
+        self._endpoint = endpoint_class(self._clock, host, uri.port)
         return self
 
     def connect(self, factory: Any) -> Any:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/api/callers.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/api/callers.py
@@ -68,7 +68,7 @@
         ticket = str(self._calls.new_ticket())
         chosen = address_choice.choose(
             self._membership.live(),
-            # Spread callers without a name by their tickets.
+            # Requests without a caller ID are spread by their new tickets.
             _caller(request) or ticket,
             DataCentreId(replies.argument(request, 'data_centre')),
         )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/api/draining.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/api/draining.py
@@ -20,7 +20,7 @@
         self.is_leaving = False
         self.is_refusing = False
         self._channels: set[Any] = set()
-        # Number of channels at which closed ones are removed.
+        # Set size from which closed channels are removed.
         self._sweep_threshold = MIN_SWEEP_CHANNELS
 
     @property
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/api/replies.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/api/replies.py
@@ -97,7 +97,7 @@
 
 
 def argument(request: IRequest, name: str) -> str:
-    """Return a query argument, or an empty string."""
+    """Return the first value of a query argument, or an empty string."""
     values = request.args.get(name.encode(), [b''])
     return str(values[0].decode(errors='replace'))
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/api/site.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/api/site.py
@@ -54,7 +54,7 @@
             self.content.write(data)
 
     def process(self) -> None:
-        """Handle the request, unless it is rejected already."""
+        """Handle a complete request, unless its body was rejected."""
         if self._is_rejected:
             return
         try:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/application.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/application.py
@@ -24,7 +24,7 @@
 
 EXIT_FAILED = 1
 EXIT_SETTINGS_INVALID = 2
-# Shutdown aborted work in flight, at its timeout or by a second signal.
+# Shutdown aborted work in flight, on timeout or after a second signal.
 EXIT_CUT = 3
 
 
@@ -99,7 +99,7 @@
         nonlocal exit_code
         exit_code = EXIT_FAILED
         logs.for_part('instance').error(
-            'Start or stop failed.', cause=failure.getErrorMessage()
+            'Instance start or stop failed.', cause=failure.getErrorMessage()
         )
         reactor.stop()
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/idle.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/idle.py
@@ -1,7 +1,7 @@
 """Run as a placeholder process on machines with a disk.
 
-The platform requires a process on each machine class, but keeps durable data
-in its own store. Few imports save memory.
+The platform requires a process on each machine class, but durable data is in
+the platform's store. Few imports save memory.
 """
 
 from __future__ import annotations
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/instance.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/instance.py
@@ -135,7 +135,7 @@
 
     def _on_loop_failure(self, failure: object) -> None:
         metrics.count(metrics.Metric.PROCESS_CONTROLLERS_ENDED)
-        log.error('A controller failed and ended.', cause=str(failure)[:500])
+        log.error('Background loop ended in error.', cause=str(failure)[:500])
 
 
 def _local_instance(settings: Settings) -> Instance:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/logs.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/logs.py
@@ -28,7 +28,7 @@
 
 
 def configure_stream(stream: Any, log_level: LogLevel) -> None:
-    """Write JSON log lines to a stream, from a lowest level."""
+    """Write JSON log lines of at least a given level to a stream."""
     _configure(structlog.processors.JSONRenderer(), stream, log_level)
 
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/peers/ends.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/peers/ends.py
@@ -6,7 +6,7 @@
 
 
 class StreamEnd(enum.Enum):
-    """The cause for which a stream ended."""
+    """The cause of the end of a stream."""
 
     LOST = 'lost'
     SILENT = 'silent'
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/peers/link.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/peers/link.py
@@ -47,8 +47,8 @@
         """
         if self._stream is not None and self._stream.is_open:
             return self._stream
-        # Concurrent requests share one attempt: a second stream would never
-        # be checked or closed.
+        # Concurrent requests share one attempt; further streams would stay
+        # open unused until the idle timeout.
         waiter: defer.Deferred[None] = defer.Deferred()
         self._waiters.append(waiter)
         if not self._is_dialling:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/peers/local.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/peers/local.py
@@ -27,8 +27,8 @@
     """The interface of a stream that `Peers` uses."""
 
     transport: Any
-    # Number of requests of the peer in flight.
-    in_hand: int
+    # Number of requests from the peer in flight.
+    incoming_in_flight: int
     used_at: Instant
 
     @property
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/peers/outbox.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/peers/outbox.py
@@ -47,7 +47,7 @@
         if not self._is_paused:
             self._send(frame)
             return
-        # Guard against a slow peer whose frames would fill the memory.
+        # Limit the memory that frames queued for a slow peer use.
         if self._queued_bytes + len(frame) > self._max_bytes:
             raise errors.Overloaded(
                 'The stream to the peer is congested; try again.',
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/peers/peers.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/peers/peers.py
@@ -72,11 +72,11 @@
 
     @property
     def in_hand(self) -> int:
-        """Return the number of requests of peers in flight."""
-        return sum(each.in_hand for each in self._local.streams)
+        """Return the number of requests from peers in flight."""
+        return sum(each.incoming_in_flight for each in self._local.streams)
 
     async def listen(self, host: str, port: int) -> Any:
-        """Accept streams of peers and start checking all streams."""
+        """Accept incoming streams and start periodic checks of all streams."""
         factory = protocol.Factory.forProtocol(self.accept)
         endpoint = endpoints.TCP4ServerEndpoint(reactor, port, interface=host)
         self._check_loop.start(CHECK_SECONDS, now=False)
@@ -116,7 +116,7 @@
         return await peer_stream.request(body, seconds)
 
     def check(self) -> None:
-        """Close silent and idle streams."""
+        """Send due heartbeats; close silent and idle streams."""
         now = Instant(self._local.clock.seconds())
         self.traffic.report()
         # After a pause of this process, data waits unread in the sockets;
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/peers/stream.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/peers/stream.py
@@ -37,13 +37,13 @@
         self, local: Local, addressee: InstanceId | None = None
     ) -> None:
         self._local = local
-        # None on the accepting side.
+        # None for an incoming stream.
         self._addressee = addressee
         self._decoder = frames.Decoder()
         self._numbers = itertools.count(1)
         self._replies_by_number: dict[int, defer.Deferred[Any]] = {}
         self._waiting_since: Instant | None = None
-        self.in_hand = 0
+        self.incoming_in_flight = 0
         self._received_bytes = 0
         self._end = ends.StreamEnd.LOST
         self._outbox = outbox.Outbox(self._on_progress, self._count_sent)
@@ -57,8 +57,8 @@
 
     @property
     def is_busy(self) -> bool:
-        """Return whether a request of either side is in flight."""
-        return bool(self._replies_by_number or self.in_hand)
+        """Return whether a request is in flight in either direction."""
+        return bool(self._replies_by_number or self.incoming_in_flight)
 
     def request(
         self, body: messages.Body, seconds: float
@@ -129,7 +129,7 @@
             self._check_hello_size()
         except errors.FrameInvalid as error:
             log.warning(
-                'Stream closed by an invalid frame; compare the versions.',
+                'Invalid frame closed the stream; compare instance versions.',
                 peer=self.hello.instance if self.hello else None,
                 cause=error.message,
             )
@@ -176,12 +176,12 @@
             raise errors.FrameInvalid('The stream received a second Hello.')
         # Guard against requests to an instance that has reused the address of
         # another one and lacks its state, such as tickets.
-        is_for_me = hello.addressee == self._local.me.id
+        is_addressed_to_self = hello.addressee == self._local.me.id
         is_expected_peer = self._addressee in (None, hello.instance)
         if self._addressee is None:
             answer = self._local.hello(hello.instance)
             self._outbox.write_immediately(_frame(0, True, answer))
-        if not (is_for_me and is_expected_peer):
+        if not (is_addressed_to_self and is_expected_peer):
             self._end = ends.StreamEnd.WRONG_ADDRESSEE
             self.transport.loseConnection()
             return
@@ -197,7 +197,7 @@
 
     def _serve(self, envelope: messages.Envelope) -> None:
         self.used_at = self._now()
-        if self.in_hand >= MAX_IN_FLIGHT:
+        if self.incoming_in_flight >= MAX_IN_FLIGHT:
             body = messages.Refusal(
                 code=errors.ResultCode.OVERLOADED,
                 text='Too many requests on this stream; try again.',
@@ -205,7 +205,7 @@
             )
             self._reply(envelope.number, body)
             return
-        self.in_hand += 1
+        self.incoming_in_flight += 1
         defer.ensureDeferred(self._answer(envelope))
 
     async def _answer(self, envelope: messages.Envelope) -> None:
@@ -222,7 +222,7 @@
             body = messages.Refusal(
                 code=errors.ResultCode.INTERNAL, text='Internal error.'
             )
-        self.in_hand -= 1
+        self.incoming_in_flight -= 1
         self._reply(envelope.number, body)
 
     def _reply(self, number: int, body: messages.Body) -> None:
@@ -250,7 +250,7 @@
         if self._outbox.remove_queued(number):
             return _not_sent_error()
         return errors.PeerUnavailable(
-            'The peer did not reply; it may have taken the request.'
+            'The peer did not reply; it may have received the request.'
         )
 
     def _on_progress(self) -> None:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/rollout_parts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/rollout_parts.py
@@ -102,13 +102,13 @@
     def _open_disk(
         self, folder: pathlib.Path, ledger: step_ledger.StepLedger
     ) -> None:
-        opened = disk_log.DiskLog(folder / 'samples')
-        self._disk = disk_store.DiskStore(opened, ledger)
+        sample_log = disk_log.DiskLog(folder / 'samples')
+        self._disk = disk_store.DiskStore(sample_log, ledger)
         me = self._blackboard.me
         self._local_disk = replicas.Disk(
             instance=me.id,
             data_centre=me.data_centre,
-            store_id=opened.store_id,
+            store_id=sample_log.store_id,
         )
 
     async def _request_disk(
@@ -118,5 +118,5 @@
             return await self.handle_disk(body)
         peer = self._blackboard.instances_by_id.get(disk)
         if peer is None:
-            raise errors.PeerUnavailable(f'Instance {disk} is gone.')
+            raise errors.PeerUnavailable(f'Instance {disk} is unknown.')
         return await self._peers.request(peer, body, DISK_SECONDS)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/storage/disk_log.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/storage/disk_log.py
@@ -116,7 +116,7 @@
     ) -> dict[SampleId, WeightVersion]:
         """Return the oldest weight version of each stored sample of a step."""
         entries = self._entries_by_step.get((trainer, step), {})
-        return {name: entry.oldest_version for name, entry in entries.items()}
+        return {id_: entry.oldest_version for id_, entry in entries.items()}
 
     def read(
         self, trainer: TrainerId, step: StepNumber, ids: Iterable[SampleId]
@@ -124,7 +124,7 @@
         """Return the given samples, except for missing and damaged ones."""
         entries = self._entries_by_step.get((trainer, step), {})
         found = (
-            self._read_record(entries[name]) for name in ids if name in entries
+            self._read_record(entries[id_]) for id_ in ids if id_ in entries
         )
         return [record for record in found if record is not None]
 
@@ -154,7 +154,7 @@
             end = extent.offset + extent.length
         if end < segment.size:
             log.warning(
-                'Damaged segment end skipped; replicas hold its samples.',
+                'Skipped damaged segment tail; replicas hold its samples.',
                 file=path.name,
                 bytes=segment.size - end,
             )
@@ -209,14 +209,14 @@
 
     def _copy_live_records(self, number: int) -> None:
         for step, entries in self._entries_by_step.items():
-            names = [n for n, e in entries.items() if e.segment == number]
-            records = self.read(*step, names)
+            ids = [id_ for id_, e in entries.items() if e.segment == number]
+            records = self.read(*step, ids)
             extents = self._writable_segment().append(records)
             self._unsynced.add(self._active_number)
             for record, extent in zip(records, extents, strict=True):
                 self._index_record(self._active_number, extent, record)
-            for name in set(names) - {record.id for record in records}:
-                del entries[name]
+            for id_ in set(ids) - {record.id for record in records}:
+                del entries[id_]
 
 
 def _store_id(folder: pathlib.Path) -> str:
--- a/packages/yuccarill-daemon/tests/adapters/test_engine.py
+++ b/packages/yuccarill-daemon/tests/adapters/test_engine.py
@@ -52,10 +52,10 @@
 
     def _generate(self, response: _Response) -> defer.Deferred[Any]:
         adapter = engine.EngineAdapter(_Client(response), self.clock)
-        work = defer.ensureDeferred(
+        generating = defer.ensureDeferred(
             adapter.generate('a:1', {}, 600.0, self.chunks.append)
         )
-        return work.addBoth(self.outcome.append)
+        return generating.addBoth(self.outcome.append)
 
     def test_whole_stream(self) -> None:
         response = _Response()
@@ -88,9 +88,9 @@
         # The engine continues a cancelled generation until its connection is
         # closed.
         response = _Response()
-        work = self._generate(response)
+        generating = self._generate(response)
         response.reader.dataReceived(CHUNK)
-        work.cancel()
+        generating.cancel()
         self.assertFalse(response.transport.is_open)
         self.assertEqual([], self.clock.getDelayedCalls())
 
--- a/packages/yuccarill-daemon/tests/adapters/test_target.py
+++ b/packages/yuccarill-daemon/tests/adapters/test_target.py
@@ -1,4 +1,4 @@
-"""Test requests to targets and the errors of failed ones."""
+"""Test calls to targets and the errors of failed calls."""
 
 from __future__ import annotations
 
--- a/packages/yuccarill-daemon/tests/peers/test_peers.py
+++ b/packages/yuccarill-daemon/tests/peers/test_peers.py
@@ -34,7 +34,7 @@
 
     def test_two_first_requests_share_one_connection(self) -> None:
         # Guard against a stream for each concurrent first request: all but the
-        # last would stay open unchecked.
+        # last would stay open unused until the idle timeout.
         peer = self.network.add('b')
         outcomes = [self.network.request('a', peer) for _ in range(3)]
         self.network.pump()
@@ -58,7 +58,7 @@
         outcome = self.network.request('a', peer)
         self.network.pump()
         self.network.pass_time(30.0)
-        self.assertEqual([], outcome, 'a slow target is no silent stream')
+        self.assertEqual([], outcome, 'a slow reply is not a silent stream')
         self.network.pairs[0].is_silent = True
         self.network.pass_time(4.0)
         self.assertIsInstance(outcome[0], errors.PeerUnavailable)
@@ -68,8 +68,8 @@
         self.assertEqual(2, self.network.dials)
 
     def test_own_pause_is_not_the_peers_silence(self) -> None:
-        # After a pause of this process its timer runs before it has read its
-        # sockets; no stream may be closed as silent.
+        # After a pause of the process, the check runs before the sockets are
+        # read; no stream may be closed as silent.
         peer = self.network.add('b', never)
         outcome = self.network.request('a', peer)
         self.network.pump()
@@ -149,18 +149,18 @@
     def test_only_the_stream_of_a_stranger_is_closed(
         self, name, data, end
     ) -> None:
-        # The stream of a client that is no peer is closed and counted; other
-        # streams stay open.
+        # A stream from a client that is not a peer is closed and counted;
+        # other streams stay open.
         peer = self.network.add('b')
         self.network.request('a', peer)
         self.network.pump()
-        stranger = self.network.peers_by_id[peer.id].accept()
+        invalid_stream = self.network.peers_by_id[peer.id].accept()
         transport = memory.Transport()
-        stranger.makeConnection(transport)
-        stranger.dataReceived(data)
+        invalid_stream.makeConnection(transport)
+        invalid_stream.dataReceived(data)
         self.network.pass_time(3.0)
         self.assertTrue(transport.disconnecting, name)
-        stranger.connectionLost(None)
+        invalid_stream.connectionLost(None)
         if end == 'invalid':
             end = ends.StreamEnd.INVALID_FRAME
         self.assertEqual({end: 1}, self.ends_at('b'))
--- a/packages/yuccarill-daemon/tests/storage/test_disk_log.py
+++ b/packages/yuccarill-daemon/tests/storage/test_disk_log.py
@@ -84,8 +84,8 @@
                             if key[1] not in model_records_by_step:
                                 log.drop(*key)
             for step, expected in model_records_by_step.items():
-                names = [record.id for record in expected]
-                found = log.read(TRAINER, StepNumber(step), names)
+                ids = [record.id for record in expected]
+                found = log.read(TRAINER, StepNumber(step), ids)
                 self.assertEqual(expected, found)
             log.close()
 
@@ -107,8 +107,8 @@
             log.append([_record(1, 4)])
             log.close()
             log = self._open()
-            names = [_record(1, number).id for number in (1, 2, 3, 4)]
-            found = log.read(TRAINER, StepNumber(1), names)
+            ids = [_record(1, number).id for number in (1, 2, 3, 4)]
+            found = log.read(TRAINER, StepNumber(1), ids)
             self.assertEqual([_record(1, n) for n in (1, 2, 4)], found)
             log.close()
 
@@ -120,8 +120,8 @@
         data = bytearray(path.read_bytes())
         data[offset + 20] ^= 1
         path.write_bytes(data)
-        names = [_record(1, 1).id]
-        self.assertEqual([], log.read(TRAINER, StepNumber(1), names))
+        ids = [_record(1, 1).id]
+        self.assertEqual([], log.read(TRAINER, StepNumber(1), ids))
         log = self._open()
         self.assertEqual({}, log.versions_by_id(TRAINER, StepNumber(1)))
 
