--- a/packages/yuccarill-core/src/yuccarill/core/jobs/text.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/text.py
@@ -80,7 +80,8 @@
     def add_event(self, event: StreamEvent) -> None:
         """Append one event.
 
-        Raises TextBroken if the event is out of order or has no known version.
+        Raises TextSequenceError if the event is out of order or has no known
+        version.
         """
         if event.version is not None:
             self._current_version = event.version
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/look.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/look.py
@@ -86,7 +86,7 @@
         return max(MIN_PAUSE, instances / FLEET_LOOKS)
 
     def _failed(self, failure: Any) -> None:
-        log.error('LookupResult failed.', cause=failure.getTraceback())
+        log.error('Look failed.', cause=failure.getTraceback())
         waiting, self._waiting = self._waiting, []
         for each in waiting:
             if not each.called:
