--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/__init__.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/__init__.py
@@ -1,1 +1,1 @@
-"""Hold leases: which instances live, and who holds a duty."""
+"""Hold store leases for instance registration and for duties."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/departure.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/departure.py
@@ -1,4 +1,4 @@
-"""Leave the other instances without losing what is under way."""
+"""Shut this instance down without losing partial texts."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 log = logs.for_part('departure')
 
-# Seconds before the others are told again, where the store did not answer.
+# Seconds between attempts to announce the shutdown in the store.
 RETRY_SECONDS = 0.3
 
 
 class Departure:
-    """Tell the others of a planned stop, and hand the work on."""
+    """Announce a planned shutdown and hand over duties and texts."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         other_duties: Sequence[Duty] = (),
     ) -> None:
         self._session = session
-        # Duties without texts.
+        # Duties that have no partial texts to hand over.
         self._other_duties = other_duties
         self._duties_by_service = duties_by_service
         self._runners_by_service = runners_by_service
@@ -51,14 +51,14 @@
         self._clock = clock
 
     async def leave(self) -> None:
-        """Leave the directory, then give back what is held here.
+        """Announce the shutdown, hand over the texts and release all duties.
 
-        Tries again until the store has it, so the caller cancels it when no
-        time is left. A holder that gave up at the first try kept its duty
-        until its process ended; the next one had to wait for the lease too.
+        Retries until the store accepts, since a duty that is not released
+        blocks its successor until the lease expires. The caller cancels this
+        call at the shutdown deadline.
         """
         await self._announce()
-        # Whoever takes a duty looks for its texts at once.
+        # A new holder fetches the texts as soon as it acquires a duty.
         await self.hand_on()
         await defer.gatherResults(
             [
@@ -71,13 +71,13 @@
         )
 
     async def hand_on(self) -> None:
-        """Hand unfinished texts on, those kept for somebody else too."""
+        """Hand over partial texts, including those kept for another holder."""
         for service in list(self._duties_by_service):
-            running = self._runners_by_service.get(service)
-            if running is None:
+            runner = self._runners_by_service.get(service)
+            if runner is None:
                 texts = self._depot.take(service)
             else:
-                texts = running.left_texts()
+                texts = runner.left_texts()
             await self._sender.hand_on(service, texts)
 
     async def _announce(self) -> None:
@@ -91,5 +91,5 @@
                 store_module.StoreConflict,
                 store_module.LeaseEnded,
             ) as error:
-                log.warning('Not told the others.', cause=str(error))
+                log.warning('Shutdown was not announced.', cause=str(error))
                 await task.deferLater(self._clock, RETRY_SECONDS)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/division.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/division.py
@@ -1,4 +1,4 @@
-"""Decide once among how many holders a service is divided."""
+"""Decide once into how many parts a service is divided."""
 
 from __future__ import annotations
 
@@ -24,64 +24,63 @@
 
 log = logs.for_part('duty')
 
-# Seconds that each further candidate waits for the ones before it.
+# Delay per rank among the candidates, so that usually only one writes.
 RANK_SECONDS = 0.3
-# Seconds before a division that was not written is tried again.
 RETRY_SECONDS = 1.0
 
 
 class Division:
-    """Write what all go by before anybody holds a part.
+    """Write the division of a service to the store, at most once.
 
-    It never changes while the fleet lives: with two divisions at a time, two
-    holders would order one engine. Without it, nobody contends.
+    The entry is immutable: with two divisions in use, two holders would send
+    orders to one engine. No instance contends for a part before it exists.
     """
 
     def __init__(
         self,
         state: GatewayState,
         store: Store,
-        on_time: Callable[[], None],
+        on_due: Callable[[], None],
         clock: Any,
     ) -> None:
         self._state = state
         self._store = store
-        # Called when it is time to look again.
-        self._on_time = on_time
+        # Called when a decision is due; calls decide() again.
+        self._on_due = on_due
         self._clock = clock
-        # Engines as they were counted, and since when they are so many.
+        # Number of ready engines, and the time of its last change.
         self._counts_by_service: dict[ServiceName, tuple[int, float]] = {}
         self._timer: Any = None
         self._writing: set[ServiceName] = set()
 
     def decide(self, service: Service) -> None:
-        """Decide on a service once its engines are listed."""
+        """Write the division once the number of engines is stable."""
         if not self._state.is_current:
             return
-        found = len(self._state.targets.ready(service.name))
+        engine_count = len(self._state.targets.ready(service.name))
         now = self._clock.seconds()
         count, since = self._counts_by_service.get(service.name, (0, now))
-        if found != count:
+        if engine_count != count:
             since = now
-        self._counts_by_service[service.name] = (found, since)
+        self._counts_by_service[service.name] = (engine_count, since)
         rank = self._rank(service.name)
-        settled = partitions.settle_seconds(found)
-        left = since + settled + RANK_SECONDS * rank - now
-        if found == 0:
+        settled = partitions.settle_seconds(engine_count)
+        remaining = since + settled + RANK_SECONDS * rank - now
+        if engine_count == 0:
             return
-        if left > 0.0:
-            self._look_again(left)
+        if remaining > 0.0:
+            self._schedule_decision(remaining)
         elif service.name not in self._writing:
-            division = partitions.division_for(found)
-            self._write(service.name, division, found)
+            division = partitions.division_for(engine_count)
+            self._write(service.name, division, engine_count)
 
     def _rank(self, service: ServiceName) -> int:
         ordered = candidates.ordered(self._state.cores_by_name(), service)
         return ordered.index(self._state.settings.instance)
 
-    def _look_again(self, seconds: float) -> None:
+    def _schedule_decision(self, seconds: float) -> None:
         if self._timer is None or not self._timer.active():
-            self._timer = self._clock.callLater(seconds, self._on_time)
+            self._timer = self._clock.callLater(seconds, self._on_due)
 
     def _write(
         self, service: ServiceName, division: PartDivision, engines: int
@@ -109,19 +108,19 @@
                 parts=division.parts,
                 engines=engines,
             ),
-            self._failed,
+            self._write_failed,
         )
-        writing.addBoth(self._ended, service)
+        writing.addBoth(self._write_ended, service)
 
-    def _ended(self, _: object, service: ServiceName) -> None:
+    def _write_ended(self, _: object, service: ServiceName) -> None:
         self._writing.discard(service)
-        self._look_again(RETRY_SECONDS)
+        self._schedule_decision(RETRY_SECONDS)
 
-    def _failed(self, failure: Any) -> None:
-        # Another one decided, or the store is away: the entry will tell.
+    def _write_failed(self, failure: Any) -> None:
+        # Another instance wrote the division, or the store is unavailable.
         failure.trap(
             store_module.StoreConflict,
             store_module.StoreRefused,
             store_module.StoreUnclear,
         )
-        log.info('Division not written.', cause=str(failure.value))
+        log.info('Division was not written.', cause=str(failure.value))
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/duties.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/duties.py
@@ -1,4 +1,7 @@
-"""Hold the duty for a service's engines, one instance at a time."""
+"""Hold a duty: a role that one instance at a time holds under a lease.
+
+The holder of a service's duty alone sends orders to the service's engines.
+"""
 
 from __future__ import annotations
 
@@ -32,27 +35,23 @@
 
 log = logs.for_part('duty')
 
-# Seconds that each further instance in the order of candidates waits, so
-# that one write decides in most cases.
+# Delay per rank among the candidates, so that usually only one writes.
 RANK_SECONDS = 0.15
-# Seconds of the holder's lease. Another instance takes the duty over when
-# it ends; a shorter one would end each time the store is slow for a moment.
+# Lease of the holder; outlasts short delays of the store.
 LEASE_SECONDS = 2.5
-# Seconds between renewals: two may fail before the lease ends.
+# Two renewals in a row can fail before the lease expires.
 RENEWAL_SECONDS = 0.6
-# Seconds after a renewal in which orders are sent: one renewal and a slow
-# answer of the store fit.
-ORDER_WINDOW = 1.3
-# Seconds before a duty that was not taken is looked at again.
+# Time after a renewal in which orders are sent; covers one slow renewal.
+ORDER_WINDOW_SECONDS = 1.3
 RETRY_SECONDS = 0.3
-# Seconds that the read for a confirmation may take beyond the age wanted.
-CONFIRM_SLACK = 0.3
-# Seconds that stand for an order never sent.
-LONG_AGO = 1e9
+# Time allowed for the confirming read beyond the requested age.
+CONFIRM_SECONDS = 0.3
+# Idle time that is recorded if no order was sent.
+NEVER_ORDERED_SECONDS = 1e9
 
 
 class Duty:
-    """Contend for one service's duty and track its hold."""
+    """Contend for one duty and track its lease."""
 
     def __init__(
         self,
@@ -65,13 +64,13 @@
         holders: HolderCalls | None = None,
     ) -> None:
         self.service = service
-        # Whether there is anything to do under the duty.
+        # Whether the duty has work; by default, whether engines exist.
         self._is_wanted = is_wanted or self._has_targets
         self._holders = holders
         self.tenure: leadership.HeldLease | None = None
-        # Nobody else has held the duty since this process last held it.
+        # No other process has held the duty since this one last held it.
         self.is_continued = False
-        # The peer port of the last holder's standby, where it is known.
+        # Peer address of the last holder's standby; empty if unknown.
         self.last_standby = ''
         self._incarnation = Incarnation(uuid.uuid4().hex)
         self._state = state
@@ -85,12 +84,12 @@
         self._on_change = on_change
         self._clock = clock
         self._attempt: defer.Deferred[None] | None = None
-        self._keeping: defer.Deferred[None] | None = None
-        # When the last call was sent that showed the store knew this hold.
+        self._renewing: defer.Deferred[None] | None = None
+        # Send time of the last call that proved this instance's hold.
         self._confirmed_at = Instant(-math.inf)
         self._confirming: defer.Deferred[None] | None = None
-        # The own entry was seen in the store since it was written.
-        self._is_seen = False
+        # Whether this instance's entry was observed since its write.
+        self._is_observed = False
         self._lease = lease_module.Lease(
             store,
             LEASE_SECONDS,
@@ -101,54 +100,53 @@
         )
         self._policy = leadership.HoldPolicy(
             lease=LEASE_SECONDS,
-            order_window=ORDER_WINDOW,
+            order_window=ORDER_WINDOW_SECONDS,
             handover_pause=state.settings.handover_pause
             + leadership.DRIFT_MARGIN,
         )
 
     @property
     def revision(self) -> Revision | None:
-        """Return the change that gave this instance the duty, if it did."""
+        """Return the store revision that granted the duty, if held."""
         if self.tenure is None:
             return None
         return Revision(self.tenure.epoch)
 
     def is_held(self) -> bool:
-        """Tell whether work under the duty may go on."""
+        """Return whether this instance holds a valid lease of the duty."""
         return self.tenure is not None and self.tenure.is_held(self._now())
 
     @property
     def is_elsewhere(self) -> bool:
-        """Tell whether another instance is known to hold the duty."""
+        """Return whether another instance is known to hold the duty."""
         holder = self._state.duties_by_service.get(self.service)
         if holder is None:
             return False
         return holder.instance != self._state.settings.instance
 
     def update(self) -> None:
-        """Compare what is known with what this instance holds."""
+        """Check the hold against the observed holder, or contend."""
         holder = self._state.duties_by_service.get(self.service)
         if self.tenure is not None:
-            self._check(holder)
+            self._check_hold(holder)
         elif self._attempt is None and self._is_free(holder):
             self._contend()
 
     def _is_free(self, holder: DutyRecord | None) -> bool:
-        # A process that was killed finds the duty still under the lease of
-        # the one before it on the same instance: waiting for that lease to
-        # end would leave the engines without orders for seconds.
+        # A restarted process takes over its predecessor's hold: engines would
+        # get no orders until the predecessor's lease expires.
         me = self._state.settings.instance
         return holder is None or holder.instance == me
 
     def confirm_from(self, sent_at: Instant) -> None:
-        """Note that the store knew this hold when a call was sent."""
+        """Record that the hold was valid in the store at a send time."""
         self._confirmed_at = max(self._confirmed_at, sent_at)
 
     async def confirm(self, max_age: float) -> bool:
-        """Tell whether the store knew this hold within some seconds.
+        """Return whether the store held this hold at most max_age seconds ago.
 
-        The store may take the key away and go on with the lease, and let
-        another instance take the duty: renewals do not show it.
+        Renewals do not prove it: the store can delete the key, keep the lease
+        and grant the duty to another instance.
         """
         if self.tenure is None:
             return False
@@ -158,16 +156,16 @@
             self._confirming = defer.Deferred.fromCoroutine(self._read_key())
             self._confirming.addErrback(self._failed)
         waiting: defer.Deferred[None] = defer.Deferred()
-        self._confirming.addBoth(_pass_on, waiting)
+        self._confirming.addBoth(_notify_waiter, waiting)
         await waiting
         age = self._now() - self._confirmed_at
-        return self.tenure is not None and age <= max_age + CONFIRM_SLACK
+        return self.tenure is not None and age <= max_age + CONFIRM_SECONDS
 
     async def _read_key(self) -> None:
         sent_at = self._now()
         revision = self.revision
         try:
-            is_known = revision is not None and await self._keys.knows(
+            is_known = revision is not None and await self._keys.has_hold(
                 revision
             )
         finally:
@@ -177,53 +175,53 @@
         if is_known:
             self.confirm_from(sent_at)
         else:
-            self._lose('the store does not know it')
+            self._drop_hold('the store does not have this hold')
 
     def may_order(self) -> bool:
-        """Tell whether an order may be sent."""
+        """Return whether an order may be sent to an engine."""
         return self.tenure is not None and self.tenure.may_order(self._now())
 
     def order(self) -> None:
-        """Note that an order is sent."""
+        """Record that an order is sent."""
         if self.tenure is not None:
             self.tenure.record_order(self._now())
 
     async def release(self) -> None:
-        """Give the duty back, telling when the last order was sent.
+        """Release the duty and record the time since the last order.
 
-        Tries again until the store has it or the lease has ended.
+        Retries until the store accepts or the lease has expired.
         """
         tenure, self.tenure = self.tenure, None
         if tenure is None:
             return
-        self._stop_keeping()
+        self._stop_renewing()
         self._on_change()
         now = self._now()
-        idle = min(tenure.idle_seconds(now), LONG_AGO)
+        idle = min(tenure.idle_seconds(now), NEVER_ORDERED_SECONDS)
         waits = max(0.0, tenure.earliest_order_at - now)
-        await self._keys.give_back(Revision(tenure.epoch), idle, waits)
+        await self._keys.release_hold(Revision(tenure.epoch), idle, waits)
         log.info('Duty given back.', service=self.service)
 
     def give_up(self, revision: Revision) -> None:
-        """Take note that the store no longer knows this hold."""
+        """Drop a hold that the store no longer has."""
         if self.tenure is not None and self.revision == revision:
-            self._lose('the store does not know it')
+            self._drop_hold('the store does not have this hold')
 
-    def _check(self, holder: DutyRecord | None) -> None:
+    def _check_hold(self, holder: DutyRecord | None) -> None:
         assert self.tenure is not None
         epoch = self.tenure.epoch
         if holder is not None and holder.revision > epoch:
-            self._lose('another instance has it')
+            self._drop_hold('another instance holds the duty')
         elif self._lease.id is None:
-            self._lose('the lease ended')
-        elif holder is None and self._is_seen:
-            # The store may take a key away and go on with its lease.
-            self._lose('the entry is gone')
+            self._drop_hold('the lease ended')
+        elif holder is None and self._is_observed:
+            # The store can delete a key and keep its lease.
+            self._drop_hold('the entry of this hold was deleted')
         else:
-            self._is_seen = self._is_seen or holder is not None
+            self._is_observed = self._is_observed or holder is not None
             self.tenure.renew(self._lease.renewed_at)
 
-    def _lose(self, cause: str) -> None:
+    def _drop_hold(self, cause: str) -> None:
         assert self.tenure is not None
         log.warning(
             'Duty lost.',
@@ -232,32 +230,31 @@
             cause=cause,
         )
         self.tenure = None
-        self._stop_keeping()
+        self._stop_renewing()
         self._on_change()
         self._clock.callLater(0, self.update)
 
-    def _stop_keeping(self) -> None:
-        keeping, self._keeping = self._keeping, None
-        if keeping is not None:
-            keeping.cancel()
+    def _stop_renewing(self) -> None:
+        renewing, self._renewing = self._renewing, None
+        if renewing is not None:
+            renewing.cancel()
 
     def _contend(self) -> None:
-        # The record of the last holder has to be known: it says from when
-        # on orders may be sent.
+        # The last holder's record determines when orders may be sent, so a
+        # stale copy of the store is not enough.
         if self._state.is_leaving or not self._state.is_current:
             return
         if not self._is_wanted():
             return
-        self._attempt = defer.Deferred.fromCoroutine(self._take())
+        self._attempt = defer.Deferred.fromCoroutine(self._acquire())
         self._attempt.addErrback(self._failed)
-        self._attempt.addBoth(self._ended)
+        self._attempt.addBoth(self._attempt_ended)
 
     async def _wait_turn(self) -> None:
-        """Let those go first who had better have the duty.
+        """Wait for the last holder, if it is alive, and for better candidates.
 
-        A store that let leases run out while it was away gave the duty to
-        whoever came first. The last holder lived, and went on with its texts;
-        the new one read them for 1.2 s, and might order no engine for 4.6 s.
+        Leases can expire during a store outage. A new holder would have to
+        read all texts and wait for the handover pause; the last one need not.
         """
         last = self._state.last_holders_by_service.get(self.service)
         me = self._state.settings.instance
@@ -269,14 +266,14 @@
             asked_at = self._clock.seconds()
             assert last is not None
             if await self._holders.is_alive(last.instance, self.service):
-                wait += holder_calls.BACK_SECONDS
+                wait += holder_calls.RECLAIM_SECONDS
             wait -= self._clock.seconds() - asked_at
         await task.deferLater(self._clock, max(0.0, wait))
 
     def _has_targets(self) -> bool:
         return bool(self._state.engines(self.service))
 
-    async def _take(self) -> None:
+    async def _acquire(self) -> None:
         if self.service not in self._state.duties_by_service:
             await self._wait_turn()
         holder = self._state.duties_by_service.get(self.service)
@@ -290,7 +287,7 @@
         waits = earliest_order_at - self._now()
         self.last_standby = '' if last is None else last.standby
         self._keys.standby = ''
-        revision = await self._keys.take(lease, holder, last, waits)
+        revision = await self._keys.acquire(lease, holder, last, waits)
         earliest_order_at = Instant(self._now() + waits)
         self.is_continued = (
             last is not None and last.incarnation == self._incarnation
@@ -301,12 +298,12 @@
             self._lease.renewed_at,
             earliest_order_at,
         )
-        self._is_seen = False
+        self._is_observed = False
         self._confirmed_at = self._lease.renewed_at
-        self._keeping = defer.Deferred.fromCoroutine(self._lease.keep())
-        self._keeping.addErrback(self._failed)
+        self._renewing = defer.Deferred.fromCoroutine(self._lease.keep())
+        self._renewing.addErrback(self._failed)
         if waits > 0.0:
-            self._clock.callLater(waits, self._waited, revision)
+            self._clock.callLater(waits, self._handover_wait_ended, revision)
         log.info(
             'Duty taken.',
             service=self.service,
@@ -316,33 +313,33 @@
         )
         self._on_change()
 
-    def _waited(self, revision: Revision) -> None:
-        # From now on a restart of this instance need not wait again.
+    def _handover_wait_ended(self, revision: Revision) -> None:
+        # Recorded so that a restart of this instance does not wait again.
         if self.revision != revision:
             return
-        self._describe()
+        self._write_last_holder()
 
     def name_standby(self, address: str) -> None:
-        """Let the next holder know the peer port of who has the texts."""
+        """Record the peer address of the standby for the next holder."""
         if address != self._keys.standby and self.is_held():
             self._keys.standby = address
-            self._describe()
+            self._write_last_holder()
 
-    def _describe(self) -> None:
+    def _write_last_holder(self) -> None:
         assert self.tenure is not None
         waits = max(0.0, self.tenure.earliest_order_at - self._now())
         writing = defer.Deferred.fromCoroutine(
-            self._keys.describe(Revision(self.tenure.epoch), waits)
+            self._keys.write_wait(Revision(self.tenure.epoch), waits)
         )
-        writing.addErrback(self._not_described)
+        writing.addErrback(self._last_holder_write_failed)
 
-    def _not_described(self, failure: Any) -> None:
-        # Named again with the standby's next answers.
+    def _last_holder_write_failed(self, failure: Any) -> None:
+        # Cleared so that the standby's next answer records it again.
         self._keys.standby = ''
         self._failed(failure)
 
     def _rank(self) -> int:
-        """Return this instance's place among the candidates."""
+        """Return this instance's rank among the candidates."""
         ordered = self._state.candidates(self.service)
         return ordered.index(self._state.settings.instance)
 
@@ -355,7 +352,7 @@
             defer.CancelledError,
         ):
             log.info(
-                'Duty not taken.',
+                'Store request for a duty did not succeed.',
                 service=self.service,
                 cause=repr(failure.value),
                 known_holder=self._state.duties_by_service.get(self.service),
@@ -364,9 +361,9 @@
                 ),
             )
             return
-        log.error('Duty failed.', cause=failure.getTraceback())
+        log.error('Duty handling failed.', cause=failure.getTraceback())
 
-    def _ended(self, _: object) -> None:
+    def _attempt_ended(self, _: object) -> None:
         self._attempt = None
         if self.tenure is None:
             self._clock.callLater(RETRY_SECONDS, self.update)
@@ -375,6 +372,6 @@
         return lease_module.boot_time()
 
 
-def _pass_on(result: object, waiting: defer.Deferred[None]) -> object:
+def _notify_waiter(result: object, waiting: defer.Deferred[None]) -> object:
     waiting.callback(None)
     return result
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/duty_keys.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/duty_keys.py
@@ -1,4 +1,4 @@
-"""Write and read the keys of one service's duty."""
+"""Read and write the store keys of one duty."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 log = logs.for_part('duty')
 
-# Seconds before a duty is given back again, where the store did not answer.
+# Seconds between attempts to release a duty.
 RETRY_SECONDS = 0.3
 
 
 class DutyKeys:
-    """Take and give back a duty in the store, by conditional writes."""
+    """Acquire and release a duty in the store by conditional writes."""
 
     def __init__(
         self,
@@ -42,21 +42,21 @@
         self._instance = instance
         self._incarnation = incarnation
         self._store = store
-        # The peer port of the standby, told with each hold.
+        # Peer address of the standby, written with the holder's record.
         self.standby = ''
         self._clock = clock
 
-    async def take(
+    async def acquire(
         self,
         lease: int,
         holder: state_module.DutyRecord | None,
         last: leadership.LastHolder | None,
         waits: float,
     ) -> Revision:
-        """Write a hold over what is known; return the change that did.
+        """Acquire the duty and return the revision that granted it.
 
-        Raises StoreConflict if something else stands there, StoreRefused or
-        StoreUnclear.
+        Raises StoreConflict if the store differs from the expected holder or
+        last holder, StoreRefused or StoreUnclear.
         """
         key = keys.duty(self._service)
         record = state_module.DutyRecord(instance=self._instance)
@@ -68,9 +68,8 @@
                     if holder is None
                     else Revision(holder.revision),
                 ),
-                # What is known here of the last holder may be old: taken
-                # for itself, this instance would order at once what
-                # another one ordered a moment ago.
+                # With a stale record, this instance would take itself for
+                # the last holder and skip the handover pause.
                 store_module.Expectation(
                     key=keys.last_holder(self._service),
                     revision=store_module.ABSENT
@@ -84,57 +83,57 @@
                     value=msgspec.msgpack.encode(record),
                     lease=lease,
                 ),
-                self._last_holder(None, waits),
+                self._last_holder_write(None, waits),
             ],
         )
 
-    async def knows(self, revision: Revision) -> bool:
-        """Tell whether a hold stands in the store."""
+    async def has_hold(self, revision: Revision) -> bool:
+        """Return whether the store has the hold of this revision."""
         entry = await self._store.get(keys.duty(self._service))
         return entry is not None and entry.revision == revision
 
-    async def describe(self, revision: Revision, waits: float) -> None:
-        """Write how long a holder still waits, and who has its texts."""
+    async def write_wait(self, revision: Revision, waits: float) -> None:
+        """Write the holder's remaining handover wait and its standby."""
         await self._store.transact(
-            expected=[self._hold(revision)],
-            writes=[self._last_holder(None, waits)],
+            expected=[self._expect_hold(revision)],
+            writes=[self._last_holder_write(None, waits)],
         )
 
-    async def give_back(
+    async def release_hold(
         self, revision: Revision, idle: float, waits: float
     ) -> None:
-        """Remove a hold, and write what the next holder has to wait for.
+        """Remove the hold and record the wait for the next holder.
 
-        Tries again until the store has it or the hold has ended.
+        Retries until the store accepts or the hold has ended.
         """
         while True:
             try:
                 await self._store.transact(
-                    expected=[self._hold(revision)],
-                    writes=[self._last_holder(idle, waits)],
+                    expected=[self._expect_hold(revision)],
+                    writes=[self._last_holder_write(idle, waits)],
                     removals=[keys.duty(self._service)],
                 )
                 return
             except store_module.StoreConflict:
-                # An earlier try was carried out, or the lease ended.
+                # An earlier attempt succeeded, or the lease expired.
                 return
             except (
                 store_module.StoreRefused,
                 store_module.StoreUnclear,
             ) as error:
                 log.info(
-                    'Duty not given back.',
+                    'Duty release failed.',
                     service=self._service,
                     cause=str(error),
                 )
                 await task.deferLater(self._clock, RETRY_SECONDS)
 
-    def _hold(self, revision: Revision) -> store_module.Expectation:
+    def _expect_hold(self, revision: Revision) -> store_module.Expectation:
         return store_module.Expectation(
             key=keys.duty(self._service), revision=revision
         )
 
-    def _last_holder(
+    def _last_holder_write(
         self, idle: float | None, waits: float
     ) -> store_module.Write:
         record = leadership.LastHolder(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/holder_calls.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/holder_calls.py
@@ -1,4 +1,4 @@
-"""Ask the last holder of a duty whether it lives, and is to have it back."""
+"""Ask the last holder of a free duty whether it reclaims the duty."""
 
 from __future__ import annotations
 
@@ -21,28 +21,27 @@
 log = logs.for_part('duty')
 
 PATH = '/duty'
-# Seconds for its answer: a way between regions and a busy loop fit, and one
-# that is lost for good keeps its successor waiting no longer.
+# Covers a cross-region round trip and a busy event loop.
 ANSWER_SECONDS = 0.3
-# Seconds that a last holder which lives has to take its duty back. It is told
-# of the free duty by the question itself, and needs two calls of the store.
-BACK_SECONDS = 0.8
+# Time for a living last holder to reclaim its duty with two store calls; the
+# request itself notifies the last holder of the free duty.
+RECLAIM_SECONDS = 0.8
 
 
 class HolderCalls:
-    """Ask last holders, and answer as one."""
+    """Ask last holders whether they reclaim a duty, and answer such calls."""
 
     def __init__(self, state: GatewayState, peers: PeerCalls) -> None:
         self._state = state
         self._peers = peers
-        # Called with a service whose duty somebody else found free.
+        # Called with the service whose duty another instance found free.
         self.on_asked: Callable[[ServiceName], None] = lambda service: None
 
     async def is_alive(self, holder: InstanceId, service: ServiceName) -> bool:
-        """Tell whether a last holder lives and wants the duty back."""
+        """Return whether the last holder is alive and reclaims the duty."""
         peer = self._state.instances_by_id.get(holder)
         if peer is None:
-            # Its entry went with its lease, and comes back with it.
+            # A holder whose lease expired may be alive and unlisted.
             peer = self._state.known_instances_by_id.get(holder)
         if peer is None:
             return False
@@ -52,12 +51,16 @@
                 peer, 'GET', f'{PATH}?{query}', ANSWER_SECONDS
             )
         except peer_call.PeerFailed as error:
-            log.info('Last holder is lost.', holder=holder, cause=str(error))
+            log.info(
+                'Last holder does not reclaim its duty.',
+                holder=holder,
+                cause=str(error),
+            )
             return False
         return True
 
     async def handle(self, request: SmallRequest) -> Page:
-        """Say whether this instance wants a duty back."""
+        """Answer whether this instance reclaims a duty; 409 if it does not."""
         query = urllib.parse.parse_qs(request.query)
         service = ServiceName(query.get('service', [''])[0])
         if self._state.is_leaving:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/lease.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/lease.py
@@ -1,4 +1,4 @@
-"""Keep one lease of the store."""
+"""Open and renew a lease in the store."""
 
 from __future__ import annotations
 
@@ -19,21 +19,20 @@
 
 log = logs.for_part('lease')
 
-# Seconds before a renewal that failed is tried again.
 RETRY_SECONDS = 0.2
 
 
 def boot_time() -> Instant:
-    """Return seconds on a clock that counts while the machine stands still.
+    """Return seconds on a clock that also counts while the machine sleeps.
 
-    The monotonic clock does not: after a suspension, a lease that ended
-    long ago would look valid, and two holders would order one engine.
+    On a clock that stops during suspension, an expired lease would look valid
+    and two holders would send orders to one engine.
     """
     return Instant(time.clock_gettime(time.CLOCK_BOOTTIME))
 
 
 class Lease:
-    """Renew a lease until it ends."""
+    """Renew one store lease until it expires or is revoked."""
 
     def __init__(
         self,
@@ -46,22 +45,22 @@
         is_urgent: bool,
     ) -> None:
         self.id: int | None = None
-        # When the last renewal that succeeded was sent.
+        # Send time of the last successful renewal, by boot_time().
         self.renewed_at = Instant(0.0)
-        # Called when the store is reached again after it was away.
+        # Called when the store is reachable again after an outage.
         self.on_return: Callable[[], None] = lambda: None
         self._store = store
         self._seconds = seconds
         self._renewal_seconds = renewal_seconds
         self._on_change = on_change
         self._clock = clock
-        # Whether it is tried again at short intervals while the store is
-        # away: once it is back, each lost moment counts.
+        # Whether to retry at a fixed short interval during a store outage
+        # instead of backing off.
         self._is_urgent = is_urgent
-        self._is_lost = False
+        self._is_store_unreachable = False
 
     async def open(self) -> int:
-        """Open a lease.
+        """Open a lease and return its ID.
 
         Raises StoreRefused or StoreUnclear.
         """
@@ -71,7 +70,7 @@
         return self.id
 
     async def keep(self) -> None:
-        """Renew until the lease ends, or until cancelled."""
+        """Renew the lease until it ends or this call is cancelled."""
         is_renewed = True
         while self.id is not None:
             if is_renewed:
@@ -83,13 +82,13 @@
             is_renewed = await self._renew(self.id)
 
     async def end(self) -> None:
-        """End the lease, and with it its keys."""
+        """Revoke the lease, which deletes its keys."""
         ended, self.id = self.id, None
         if ended is not None:
             await self._store.end_lease(ended)
 
     async def _renew(self, lease: int) -> bool:
-        """Tell whether nothing has to be tried again."""
+        """Send a renewal; return False if it has to be retried."""
         sent_at = boot_time()
         try:
             await self._store.keep_lease(lease)
@@ -98,23 +97,23 @@
             if self.id == lease:
                 self.id = None
                 self._on_change()
-            self._returned()
+            self._end_outage()
             return True
         except (
             store_module.StoreRefused,
             store_module.StoreUnclear,
         ) as error:
-            if not self._is_lost:
-                log.warning('Lease not renewed.', cause=str(error))
-            self._is_lost = True
+            if not self._is_store_unreachable:
+                log.warning('Lease renewal failed.', cause=str(error))
+            self._is_store_unreachable = True
             return False
         self.renewed_at = sent_at
-        self._returned()
+        self._end_outage()
         self._on_change()
         return True
 
-    def _returned(self) -> None:
-        if self._is_lost:
-            self._is_lost = False
+    def _end_outage(self) -> None:
+        if self._is_store_unreachable:
+            self._is_store_unreachable = False
             log.info('Store reached again.')
             self.on_return()
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/session.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/session.py
@@ -1,4 +1,4 @@
-"""Keep this instance listed in the store while it lives."""
+"""Keep this instance registered in the store while it is alive."""
 
 from __future__ import annotations
 
@@ -21,18 +21,17 @@
 
 log = logs.for_part('session')
 
-# Seconds for which an instance that died stays in the directory. Clients
-# leave an address out that failed them; renewals of all instances are paid.
+# A dead instance stays in the directory for this long. Clients skip a failed
+# address, and a shorter lease costs the store more renewals.
 LEASE_SECONDS = 4.5
-# Seconds between renewals: once a renewal fails, tries go on for half of the
-# lease. 165 instances make 83 renewals a second, 118 at 1.4 s.
+# Leaves half of the lease for retries of a failed renewal.
 RENEWAL_SECONDS = 2.0
-# Seconds after which an own entry that nobody sees is written again.
+# Time after which this instance's missing entry is written again.
 UNSEEN_SECONDS = 2.0
 
 
 class Session:
-    """Register this instance under one lease after the other."""
+    """Register this instance, with a new lease whenever one ends."""
 
     def __init__(
         self,
@@ -56,7 +55,7 @@
         )
 
     async def follow(self) -> None:
-        """Register and renew, until cancelled."""
+        """Register and renew the lease until end() or cancellation."""
         while not self._is_ended:
             try:
                 await self.lease.open()
@@ -68,11 +67,11 @@
                 store_module.StoreRefused,
                 store_module.StoreUnclear,
             ) as error:
-                log.warning('Not registered.', cause=str(error))
+                log.warning('Registration failed.', cause=str(error))
                 await self._store.pause(lease_module.RETRY_SECONDS)
 
     async def check(self) -> None:
-        """Register again if the entry was taken away under its lease."""
+        """Register again if the entry was deleted while its lease is valid."""
         me = self._state.settings.instance
         if self.lease.id is None or not self._state.is_current:
             return
@@ -81,16 +80,16 @@
         now = self._clock.seconds()
         if now >= self._written_at + UNSEEN_SECONDS:
             self._written_at = now
-            log.warning('Own entry is gone; written again.')
+            log.warning('Missing instance entry is written again.')
             await self._register()
 
     async def leave(self) -> None:
-        """Tell the others that this instance takes no new work."""
+        """Publish that this instance is leaving and accepts no new work."""
         if self.lease.id is not None:
             await self._register()
 
     async def end(self) -> None:
-        """End the lease, and with it this instance's entry."""
+        """Revoke the lease, which deletes this instance's entry."""
         self._is_ended = True
         await self.lease.end()
 
--- a/packages/yuccarill-daemon/tests/gateway/test_duties.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_duties.py
@@ -19,7 +19,7 @@
 from . import memory_store
 from . import world
 
-PAUSE = 3.3 + duties.ORDER_WINDOW
+PAUSE = 3.3 + duties.ORDER_WINDOW_SECONDS
 
 
 @dataclasses.dataclass
@@ -167,7 +167,7 @@
         (name,) = self.holders(a, b)
         holder, other = (a, b) if name == 'a' else (b, a)
         holder.store.refuses = True
-        self.run_for(duties.LEASE_SECONDS + holder_calls.BACK_SECONDS + 1.0)
+        self.run_for(duties.LEASE_SECONDS + holder_calls.RECLAIM_SECONDS + 1.0)
         self.assertTrue(other.duty.is_held())
 
     def test_a_last_holder_that_is_leaving_is_not_waited_for(self) -> None:
