--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/__init__.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/__init__.py
@@ -1,1 +1,1 @@
-"""Go on with a lost holder's texts while the store is away."""
+"""Resume a lost duty holder's texts during a store outage."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/copier.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/copier.py
@@ -1,4 +1,4 @@
-"""Let the next candidate know the open jobs of a holder."""
+"""Copy a duty holder's open jobs to its standby, the next candidate."""
 
 from __future__ import annotations
 
@@ -27,21 +27,19 @@
 
 log = logs.for_part('standby')
 
-# Seconds between messages; each also says that the holder is alive.
-TELL_SECONDS = 0.5
-# Seconds that one may take.
+# Interval of messages; each one is also a heartbeat of the holder.
+SEND_SECONDS = 0.5
 ANSWER_SECONDS = 0.8
-# Messages taken in a row by which a standby has the jobs and their texts. Who
-# it is changes with each instance that starts, and each change is a write.
+# Consecutive accepted messages before the standby is recorded in the store;
+# limits the writes while instances join and the standby changes.
 SETTLED_MESSAGES = 4
-# Items of a job that goes whole to the standby. 1,024 of some 1 kB are a
-# megabyte, 0.15 s of a link of 60 Mbit/s; a larger one would hold up what
-# else the link carries, and waits for the store as it did before.
-MAX_ITEMS = 1024
+# Larger jobs are not copied, since they would block other traffic on the link;
+# they wait for the store.
+MAX_JOB_ITEMS = 1024
 
 
 class JobCopier:
-    """Send a runner's open jobs, whole ones once."""
+    """Send a runner's open jobs to its standby; each job whole only once."""
 
     def __init__(
         self,
@@ -55,57 +53,54 @@
     ) -> None:
         self._service = service
         self._state = state
-        # Called with the peer port of a standby that goes on answering.
+        # Called with the peer address of a standby that has all jobs.
         self._on_settled = on_settled
-        # Each open job, and its items that have ended.
+        # Returns each open job with its ended items.
         self._open_jobs = open_jobs
         self._sender = sender
         self._peers = peers
         self._standby: InstanceRecord | None = None
-        # Messages that it took, one after the other.
-        self._taken = 0
-        # What the standby has, by its answers.
+        self._accepted_messages = 0
+        # Ended items that the standby has acknowledged.
         self._ended_by_job: dict[JobId, frozenset[ItemId]] = {}
-        self._telling: defer.Deferred[None] | None = None
+        self._sending: defer.Deferred[None] | None = None
         self._ticker = task.LoopingCall(self._tick)
         self._ticker.clock = clock
 
     def start(self) -> None:
-        """Begin to send."""
-        self._ticker.start(TELL_SECONDS)
+        """Start sending at regular intervals."""
+        self._ticker.start(SEND_SECONDS)
 
     def stop(self) -> None:
-        """Send nothing more."""
+        """Stop sending and cancel a message in flight."""
         if self._ticker.running:
             self._ticker.stop()
-        if self._telling is not None:
-            self._telling.cancel()
+        if self._sending is not None:
+            self._sending.cancel()
 
     def _tick(self) -> None:
-        if self._telling is not None:
+        if self._sending is not None:
             return
-        self._telling = defer.Deferred.fromCoroutine(self._tell())
-        self._telling.addErrback(self._failed)
-        self._telling.addBoth(self._told)
+        self._sending = defer.Deferred.fromCoroutine(self._send())
+        self._sending.addErrback(self._failed)
+        self._sending.addBoth(self._send_ended)
 
-    async def _tell(self) -> None:
+    async def _send(self) -> None:
         receivers = self._sender.receivers(self._service)
         if not receivers:
             return
         peer = receivers[0]
         if self._standby is None or peer.instance != self._standby.instance:
             former, self._standby = self._standby, peer
-            self._taken = 0
+            self._accepted_messages = 0
             self._ended_by_job.clear()
             if former is not None:
-                dismissing = defer.Deferred.fromCoroutine(
-                    self._dismiss(former)
-                )
-                dismissing.addErrback(self._failed)
-        ended_by_job = {
+                releasing = defer.Deferred.fromCoroutine(self._release(former))
+                releasing.addErrback(self._failed)
+        jobs_by_id = {
             job.id: (job, ended)
             for job, ended in self._open_jobs()
-            if len(job.items) <= MAX_ITEMS
+            if len(job.items) <= MAX_JOB_ITEMS
         }
         message = messages.OpenJobs(
             service=self._service,
@@ -113,7 +108,7 @@
             incarnation=self._state.incarnation,
             jobs=tuple(
                 self._open_job(job, ended)
-                for job, ended in ended_by_job.values()
+                for job, ended in jobs_by_id.values()
             ),
         )
         try:
@@ -126,22 +121,22 @@
                 message,
             )
         except peer_call.PeerFailed as error:
-            # It may have some of it: all is sent as a whole again.
+            # The standby's state is unknown, so all jobs are sent whole.
             self._ended_by_job.clear()
-            self._taken = 0
-            log.info('Jobs not copied.', peer=peer.instance, cause=str(error))
+            self._accepted_messages = 0
+            log.info('Job copy failed.', peer=peer.instance, cause=str(error))
             return
         self._ended_by_job = {
             job_id: ended
-            for job_id, (_, ended) in ended_by_job.items()
+            for job_id, (_, ended) in jobs_by_id.items()
             if job_id not in answer.jobs
         }
-        self._taken += 1
-        if self._taken >= SETTLED_MESSAGES:
+        self._accepted_messages += 1
+        if self._accepted_messages >= SETTLED_MESSAGES:
             self._on_settled(peer.peer_address)
 
-    async def _dismiss(self, peer: InstanceRecord) -> None:
-        """Let a former standby know that it has no jobs to go on with."""
+    async def _release(self, peer: InstanceRecord) -> None:
+        """Tell a former standby that it has no jobs to resume."""
         message = messages.OpenJobs(
             service=self._service,
             holder=self._state.settings.instance,
@@ -159,7 +154,7 @@
             )
         except peer_call.PeerFailed as error:
             log.info(
-                'Standby not dismissed.', peer=peer.instance, cause=str(error)
+                'Standby release failed.', peer=peer.instance, cause=str(error)
             )
 
     def _open_job(
@@ -172,7 +167,7 @@
 
     def _failed(self, failure: Any) -> None:
         if not failure.check(defer.CancelledError):
-            log.error('Copy failed.', cause=failure.getTraceback())
+            log.error('Job copier failed.', cause=failure.getTraceback())
 
-    def _told(self, _: object) -> None:
-        self._telling = None
+    def _send_ended(self, _: object) -> None:
+        self._sending = None
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/desk.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/desk.py
@@ -1,4 +1,4 @@
-"""Stand by for the holders that send this instance their open jobs."""
+"""Act as standby for the duty holders that send their open jobs."""
 
 from __future__ import annotations
 
@@ -35,19 +35,19 @@
 
 log = logs.for_part('standby')
 
-# Seconds between looks at holders, and at a standby's own runs.
+# Interval of checks of all holders and of the standby's own runs.
 TICK_SECONDS = 0.1
-# Seconds between calls by which a standby that runs finds the store again: the
-# next holder waits for its texts.
-PROBE_SECONDS = 0.3
-# Seconds between looks at whether the store is there, while a holder is
-# silent. They cost no call of it: what was last heard of it tells.
-LOOK_SECONDS = 0.3
+# Interval at which a running standby retries the store; short, since the next
+# holder waits for the standby's texts.
+RETRY_SECONDS = 0.3
+# Interval of checks for a store outage while a holder is silent. A check reads
+# the age of the last store contact and sends no call to the store.
+CHECK_SECONDS = 0.3
 
 
 @dataclasses.dataclass
-class _Service:
-    """Hold what is known of one service's holder."""
+class _HolderState:
+    """Hold the copied jobs and the state of one service's holder."""
 
     holder: InstanceId
     incarnation: Incarnation
@@ -56,16 +56,16 @@
         default_factory=dict
     )
     watch: StandbyWatch = dataclasses.field(default_factory=StandbyWatch)
-    look_at: Instant = Instant(0.0)
-    is_looking: bool = False
+    next_check_at: Instant = Instant(0.0)
+    is_checking: bool = False
     runner: StandbyRunner | None = None
-    # The holder's instance was told that the store is back.
-    is_told: bool = False
-    probe_at: Instant = Instant(0.0)
+    # Whether the holder was notified that the store has recovered.
+    is_notified: bool = False
+    next_retry_at: Instant = Instant(0.0)
 
 
 class StandbyDesk:
-    """Know the open jobs of other holders, and run them if need be."""
+    """Run the jobs of a holder that is lost during a store outage."""
 
     def __init__(
         self,
@@ -74,10 +74,10 @@
         depot: TextDepot,
         witnesses: Witnesses,
         make_runner: Callable[[ServiceName], StandbyRunner],
-        tell_return: Callable[
+        notify_holder: Callable[
             [InstanceId, ServiceName], Coroutine[Any, Any, bool]
         ],
-        expect_return: Callable[[], None],
+        retry_store: Callable[[], None],
         clock: Any,
     ) -> None:
         self._state = state
@@ -85,168 +85,172 @@
         self._depot = depot
         self._witnesses = witnesses
         self._make_runner = make_runner
-        # Tells a holder that may have started again to look for its duty.
-        self._tell_return = tell_return
-        # Tries at once whether a lost store is back.
-        self._expect_return = expect_return
+        # Notifies a possibly restarted holder to reclaim its duty.
+        self._notify_holder = notify_holder
+        # Retries the connection to the store immediately.
+        self._retry_store = retry_store
         self._clock = clock
-        self._services_by_name: dict[ServiceName, _Service] = {}
+        self._holders_by_service: dict[ServiceName, _HolderState] = {}
         self._ticker = task.LoopingCall(self._tick)
         self._ticker.clock = clock
         depot.on_show = self._hand_over
 
     def start(self) -> None:
-        """Begin to look after holders."""
+        """Start to monitor holders."""
         self._ticker.start(TICK_SECONDS).addErrback(self._failed)
 
     def handles(self, path: str) -> bool:
-        """Tell whether a page of the peer port is answered here."""
+        """Return whether this desk serves a path of the peer port."""
         return path.startswith(messages.PATH)
 
     async def handle(self, request: SmallRequest) -> Page:
-        """Take what a holder says of its open jobs, or answer a standby."""
-        if request.path == messages.SIGHT_PATH:
+        """Store a holder's open jobs, or answer another standby's query."""
+        if request.path == messages.SIGHTING_PATH:
             return await self._witnesses.handle(request)
         try:
             message = msgspec.msgpack.decode(
                 request.body, type=messages.OpenJobs
             )
         except msgspec.MsgspecError as error:
-            log.warning('Jobs not taken.', cause=str(error))
+            log.warning('Open jobs could not be decoded.', cause=str(error))
             return Page(status=400)
-        lacking = self._take(message)
+        missing = self._record_jobs(message)
         return Page(
             status=200,
             content_type='application/msgpack',
-            body=msgspec.msgpack.encode(messages.Lacking(jobs=lacking)),
+            body=msgspec.msgpack.encode(messages.Lacking(jobs=missing)),
         )
 
-    def _take(self, message: messages.OpenJobs) -> tuple[JobId, ...]:
-        known = self._services_by_name.get(message.service)
-        if known is None or known.incarnation != message.incarnation:
+    def _record_jobs(self, message: messages.OpenJobs) -> tuple[JobId, ...]:
+        state = self._holders_by_service.get(message.service)
+        if state is None or state.incarnation != message.incarnation:
             self.stop(message.service)
-            known = _Service(message.holder, message.incarnation)
-            self._services_by_name[message.service] = known
-        known.watch.record_heartbeat(self._now())
-        if known.runner is not None:
-            # The holder was not lost, or is back.
-            self._stop(message.service, known)
-        lacking = []
+            state = _HolderState(message.holder, message.incarnation)
+            self._holders_by_service[message.service] = state
+        state.watch.record_heartbeat(self._now())
+        if state.runner is not None:
+            # The holder is alive.
+            self._stop_runner(message.service, state)
+        missing = []
         jobs_by_id: dict[JobId, Job] = {}
         ended_by_job: dict[JobId, set[ItemId]] = {}
-        for each in message.jobs:
-            job = each.job or known.jobs_by_id.get(each.id)
+        for open_job in message.jobs:
+            job = open_job.job or state.jobs_by_id.get(open_job.id)
             if job is None:
-                lacking.append(each.id)
+                missing.append(open_job.id)
                 continue
-            jobs_by_id[each.id] = job
-            before = set() if each.job else known.ended_by_job[each.id]
-            ended_by_job[each.id] = before | set(each.ended)
-            self._depot.drop(message.service, each.ended)
-        known.jobs_by_id, known.ended_by_job = jobs_by_id, ended_by_job
-        return tuple(lacking)
+            jobs_by_id[open_job.id] = job
+            ended = set() if open_job.job else state.ended_by_job[open_job.id]
+            ended_by_job[open_job.id] = ended | set(open_job.ended)
+            self._depot.drop(message.service, open_job.ended)
+        state.jobs_by_id, state.ended_by_job = jobs_by_id, ended_by_job
+        return tuple(missing)
 
     def stop(self, service: ServiceName) -> None:
-        """Run a service no longer: its duty is held, here or elsewhere."""
-        known = self._services_by_name.pop(service, None)
-        if known is not None and known.runner is not None:
-            self._stop(service, known)
+        """Stop running a service, since its duty has a holder again."""
+        state = self._holders_by_service.pop(service, None)
+        if state is not None and state.runner is not None:
+            self._stop_runner(service, state)
 
     def _hand_over(self, service: ServiceName) -> None:
-        # Whoever asks for the texts is about to run them.
-        known = self._services_by_name.get(service)
-        if known is not None and known.runner is not None:
+        # An instance that fetches the texts is about to run them.
+        state = self._holders_by_service.get(service)
+        if state is not None and state.runner is not None:
             self.stop(service)
 
-    def _stop(self, service: ServiceName, known: _Service) -> None:
-        assert known.runner is not None
-        known.runner.stop()
-        texts = known.runner.texts()
-        known.runner = None
+    def _stop_runner(self, service: ServiceName, state: _HolderState) -> None:
+        assert state.runner is not None
+        state.runner.stop()
+        texts = state.runner.texts()
+        state.runner = None
         self._depot.put(service, texts)
-        log.info('Standby ended.', service=service, texts=len(texts))
+        log.info('Standby stopped.', service=service, texts=len(texts))
 
     def _tick(self) -> None:
-        for service, known in list(self._services_by_name.items()):
+        for service, state in list(self._holders_by_service.items()):
             now = self._now()
-            if not known.watch.is_silent(now):
+            if not state.watch.is_silent(now):
                 continue
-            if self._is_taken(service, known):
+            if self._is_taken_over(service, state):
                 self.stop(service)
                 continue
-            if known.runner is not None:
-                self._note_return(service, known)
-            if now >= known.look_at and not known.is_looking:
-                self._look(known)
-            if known.watch.can_run(now):
-                self._run(service, known)
-            elif known.runner is not None:
+            if state.runner is not None:
+                self._announce_recovery(service, state)
+            if now >= state.next_check_at and not state.is_checking:
+                self._start_check(state)
+            if state.watch.can_run(now):
+                self._run(service, state)
+            elif state.runner is not None:
                 self.stop(service)
 
-    def _is_taken(self, service: ServiceName, known: _Service) -> bool:
-        """Tell whether another instance holds the duty by now."""
+    def _is_taken_over(
+        self, service: ServiceName, state: _HolderState
+    ) -> bool:
+        """Return whether an instance other than the holder has the duty."""
         duty = self._state.duties_by_service.get(service)
-        return duty is not None and duty.instance != known.holder
+        return duty is not None and duty.instance != state.holder
 
-    def _run(self, service: ServiceName, known: _Service) -> None:
-        if known.runner is not None:
-            known.runner.survey()
+    def _run(self, service: ServiceName, state: _HolderState) -> None:
+        if state.runner is not None:
+            state.runner.survey()
             return
-        if self._state.is_leaving or not known.jobs_by_id:
+        if self._state.is_leaving or not state.jobs_by_id:
             return
-        known.is_told = False
-        known.runner = self._make_runner(service)
+        state.is_notified = False
+        state.runner = self._make_runner(service)
         texts = self._depot.kept(service)
         log.warning(
-            'Standby goes on.',
+            'Standby resumes the jobs of a holder.',
             service=service,
-            holder=known.holder,
-            jobs=len(known.jobs_by_id),
+            holder=state.holder,
+            jobs=len(state.jobs_by_id),
             texts=len(texts),
         )
-        known.runner.start(
+        state.runner.start(
             [
-                (job, known.ended_by_job[job_id])
-                for job_id, job in known.jobs_by_id.items()
+                (job, state.ended_by_job[job_id])
+                for job_id, job in state.jobs_by_id.items()
             ],
             texts,
         )
 
-    def _note_return(self, service: ServiceName, known: _Service) -> None:
-        """Let the holder's instance know that the store is back.
+    def _announce_recovery(
+        self, service: ServiceName, state: _HolderState
+    ) -> None:
+        """Notify the holder's instance that the store has recovered.
 
-        One that has started again knows no other instance, and looks for the
-        store by itself, ever more seldom.
+        A restarted holder knows no other instance and retries the store with
+        increasing delays.
         """
-        if known.is_told:
+        if state.is_notified:
             return
-        if self._store_age() >= witness.STORE_AGE:
-            if self._now() >= known.probe_at:
-                known.probe_at = Instant(self._now() + PROBE_SECONDS)
-                self._expect_return()
+        if self._store_age() >= witness.STORE_LOST_SECONDS:
+            if self._now() >= state.next_retry_at:
+                state.next_retry_at = Instant(self._now() + RETRY_SECONDS)
+                self._retry_store()
             return
-        known.is_told = True
-        known.watch.record_store_probe(True, self._now())
-        telling = defer.Deferred.fromCoroutine(
-            self._tell_return(known.holder, service)
+        state.is_notified = True
+        state.watch.record_store_probe(True, self._now())
+        notifying = defer.Deferred.fromCoroutine(
+            self._notify_holder(state.holder, service)
         )
-        telling.addErrback(self._failed)
+        notifying.addErrback(self._failed)
 
-    def _look(self, known: _Service) -> None:
-        known.is_looking = True
-        looking = defer.Deferred.fromCoroutine(self._find_out(known))
-        looking.addErrback(self._failed)
-        looking.addBoth(self._looked, known)
+    def _start_check(self, state: _HolderState) -> None:
+        state.is_checking = True
+        checking = defer.Deferred.fromCoroutine(self._check_store(state))
+        checking.addErrback(self._failed)
+        checking.addBoth(self._check_ended, state)
 
-    async def _find_out(self, known: _Service) -> None:
-        if self._store_age() < witness.STORE_AGE:
-            known.watch.record_store_probe(True, self._now())
-        elif await self._witnesses.are_lost(known.holder, known.incarnation):
-            known.watch.record_store_probe(False, self._now())
+    async def _check_store(self, state: _HolderState) -> None:
+        if self._store_age() < witness.STORE_LOST_SECONDS:
+            state.watch.record_store_probe(True, self._now())
+        elif await self._witnesses.are_lost(state.holder, state.incarnation):
+            state.watch.record_store_probe(False, self._now())
 
-    def _looked(self, _: object, known: _Service) -> None:
-        known.is_looking = False
-        known.look_at = Instant(self._now() + LOOK_SECONDS)
+    def _check_ended(self, _: object, state: _HolderState) -> None:
+        state.is_checking = False
+        state.next_check_at = Instant(self._now() + CHECK_SECONDS)
 
     def _failed(self, failure: Any) -> None:
         if not failure.check(defer.CancelledError):
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/messages.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/messages.py
@@ -1,4 +1,4 @@
-"""Messages by which a holder lets its standby know the open jobs."""
+"""Messages between a duty holder, its standby and other instances."""
 
 from __future__ import annotations
 
@@ -12,43 +12,43 @@
 from yuccarill.core.jobs.job import JobId
 
 PATH = '/standby'
-# Where an instance says what it knows of a holder, and that it is alive.
-SIGHT_PATH = '/standby/sight'
+# Path for queries whether an instance reaches a holder and the store.
+SIGHTING_PATH = '/standby/sight'
 
 
 class OpenJob(msgspec.Struct, frozen=True, kw_only=True):
-    """Say how far one open job is."""
+    """Report the progress of one open job."""
 
     id: JobId
-    # Whole where the standby may not have it.
+    # The whole job, unless the standby has acknowledged it.
     job: Job | None = None
-    # Items whose results are listed, or whose job has no more use for them,
-    # since the last message that the standby took.
+    # Items whose results are listed or no longer needed; only those added
+    # since the last message that the standby acknowledged.
     ended: tuple[ItemId, ...] = ()
 
 
 class OpenJobs(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold every open job of a service; all others have ended."""
+    """List every open job of a service; jobs that are absent have ended."""
 
     service: ServiceName
     holder: InstanceId
     jobs: tuple[OpenJob, ...]
-    # The process that holds them; one started again has lost its texts.
+    # The holder's process; a restarted process has lost its texts.
     incarnation: Incarnation = Incarnation('')
 
 
 class Sighting(msgspec.Struct, frozen=True, kw_only=True):
-    """Say what an instance knows of the store and of a holder."""
+    """Report whether an instance reaches the store and a holder."""
 
-    # Seconds since it last heard the store, by itself or through others.
+    # Seconds since the last direct or relayed contact with the store.
     store_age: float
-    # By the process that was asked for, and no later one.
+    # Whether the queried process answered; a restarted one does not count.
     is_holder_reached: bool
-    # The process that answers.
+    # The process that sends this report.
     incarnation: Incarnation = Incarnation('')
 
 
 class Lacking(msgspec.Struct, frozen=True, kw_only=True):
-    """Name the jobs that a standby would need whole."""
+    """List the jobs that the standby needs to receive whole."""
 
     jobs: tuple[JobId, ...] = ()
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/unlisted_runs.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/unlisted_runs.py
@@ -1,4 +1,4 @@
-"""Run a lost holder's items, without listing anything."""
+"""Run a lost holder's items without listing their results."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from yuccarill.core.ids import Instant
 from yuccarill.core.jobs import engines as engines_module
-from yuccarill.core.jobs import job_queue as board_module
+from yuccarill.core.jobs import job_queue as queue_module
 from yuccarill.daemon.gateway.jobs import item_runs
 from yuccarill.daemon import logs
 
@@ -33,10 +33,10 @@
 
 
 class StandbyRunner:
-    """Generate and score what the next holder lists.
+    """Generate and score items whose results the next holder lists.
 
-    It needs no duty: an item may run more than once, results are listed
-    under a condition of the store, and engines are ordered by nobody.
+    No duty is needed: repeated runs of an item are harmless, since results
+    are listed by conditional writes, and engines get no orders.
     """
 
     def __init__(
@@ -51,15 +51,15 @@
         self._service = service
         self._state = state
         self._clock = clock
-        self._board = board_module.JobQueue()
+        self._queue = queue_module.JobQueue()
         self._fleet = engines_module.EngineFleet(
             item_runs.speed_book(state.placement)
         )
-        self._works: set[defer.Deferred[None]] = set()
+        self._tasks: set[defer.Deferred[None]] = set()
         self._runs = item_runs.ItemRuns(
             service,
             state,
-            self._board,
+            self._queue,
             self._fleet,
             generator,
             guard,
@@ -73,49 +73,49 @@
         jobs: Iterable[tuple[Job, set[ItemId]]],
         texts: Iterable[PartialText],
     ) -> None:
-        """Begin with the jobs' items that have not ended."""
-        self._board.keep_partial_texts(texts)
+        """Start the items that have not ended."""
+        self._queue.keep_partial_texts(texts)
         for job, ended in jobs:
-            self._add(job, ended)
+            self._add_job(job, ended)
         self.survey()
 
-    def _add(self, job: Job, ended: set[ItemId]) -> None:
-        # By the clocks of two machines: they only set the order of jobs.
+    def _add_job(self, job: Job, ended: set[ItemId]) -> None:
+        # Clock skew between machines affects only the order of jobs.
         age = max(0.0, time.time() - job.submitted_at)
         submitted_at = Instant(self._now() - age)
         due_at = Instant(submitted_at + job.due_at - job.submitted_at)
-        # The next holder says when an item is given up.
-        state = board_module.JobState(
+        # No expiry: the next holder decides when an item is abandoned.
+        state = queue_module.JobState(
             job, submitted_at, due_at, Instant(float('inf'))
         )
         for item in ended:
             state.end(item)
-        for run in self._board.add(state):
+        for run in self._queue.add(state):
             self.track(job.id, self._runs.score(run))
 
     def survey(self) -> None:
-        """Look at engines and runs anew, and start what can be."""
+        """Update the engines, move runs and start those that fit."""
         self._fleet.update(self._state.engines(self._service))
         self._runs.moves.move()
         self._runs.pump()
 
     def stop(self) -> None:
-        """End all runs; their texts stay."""
+        """Cancel all runs and keep their texts."""
         self._runs.stop()
-        for work in list(self._works):
+        for work in list(self._tasks):
             work.cancel()
 
     def texts(self) -> list[PartialText]:
-        """Return what there is of each item."""
-        return self._board.partial_texts(())
+        """Return the partial text of each item."""
+        return self._queue.partial_texts(())
 
     def finish(
-        self, run: board_module.ItemRun, result: ItemResult, cause: str
+        self, run: queue_module.ItemRun, result: ItemResult, cause: str
     ) -> None:
-        """Keep an item's end for the next holder, which lists it."""
-        self._board.jobs_by_id[run.job.id].end(run.item.id)
+        """Record the end of an item; the next holder lists the result."""
+        self._queue.jobs_by_id[run.job.id].end(run.item.id)
         log.info(
-            'Item made by a standby.',
+            'Item completed by a standby.',
             item=run.item.id,
             job=run.job.id,
             end=result.state,
@@ -125,16 +125,16 @@
     def track(
         self, job: JobId, work: Coroutine[Any, Any, None]
     ) -> defer.Deferred[None]:
-        """Start work that ends with this runner."""
+        """Start work that is cancelled when this runner stops."""
         running = defer.Deferred.fromCoroutine(work)
-        self._works.add(running)
-        running.addBoth(self._ended, running)
+        self._tasks.add(running)
+        running.addBoth(self._task_ended, running)
         return running
 
-    def _ended(self, result: Any, running: defer.Deferred[None]) -> None:
-        self._works.discard(running)
+    def _task_ended(self, result: Any, running: defer.Deferred[None]) -> None:
+        self._tasks.discard(running)
         if hasattr(result, 'check') and not result.check(defer.CancelledError):
-            log.error('Work failed.', cause=result.getTraceback())
+            log.error('Standby work failed.', cause=result.getTraceback())
 
     def _now(self) -> Instant:
         return Instant(self._clock.seconds())
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/witness.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/witness.py
@@ -1,4 +1,4 @@
-"""Find out from others whether a holder and the store are lost."""
+"""Ask other instances whether a holder and the store are lost."""
 
 from __future__ import annotations
 
@@ -25,22 +25,20 @@
 
 log = logs.for_part('standby')
 
-# Instances that are asked. One that is cut off from everybody hears neither
-# its holder nor the store, and would run what the holder still runs; two that
-# answer, and see the same, show that it is not alone.
-WITNESSES = 3
+# Instances to ask, and the quorum of answers. Without a quorum, a partitioned
+# standby would run the same texts as its holder.
+MAX_WITNESSES = 3
 MIN_ANSWERS = 2
-# Seconds for an answer, and for the question that it needs itself.
+# The answer includes the witness's own call to the holder.
 ANSWER_SECONDS = 0.9
-HOLDER_SECONDS = 0.4
-# Seconds without a word of the store after which an instance has lost it. A
-# watcher hears of each of three prefixes once a second, and tells the others
-# within a poll.
-STORE_AGE = 1.6
+HOLDER_ANSWER_SECONDS = 0.4
+# Time without store contact after which the store counts as lost; covers one
+# watch interval of 1 s and the relay to other instances.
+STORE_LOST_SECONDS = 1.6
 
 
 class Witnesses:
-    """Ask other instances, and be asked."""
+    """Ask other instances about a holder, and answer such queries."""
 
     def __init__(
         self,
@@ -55,9 +53,9 @@
     async def are_lost(
         self, holder: InstanceId, incarnation: Incarnation
     ) -> bool:
-        """Tell whether others have lost the holder and the store as well.
+        """Return whether enough instances have lost the holder and the store.
 
-        A holder whose process has started again is lost.
+        A holder whose process has restarted counts as lost.
         """
         me = self._state.settings.instance
         others = [
@@ -65,7 +63,7 @@
             for record in self._state.serving_instances()
             if record.instance not in (me, holder)
         ]
-        count = min(WITNESSES, len(others))
+        count = min(MAX_WITNESSES, len(others))
         asked = self._state.generator.sample(others, count)
         answers = await defer.gatherResults(
             [
@@ -75,14 +73,14 @@
                 for peer in asked
             ]
         )
-        seen = [answer for answer in answers if answer is not None]
-        return len(seen) >= MIN_ANSWERS and all(
-            each.store_age >= STORE_AGE and not each.is_holder_reached
-            for each in seen
+        sightings = [answer for answer in answers if answer is not None]
+        return len(sightings) >= MIN_ANSWERS and all(
+            each.store_age >= STORE_LOST_SECONDS and not each.is_holder_reached
+            for each in sightings
         )
 
     async def handle(self, request: SmallRequest) -> Page:
-        """Say what is known here of a holder, or only that this is alive."""
+        """Report whether this instance reaches the store and the holder."""
         query = urllib.parse.parse_qs(request.query)
         holder = query.get('holder', [''])[0]
         incarnation = query.get('incarnation', [''])[0]
@@ -100,7 +98,7 @@
     async def _is_reached(self, name: str, incarnation: str) -> bool:
         for record in self._state.instances_by_id.values():
             if record.instance == name:
-                found = await self._call(record, '', HOLDER_SECONDS)
+                found = await self._call(record, '', HOLDER_ANSWER_SECONDS)
                 return found is not None and found.incarnation == incarnation
         return False
 
@@ -122,10 +120,14 @@
             return await self._peers.ask(
                 peer,
                 'GET',
-                messages.SIGHT_PATH + query,
+                messages.SIGHTING_PATH + query,
                 seconds,
                 messages.Sighting,
             )
         except peer_call.PeerFailed as error:
-            log.debug('No answer.', peer=peer.instance, cause=str(error))
+            log.debug(
+                'Instance did not answer.',
+                peer=peer.instance,
+                cause=str(error),
+            )
             return None
--- a/packages/yuccarill-daemon/tests/gateway/test_division.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_division.py
@@ -1,4 +1,4 @@
-"""Test that a fleet decides once how a service is divided among holders."""
+"""Test that the division of a service is decided only once."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from . import world
 
-# Seconds between two looks at a peer's copy of the store.
+# Interval at which an instance polls a peer for its copy of the store.
 POLL_SECONDS = 1.5
 KEY = keys.partitions(world.SERVICE)
 SERVICE = routes.Service(
@@ -34,55 +34,52 @@
         found.decide(SERVICE)
         return found
 
-    def decided(self) -> int | None:
+    def decided_parts(self) -> int | None:
         entry = self.keys.entries_by_key.get(KEY)
         return None if entry is None else partitions.decode(entry.value).parts
 
     def test_a_small_service_is_not_divided(self) -> None:
         self.start('a', 45)
         self.run_for(3.0)
-        self.assertEqual(1, self.decided())
+        self.assertEqual(1, self.decided_parts())
 
-    def test_a_large_one_has_a_holder_for_some_engines_each(self) -> None:
+    def test_a_large_service_is_divided(self) -> None:
         self.start('a', 1200)
         self.run_for(5.0)
-        self.assertEqual(4, self.decided())
+        self.assertEqual(4, self.decided_parts())
 
-    def test_what_was_decided_stays(self) -> None:
-        """Two divisions at a time would let two holders order one engine.
+    def test_a_division_is_immutable(self) -> None:
+        """Two divisions would let two holders send orders to one engine.
 
-        1. Instances that know different engines decide at the same moment.
-        2. The store takes the first word, and all go by it.
+        Instances that know different engines decide at the same time; the
+        first write wins.
         """
         self.start('a', 45)
         self.start('b', 1200)
         self.start('c', 1200)
         self.run_for(0.5)
-        self.assertIsNone(self.decided())
+        self.assertIsNone(self.decided_parts())
         self.run_for(5.0)
-        first = self.decided()
+        first = self.decided_parts()
         revision = self.keys.entries_by_key[KEY].revision
         self.start('b', 1200)
         self.run_for(5.0)
-        self.assertEqual(first, self.decided())
+        self.assertEqual(first, self.decided_parts())
         self.assertEqual(revision, self.keys.entries_by_key[KEY].revision)
 
-    def test_engines_that_are_still_coming_are_waited_for(self) -> None:
+    def test_decision_waits_until_engines_stop_joining(self) -> None:
         found = self.start('a', 10)
         self.run_for(0.8)
         for number in range(1200):
             found._state.targets.put(world.engine(f'late{number}'))
         found.decide(SERVICE)
         self.run_for(5.0)
-        self.assertEqual(5, self.decided())
+        self.assertEqual(5, self.decided_parts())
 
-    def test_engines_that_are_heard_of_in_batches(self) -> None:
-        """One holder got all 1,710 engines of a fleet that was just installed.
+    def test_decision_waits_for_engines_found_in_batches(self) -> None:
+        """A division by the first batch alone would have too few parts.
 
-        1. Engines start together, and most instances hear of them from a
-           peer, which they ask once in 1.5 s.
-        2. Between two answers their number stands still.
-        3. It is decided by all of them, not by those of the first answer.
+        The number of engines is constant between two polls of a peer.
         """
         found = self.start('a', 400)
         for batch in range(3):
@@ -92,9 +89,9 @@
                 found._state.targets.put(world.engine(name))
             found.decide(SERVICE)
         self.run_for(5.0)
-        self.assertEqual(6, self.decided())
+        self.assertEqual(6, self.decided_parts())
 
-    def test_nobody_decides_without_engines(self) -> None:
+    def test_no_decision_without_engines(self) -> None:
         state = self.state('a')
         state.targets.remove(world.engine('e1').id)
         found = division.Division(
@@ -102,4 +99,4 @@
         )
         found.decide(SERVICE)
         self.run_for(5.0)
-        self.assertIsNone(self.decided())
+        self.assertIsNone(self.decided_parts())
--- a/packages/yuccarill-daemon/tests/gateway/test_duties.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_duties.py
@@ -1,4 +1,4 @@
-"""Test who holds a duty, and when its holder may order engines."""
+"""Test which instance holds a duty and when the holder may send orders."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from . import memory_store
 from . import world
 
-PAUSE = 3.3 + duties.ORDER_WINDOW_SECONDS
+PAUSE_SECONDS = 3.3 + duties.ORDER_WINDOW_SECONDS
 
 
 @dataclasses.dataclass
 class Instance:
-    """Hold one instance's parts."""
+    """Bundle the components of one instance."""
 
     state: state_module.GatewayState
     store: memory_store.MemoryStore
@@ -34,7 +34,7 @@
     is_dead: bool = False
 
     def kill(self) -> None:
-        """End the process: nothing of it goes on."""
+        """Simulate a crash: cancel all work and silence the store."""
         for each in self.following:
             each.cancel()
         self.store.is_silent = True
@@ -42,7 +42,7 @@
 
 
 class Peers:
-    """Carry questions between the instances of a test."""
+    """Deliver peer calls between the instances of a test."""
 
     def __init__(self, found: DutyTest) -> None:
         self._world = found
@@ -92,7 +92,7 @@
         for each in following:
             each.addErrback(lambda failure: failure.trap(Exception))
             self.addCleanup(each.cancel)
-        # The list of targets is empty in the store.
+        # The store has no targets, so one is added directly.
         state.targets.put(world.engine('e1'))
         found = Instance(state, store, duty, following, holders)
         self.instances_by_name[name] = found
@@ -105,23 +105,21 @@
             if each.duty.is_held()
         ]
 
-    def test_one_of_two_holds_it(self) -> None:
+    def test_only_one_of_two_instances_holds_the_duty(self) -> None:
         a, b = self.start('a'), self.start('b')
         self.run_for(1.0)
         self.assertEqual(1, len(self.holders(a, b)))
 
-    def test_first_holder_orders_at_once(self) -> None:
+    def test_first_holder_may_order_immediately(self) -> None:
         a = self.start('a')
         self.run_for(1.0)
         self.assertTrue(a.duty.may_order())
 
     def test_the_next_holder_waits_before_it_orders(self) -> None:
-        """Two holders that take turns at an engine break its weights.
+        """Orders of two holders in quick succession corrupt engine weights.
 
-        1. The holder dies; its lease ends 2.5 s later.
-        2. Another one takes the duty, and can't know how long the first
-           one went on.
-        3. It orders only once the first one's last order is long past.
+        A crashed holder's last order has no known time, so its successor
+        waits for the whole handover pause.
         """
         a = self.start('a')
         self.run_for(1.0)
@@ -131,19 +129,17 @@
         self.run_for(duties.LEASE_SECONDS + 1.0)
         self.assertEqual(['b'], self.holders(a, b))
         self.assertFalse(b.duty.may_order())
-        self.run_for(PAUSE)
+        self.run_for(PAUSE_SECONDS)
         self.assertTrue(b.duty.may_order())
 
-    # Whose place is the first among the candidates, and who is to have it.
+    # The other instance and the last holder; each name ranks first once.
     @params(('a', 'b'), ('b', 'a'))
-    def test_leases_that_ran_out_while_the_store_was_away(
+    def test_last_holder_reclaims_duty_after_leases_expired(
         self, first: str, second: str
     ) -> None:
-        """No engine was ordered for 4.6 s after each such outage.
+        """A new holder would send no orders during the handover pause.
 
-        1. The store is away, and lets all leases run out meanwhile.
-        2. It is back: whoever comes first finds the duty free.
-        3. The last holder lives, and goes on as if nothing had been.
+        The last holder is alive and reclaims its duty after the outage.
         """
         holder = self.start(second)
         self.run_for(1.0)
@@ -160,8 +156,8 @@
         self.assertTrue(holder.duty.is_continued)
         self.assertTrue(holder.duty.may_order())
 
-    def test_a_last_holder_that_lives_and_is_cut_off(self) -> None:
-        # It can't take the duty back: another one has it after a moment.
+    def test_a_partitioned_last_holder_is_replaced(self) -> None:
+        # The last holder cannot reclaim the duty, so the other acquires it.
         a, b = self.start('a'), self.start('b')
         self.run_for(1.0)
         (name,) = self.holders(a, b)
@@ -180,7 +176,7 @@
         self.run_for(0.6)
         self.assertTrue(other.duty.is_held())
 
-    def test_a_released_duty_passes_on_soon(self) -> None:
+    def test_a_released_duty_is_acquired_soon(self) -> None:
         a = self.start('a')
         self.run_for(1.0)
         b = self.start('b')
@@ -189,12 +185,12 @@
         self.finish(a.duty.release())
         self.run_for(0.5)
         self.assertEqual(['b'], self.holders(a, b))
-        # The first one never ordered anything.
+        # The first holder never sent an order.
         self.assertTrue(b.duty.may_order())
 
-    def test_a_restarted_holder_takes_its_own_back(self) -> None:
-        # A killed process comes back on its machine before the lease of
-        # the one before it ends. To an engine it is the same holder.
+    def test_a_restarted_holder_reacquires_its_duty(self) -> None:
+        # A process restarts before its predecessor's lease expires. To an
+        # engine, both are the same holder.
         a = self.start('a')
         self.run_for(1.0)
         a.kill()
@@ -204,12 +200,10 @@
         self.assertFalse(again.duty.is_continued)
 
     def test_a_holder_that_restarts_while_it_waits_waits_again(self) -> None:
-        """Two instances ordered one engine within 2.6 s.
+        """A restart must not cut short the wait for another holder's order.
 
-        1. The first holder orders, and gives the duty back.
-        2. The next one takes it, and has to wait for three seconds.
-        3. It is killed, comes back, and finds itself the last holder: that
-           says nothing of when the first one ordered.
+        The restarted process finds its own record as the last holder, which
+        does not tell when the previous holder sent its last order.
         """
         a = self.start('a')
         self.run_for(1.0)
@@ -229,11 +223,10 @@
         self.assertGreaterEqual(gap, 3.0)
         self.assertLess(gap, 8.0)
 
-    def test_naming_a_standby_shortens_no_wait(self) -> None:
-        """A holder that names its standby while it waits is killed and back.
+    def test_recording_a_standby_keeps_the_wait(self) -> None:
+        """Recording a standby must keep the remaining wait in the record.
 
-        The record that names the standby is the one that says how long the
-        holder still has to wait.
+        The holder records its standby during the wait, crashes and restarts.
         """
         a = self.start('a')
         self.run_for(1.0)
@@ -264,7 +257,7 @@
         self.assertEqual(['b'], self.holders(a, b))
         self.assertEqual('c:2', b.duty.last_standby)
 
-    def test_a_standby_that_could_not_be_named_is_named_again(self) -> None:
+    def test_a_failed_record_of_a_standby_is_retried(self) -> None:
         a = self.start('a')
         self.run_for(1.0)
         a.store.refuses = True
@@ -279,11 +272,11 @@
         self.run_for(duties.LEASE_SECONDS + 1.0)
         self.assertEqual('c:2', b.duty.last_standby)
 
-    def test_one_that_gives_back_what_it_never_used_passes_the_wait_on(
+    def test_an_unused_duty_keeps_the_wait_when_released(
         self,
     ) -> None:
-        # a orders and leaves; b takes the duty and leaves at once; c must
-        # still wait for a's order.
+        # a sends an order and releases the duty; b acquires and releases it
+        # immediately; c must still wait for a's order.
         a = self.start('a')
         self.run_for(1.0)
         b = self.start('b')
@@ -316,12 +309,10 @@
         self.run_for(0.5)
         self.assertTrue(again.duty.may_order())
 
-    def test_a_holder_that_stood_still_does_not_order(self) -> None:
-        """A suspended holder wakes with a lease that looks fresh.
+    def test_a_suspended_holder_does_not_order(self) -> None:
+        """A lease must expire while the holder's machine is suspended.
 
-        1. The machine is suspended right after a renewal, for 10 s.
-        2. The monotonic clock stood still with it.
-        3. Meanwhile another instance has taken the duty.
+        The monotonic clock stops during suspension.
         """
         a = self.start('a')
         self.run_for(1.0)
@@ -329,9 +320,9 @@
         self.assertFalse(a.duty.may_order())
         self.assertFalse(a.duty.is_held())
 
-    def test_a_key_that_was_taken_away_is_noticed(self) -> None:
-        # The store removes the holder's key and goes on with its lease; no
-        # call of the holder shows it.
+    def test_a_deleted_key_is_detected(self) -> None:
+        # The store deletes the holder's key and keeps its lease, so renewals
+        # still succeed.
         a = self.start('a')
         self.run_for(1.0)
         epoch = a.duty.revision
@@ -341,12 +332,10 @@
         self.assertNotEqual(epoch, a.duty.revision)
         self.assertTrue(a.duty.is_continued)
 
-    def test_cut_off_holder_stops_ordering_before_the_next_one(self) -> None:
-        """Both would order at a time if the cut were noticed late.
+    def test_partitioned_holder_stops_ordering_before_successor(self) -> None:
+        """Orders of a partitioned holder and its successor must not overlap.
 
-        1. The store takes the holder's key away and answers it no more.
-        2. The other instance takes the duty at once.
-        3. Wherever they are, their orders lie three seconds apart.
+        The store deletes the holder's key and stops answering the holder.
         """
         a = self.start('a')
         self.run_for(1.0)
@@ -363,13 +352,11 @@
         gap = orders_by_name['b'][0] - orders_by_name['a'][-1]
         self.assertGreaterEqual(gap, 3.0)
 
-    def test_a_hold_that_the_store_forgot_is_not_confirmed(self) -> None:
-        """A reader got fewer results than it had read before.
+    def test_a_hold_deleted_from_the_store_is_not_confirmed(self) -> None:
+        """A superseded holder must neither answer readers nor send orders.
 
-        1. The store takes the holder's key away; its lease goes on, and
-           its watch hears nothing of it.
-        2. Another instance takes the duty and lists more results.
-        3. The first one may neither answer readers nor order engines.
+        The store deletes the holder's key and keeps its lease, and the
+        holder's watch receives no event.
         """
         a = self.start('a')
         self.run_for(1.0)
@@ -382,14 +369,14 @@
         self.assertFalse(self.finish(a.duty.confirm(0.5)))
         self.assertFalse(a.duty.may_order())
 
-    def test_a_hold_can_not_be_confirmed_without_the_store(self) -> None:
+    def test_a_hold_is_not_confirmed_without_the_store(self) -> None:
         a = self.start('a')
         self.run_for(1.0)
         a.store.refuses = True
         self.run_for(0.6)
         self.assertFalse(self.finish(a.duty.confirm(0.5)))
 
-    def test_many_readers_cost_one_confirmation(self) -> None:
+    def test_concurrent_confirmations_share_one_read(self) -> None:
         a = self.start('a')
         self.run_for(2.0)
         a.store.calls.clear()
@@ -401,17 +388,17 @@
         self.assertTrue(all(each.result for each in asking))
         self.assertEqual(1, a.store.calls.count('get'))
 
-    def test_a_lost_reply_does_not_leave_the_duty_unheld(self) -> None:
-        # The write took effect, its reply never came: the instance finds
-        # its own entry and takes the duty back under a new epoch.
-        store_faults = self.start('a')
-        store_faults.store.loses_replies = True
+    def test_duty_is_held_after_a_lost_reply(self) -> None:
+        # The write succeeds but its reply is lost: the instance finds its own
+        # entry and acquires the duty again under a new epoch.
+        holder = self.start('a')
+        holder.store.loses_replies = True
         self.run_for(0.5)
-        store_faults.store.loses_replies = False
+        holder.store.loses_replies = False
         self.run_for(3.0)
-        self.assertTrue(store_faults.duty.may_order())
+        self.assertTrue(holder.duty.may_order())
 
-    def test_the_store_away_for_long_returns_the_duty(self) -> None:
+    def test_duty_is_reacquired_after_a_long_outage(self) -> None:
         a = self.start('a')
         self.run_for(1.0)
         a.store.refuses = True
--- a/packages/yuccarill-daemon/tests/gateway/test_standby.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_standby.py
@@ -1,9 +1,7 @@
-"""Test that texts go on while their holder is lost and the store is silent.
+"""Test that a standby resumes texts while the holder and the store are lost.
 
-The pattern is that of the days that earned least on every deployment: the
-holder is lost for good in the moment in which the store falls silent, for 6 s.
-Steps of a few seconds are under way; nobody can take the duty before the
-store is back and the holder's lease has ended.
+No instance can acquire the duty before the store recovers and the holder's
+lease expires.
 """
 
 from __future__ import annotations
@@ -32,14 +30,14 @@
 from . import world
 
 HOLDER = 'a'
-# The most suitable one after the holder, and others.
+# The holder and the candidates for its standby.
 NAMES = (HOLDER, 'b', 'c', 'd')
-# Seconds an event, so that a step takes longer than the outage.
-SLOW = 0.5
+# Leaves the texts unfinished when the outage begins.
+EVENT_SECONDS = 0.5
 
 
 class Peer:
-    """Hold one instance beside the holder."""
+    """Bundle the components of one instance."""
 
     def __init__(self, found: StandbyTest, name: str) -> None:
         self.state: state_module.GatewayState = found.state(name)
@@ -70,7 +68,7 @@
                 runner_world.Scorer(),
                 found.clock,
             ),
-            found.tell_return,
+            found.notify_holder,
             lambda: found.probes.append(name),
             found.clock,
         )
@@ -89,14 +87,14 @@
     def setUp(self) -> None:
         super().setUp()
         for engine in self.engines.engines_by_id.values():
-            engine.gap = SLOW
-        # Instances that answer nobody.
+            engine.gap = EVENT_SECONDS
+        # Instances that answer no calls.
         self.lost: set[str] = set()
-        # Standbys that the holder would name in the store.
-        self.named: list[str] = []
-        # Holders that were told of the store's return.
-        self.told: list[str] = []
-        # Instances that looked whether the store is back.
+        # Standby addresses that the holder would record in the store.
+        self.recorded_standbys: list[str] = []
+        # Holders that were notified of the store's recovery.
+        self.notified_holders: list[str] = []
+        # Instances that retried the store.
         self.probes: list[str] = []
         self.peers_by_name = {name: Peer(self, name) for name in NAMES}
         self.running = self.hold(HOLDER)
@@ -104,32 +102,32 @@
         sender = texts.TextSender(
             holder.state, Links(self, HOLDER), self.clock
         )
-        self.copying = text_copier.StandbyCopy(
+        self.text_copy = text_copier.StandbyCopy(
             world.SERVICE, self.running.open_texts, sender, self.clock
         )
-        self.telling = copier.JobCopier(
+        self.job_copier = copier.JobCopier(
             world.SERVICE,
             holder.state,
             self.running.open_jobs,
             sender,
             holder.peers,
-            self.named.append,
+            self.recorded_standbys.append,
             self.clock,
         )
-        self.copying.start()
-        self.telling.start()
+        self.text_copy.start()
+        self.job_copier.start()
         self.standby = self.peers_by_name[
             sender.receivers(world.SERVICE)[0].instance
         ]
 
     def lose_holder(self) -> None:
         self.lost.add(HOLDER)
-        self.copying.stop()
-        self.telling.stop()
+        self.text_copy.stop()
+        self.job_copier.stop()
         self.running.stop()
 
-    async def tell_return(self, holder: str, service: str) -> bool:
-        self.told.append(holder)
+    async def notify_holder(self, holder: str, service: str) -> bool:
+        self.notified_holders.append(holder)
         return True
 
     def silence_store(self, is_silent: bool = True) -> None:
@@ -137,30 +135,26 @@
         for peer in self.peers_by_name.values():
             peer.store_age = 9.0 if is_silent else 0.0
 
-    def made(self) -> int:
-        """Return how many events the standby has of all texts."""
+    def standby_event_count(self) -> int:
+        """Return the number of events in all texts of the standby."""
         self.standby.depot.on_show(world.SERVICE)
         kept = self.standby.depot.kept(world.SERVICE)
         return sum(len(text.parts) for text in kept)
 
-    def test_texts_go_on_while_the_store_is_silent(self) -> None:
-        """Steps of 5 s took 13, since nothing was generated for 9.5 s.
+    def test_standby_completes_texts_during_store_outage(self) -> None:
+        """Generation must not stop until the lease can be acquired again.
 
-        1. The holder loses power with four texts under way.
-        2. In the same moment the store falls silent for 6 s.
-        3. Its standby hears nothing of either, and two others say the same:
-           it goes on with the copies that it has.
-        4. The store is back; the next holder gets whole texts and lists them.
+        The standby completes its copies and the next holder lists them.
         """
         self.submit()
         self.run_for(1.2)
         self.lose_holder()
         self.silence_store()
         self.run_for(6.0)
-        self.assertEqual(0, self.lists())
+        self.assertEqual(0, self.listed_count())
         self.silence_store(False)
         self.run_for(2.0)
-        self.assertEqual(4 * runner_world.EVENTS, self.made())
+        self.assertEqual(4 * runner_world.EVENTS, self.standby_event_count())
         runs = len(self.engines.runs)
         handed = self.standby.depot.take(world.SERVICE)
         self.hold('b', handed)
@@ -172,20 +166,17 @@
             self.assertEqual(f'score of {result.id}', result.score)
         self.assertEqual(runs, len(self.engines.runs))
 
-    def lists(self) -> int:
+    def listed_count(self) -> int:
         return sum(key.startswith('results/j/0') for key in self.keys_known())
 
     def keys_known(self) -> list[str]:
         return list(self.keys.entries_by_key)
 
-    def test_texts_are_found_though_nobody_is_listed(self) -> None:
-        """A new holder began 96 texts anew that its neighbour had.
+    def test_texts_are_fetched_from_unlisted_instances(self) -> None:
+        """A new holder must not restart texts that an unlisted standby has.
 
-        1. The store let all leases run out while it was away.
-        2. It is back: an instance takes the duty before any other one is
-           listed again.
-        3. It asks those that were listed before; the standby hands over what
-           it has, and runs it no longer.
+        All leases expired during the outage, so the new holder asks the
+        instances that were listed before.
         """
         self.submit()
         self.run_for(1.2)
@@ -207,14 +198,11 @@
         self.assertEqual(4, len(found.texts))
         self.assert_nothing_runs()
 
-    def test_a_new_instance_finds_the_standby(self) -> None:
-        """A machine that replaced the holder began 246 texts anew.
+    def test_a_replacement_fetches_texts_from_the_standby(self) -> None:
+        """A replacement machine must not restart texts that a standby has.
 
-        1. The holder's machine is lost while the store is away and lets all
-           leases run out; its replacement starts meanwhile.
-        2. The store is back, and the replacement takes the duty before any
-           other instance is listed: it has never known one.
-        3. The last holder's record names the standby, which gives its texts.
+        It has never seen another instance; the last holder's record contains
+        the address of the standby.
         """
         self.submit()
         self.run_for(3.0)
@@ -225,25 +213,23 @@
         state = self.peers_by_name['new'].state
         state.instances_by_id = {}
         fetcher = text_fetch.TextFetcher(state, Links(self, 'new'), self.clock)
-        found = self.finish(fetcher.fetch(world.SERVICE, self.named[-1]))
+        found = self.finish(
+            fetcher.fetch(world.SERVICE, self.recorded_standbys[-1])
+        )
         self.assertEqual(4, len(found.texts))
         self.assertTrue(found.is_whole)
         self.assert_nothing_runs()
 
-    def test_a_standby_is_named_once_it_goes_on_answering(self) -> None:
+    def test_a_standby_is_recorded_after_several_answers(self) -> None:
         self.submit()
         self.run_for(1.2)
-        self.assertEqual([], self.named)
+        self.assertEqual([], self.recorded_standbys)
         self.run_for(1.5)
         name = self.standby.state.settings.instance
-        self.assertEqual({f'{name}:2'}, set(self.named))
-
-    def test_a_former_standby_goes_on_with_nothing(self) -> None:
-        """Two instances ran a lost holder's texts, one of them old ones.
+        self.assertEqual({f'{name}:2'}, set(self.recorded_standbys))
 
-        1. An instance joins that is more suitable than the standby.
-        2. The holder is lost in the moment in which the store falls silent.
-        """
+    def test_a_former_standby_resumes_nothing(self) -> None:
+        """A replaced standby must not run outdated copies of the texts."""
         listed = self.peers_by_name[HOLDER].state.instances_by_id
         name = self.standby.state.settings.instance
         record = listed.pop(name)
@@ -257,12 +243,12 @@
         running = [
             peer.state.settings.instance
             for peer in self.peers_by_name.values()
-            for known in peer.desk._services_by_name.values()
+            for known in peer.desk._holders_by_service.values()
             if known.runner is not None
         ]
         self.assertEqual([name], running)
 
-    def test_items_that_were_not_begun_are_begun(self) -> None:
+    def test_pending_items_are_started(self) -> None:
         self.submit(groups=8)
         self.run_for(1.2)
         self.lose_holder()
@@ -273,7 +259,7 @@
         self.assertLess(len(before), 16)
         self.assertEqual(16, len(after))
 
-    def test_what_is_listed_is_not_made_again(self) -> None:
+    def test_listed_items_do_not_run_again(self) -> None:
         for engine in self.engines.engines_by_id.values():
             engine.gap = 0.02
         self.submit()
@@ -285,8 +271,8 @@
         self.run_for(6.0)
         self.assertEqual(runs, len(self.engines.runs))
 
-    def test_texts_of_listed_items_are_kept_no_longer(self) -> None:
-        """A copy of 500 texts was too large to fetch, half of them listed."""
+    def test_texts_of_listed_items_are_dropped(self) -> None:
+        """Texts of listed items must not make the copy too large to fetch."""
         for engine in self.engines.engines_by_id.values():
             engine.gap = 0.1
         self.submit()
@@ -296,7 +282,7 @@
         self.assertEqual(4, len(self.results()))
         self.assertEqual([], self.standby.depot.kept(world.SERVICE))
 
-    def test_an_ended_job_is_not_gone_on_with(self) -> None:
+    def test_an_ended_job_is_not_resumed(self) -> None:
         self.submit()
         self.run_for(1.2)
         self.finish(self.end('j'))
@@ -316,18 +302,16 @@
         self.run_for(6.0)
         self.assertEqual(runs, len(self.engines.runs))
 
-    def test_while_the_store_is_there_the_lease_decides(self) -> None:
+    def test_standby_does_not_run_while_the_store_is_available(self) -> None:
         self.submit()
         self.run_for(1.2)
         self.lose_holder()
         self.assert_nothing_runs()
 
-    def test_a_standby_that_is_cut_off_runs_nothing(self) -> None:
-        """Both would send one text to two engines.
+    def test_a_partitioned_standby_runs_nothing(self) -> None:
+        """A partitioned standby and its holder would both run one text.
 
-        1. The standby is cut off from all instances and from the store, and
-           still reaches the engines.
-        2. Its holder is alive and goes on.
+        The standby reaches the engines but no instance and no store.
         """
         self.submit()
         self.run_for(1.2)
@@ -335,30 +319,23 @@
         self.lost |= {
             n for n in NAMES if n != self.standby.state.settings.instance
         }
-        self.copying.stop()
-        self.telling.stop()
+        self.text_copy.stop()
+        self.job_copier.stop()
         self.running.stop()
         self.assert_nothing_runs()
 
-    def test_a_holder_that_others_reach_is_not_lost(self) -> None:
+    def test_a_holder_that_other_instances_reach_is_not_lost(self) -> None:
         self.submit()
         self.run_for(1.2)
         self.silence_store()
-        self.telling.stop()
-        self.copying.stop()
-        runs = self.runs_begun()
+        self.job_copier.stop()
+        self.text_copy.stop()
+        runs = self.run_count()
         self.run_for(3.0)
-        self.assertEqual(runs, self.runs_begun())
+        self.assertEqual(runs, self.run_count())
 
-    def test_a_holder_that_started_again_is_lost(self) -> None:
-        """Nothing was generated for 6.7 s: the holder's port was answered.
-
-        1. The holder's process is killed with texts under way, in the moment
-           in which the store falls silent.
-        2. Half a second later it is there again, without its texts and
-           without a way to the store, and answers whoever asks.
-        3. Its standby goes on with the copies.
-        """
+    def test_a_restarted_holder_counts_as_lost(self) -> None:
+        """A restarted holder answers calls but has lost its texts."""
         self.submit()
         self.run_for(1.2)
         self.lose_holder()
@@ -366,24 +343,24 @@
         self.run_for(0.5)
         self.peers_by_name[HOLDER] = Peer(self, HOLDER)
         self.lost.clear()
-        runs = self.runs_begun()
+        runs = self.run_count()
         self.run_for(3.0)
-        self.assertGreater(self.runs_begun(), runs)
+        self.assertGreater(self.run_count(), runs)
 
-    def test_a_holder_that_started_again_is_told_of_the_return(self) -> None:
-        """It looked for the store 1.1 s after the others were back at it."""
+    def test_a_restarted_holder_is_notified_of_store_recovery(self) -> None:
+        """A restarted holder would retry the store too late by itself."""
         self.submit()
         self.run_for(1.2)
         self.lose_holder()
         self.silence_store()
         self.run_for(4.0)
-        self.assertEqual([], self.told)
+        self.assertEqual([], self.notified_holders)
         self.silence_store(False)
         self.run_for(0.2)
-        self.assertEqual([HOLDER], self.told)
+        self.assertEqual([HOLDER], self.notified_holders)
 
-    def test_a_standby_that_runs_looks_for_the_store(self) -> None:
-        """It found the store 1.0 s after its return, by its own pauses."""
+    def test_a_running_standby_retries_the_store(self) -> None:
+        """The usual retry delays would detect the store's recovery late."""
         self.submit()
         self.run_for(1.2)
         self.assertEqual([], self.probes)
@@ -400,17 +377,17 @@
         self.run_for(2.0)
         self.assertEqual([], self.probes)
 
-    def test_a_store_that_others_reach_is_not_away(self) -> None:
+    def test_a_store_that_other_instances_reach_is_not_lost(self) -> None:
         self.submit()
         self.run_for(1.2)
         self.standby.store_age = 9.0
         self.lose_holder()
         self.assert_nothing_runs()
 
-    def runs_begun(self) -> int:
+    def run_count(self) -> int:
         return len(self.engines.runs)
 
-    def test_it_ends_when_the_holder_is_back(self) -> None:
+    def test_standby_stops_when_the_holder_answers(self) -> None:
         self.submit()
         self.run_for(1.2)
         self.silence_store()
@@ -418,11 +395,11 @@
         self.run_for(4.0)
         self.lost.clear()
         self.run_for(1.0)
-        runs = self.runs_begun()
+        runs = self.run_count()
         self.run_for(2.0)
-        self.assertEqual(runs, self.runs_begun())
+        self.assertEqual(runs, self.run_count())
 
-    def test_it_ends_where_the_store_is_back_and_nobody_follows(self) -> None:
+    def test_standby_stops_after_recovery_without_successor(self) -> None:
         self.submit(groups=40)
         self.run_for(1.2)
         self.lose_holder()
@@ -432,21 +409,21 @@
         self.run_for(4.0)
         self.assert_nothing_runs()
 
-    def test_a_late_standby_asks_for_the_jobs(self) -> None:
-        """A standby that has started again is sent the jobs whole."""
+    def test_a_restarted_standby_requests_whole_jobs(self) -> None:
+        """A restarted standby must receive the jobs whole again."""
         self.submit()
         self.run_for(1.2)
         self.standby.desk.stop(world.SERVICE)
         self.run_for(1.2)
         self.lose_holder()
         self.silence_store()
-        runs = self.runs_begun()
+        runs = self.run_count()
         self.run_for(5.0)
-        self.assertGreater(self.runs_begun(), runs)
+        self.assertGreater(self.run_count(), runs)
 
 
 class Links:
-    """Carry calls between the instances of a world."""
+    """Deliver peer calls between the instances of a test."""
 
     def __init__(self, found: StandbyTest, name: str) -> None:
         self._world = found
