--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/holder_calls.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/holder_calls.py
@@ -41,7 +41,7 @@
         """Return whether the last holder is alive and reclaims the duty."""
         peer = self._state.instances_by_id.get(holder)
         if peer is None:
-            # A holder whose lease expired may be alive and unlisted.
+            # A live holder is not listed after its session lease expires.
             peer = self._state.known_instances_by_id.get(holder)
         if peer is None:
             return False
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/messages.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/messages.py
@@ -42,7 +42,7 @@
 
     # Seconds since the last direct or relayed contact with the store.
     store_age: float
-    # Whether the queried process answered; a restarted one does not count.
+    # Whether the queried holder process answered, not a restarted one.
     is_holder_reached: bool
     # The process that sends this report.
     incarnation: Incarnation = Incarnation('')
