--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/division.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/division.py
@@ -33,7 +33,7 @@
     """Write the division of a service to the store, at most once.
 
     The entry is immutable: with two divisions in use, two holders would send
-    orders to one engine. No instance contends for a part before it exists.
+    orders to one engine. Instances contend for a part only after this write.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         # Called when a decision is due; calls decide() again.
         self._on_due = on_due
         self._clock = clock
-        # Number of ready engines, and the time of its last change.
+        # Number of ready engines, and the time when the number last changed.
         self._counts_by_service: dict[ServiceName, tuple[int, float]] = {}
         self._timer: Any = None
         self._writing: set[ServiceName] = set()
@@ -64,8 +64,8 @@
             since = now
         self._counts_by_service[service.name] = (engine_count, since)
         rank = self._rank(service.name)
-        settled = partitions.settle_seconds(engine_count)
-        remaining = since + settled + RANK_SECONDS * rank - now
+        settling = partitions.settle_seconds(engine_count)
+        remaining = since + settling + RANK_SECONDS * rank - now
         if engine_count == 0:
             return
         if remaining > 0.0:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/duties.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/duties.py
@@ -37,14 +37,14 @@
 
 # Delay per rank among the candidates, so that usually only one writes.
 RANK_SECONDS = 0.15
-# Lease of the holder; outlasts short delays of the store.
+# A lost holder blocks the duty up to this long; outlasts short store delays.
 LEASE_SECONDS = 2.5
 # Two renewals in a row can fail before the lease expires.
 RENEWAL_SECONDS = 0.6
 # Time after a renewal in which orders are sent; covers one slow renewal.
 ORDER_WINDOW_SECONDS = 1.3
 RETRY_SECONDS = 0.3
-# Time allowed for the confirming read beyond the requested age.
+# Added to the maximum age in confirm(), to cover the read of the store.
 CONFIRM_SECONDS = 0.3
 # Idle time that is recorded if no order was sent.
 NEVER_ORDERED_SECONDS = 1e9
@@ -66,9 +66,9 @@
         self.service = service
         # Whether the duty has work; by default, whether engines exist.
         self._is_wanted = is_wanted or self._has_targets
-        self._holders = holders
+        self._holder_calls = holders
         self.tenure: leadership.HeldLease | None = None
-        # No other process has held the duty since this one last held it.
+        # Whether no other process held the duty between two holds of this one.
         self.is_continued = False
         # Peer address of the last holder's standby; empty if unknown.
         self.last_standby = ''
@@ -83,7 +83,7 @@
         )
         self._on_change = on_change
         self._clock = clock
-        self._attempt: defer.Deferred[None] | None = None
+        self._acquisition: defer.Deferred[None] | None = None
         self._renewing: defer.Deferred[None] | None = None
         # Send time of the last call that proved this instance's hold.
         self._confirmed_at = Instant(-math.inf)
@@ -125,18 +125,18 @@
         return holder.instance != self._state.settings.instance
 
     def update(self) -> None:
-        """Check the hold against the observed holder, or contend."""
+        """Check this instance's hold, or contend for a free duty."""
         holder = self._state.duties_by_service.get(self.service)
         if self.tenure is not None:
             self._check_hold(holder)
-        elif self._attempt is None and self._is_free(holder):
+        elif self._acquisition is None and self._is_free(holder):
             self._contend()
 
     def _is_free(self, holder: DutyRecord | None) -> bool:
-        # A restarted process takes over its predecessor's hold: engines would
-        # get no orders until the predecessor's lease expires.
-        me = self._state.settings.instance
-        return holder is None or holder.instance == me
+        # A restarted process replaces the entry of its previous process, or
+        # engines would get no orders until the previous lease expires.
+        own_id = self._state.settings.instance
+        return holder is None or holder.instance == own_id
 
     def confirm_from(self, sent_at: Instant) -> None:
         """Record that the hold was valid in the store at a send time."""
@@ -145,8 +145,8 @@
     async def confirm(self, max_age: float) -> bool:
         """Return whether the store held this hold at most max_age seconds ago.
 
-        Renewals do not prove it: the store can delete the key, keep the lease
-        and grant the duty to another instance.
+        A lease renewal is no proof: the store can delete the key, keep the
+        lease and grant the duty to another instance.
         """
         if self.tenure is None:
             return False
@@ -165,17 +165,17 @@
         sent_at = self._now()
         revision = self.revision
         try:
-            is_known = revision is not None and await self._keys.has_hold(
+            is_in_store = revision is not None and await self._keys.has_hold(
                 revision
             )
         finally:
             self._confirming = None
         if revision is None or revision != self.revision:
             return
-        if is_known:
+        if is_in_store:
             self.confirm_from(sent_at)
         else:
-            self._drop_hold('the store does not have this hold')
+            self._drop_hold('the store has no entry of this hold')
 
     def may_order(self) -> bool:
         """Return whether an order may be sent to an engine."""
@@ -198,14 +198,14 @@
         self._on_change()
         now = self._now()
         idle = min(tenure.idle_seconds(now), NEVER_ORDERED_SECONDS)
-        waits = max(0.0, tenure.earliest_order_at - now)
-        await self._keys.release_hold(Revision(tenure.epoch), idle, waits)
+        wait = max(0.0, tenure.earliest_order_at - now)
+        await self._keys.release_hold(Revision(tenure.epoch), idle, wait)
         log.info('Duty given back.', service=self.service)
 
     def give_up(self, revision: Revision) -> None:
-        """Drop a hold that the store no longer has."""
+        """Drop the hold of a revision that the store no longer has."""
         if self.tenure is not None and self.revision == revision:
-            self._drop_hold('the store does not have this hold')
+            self._drop_hold('the store has no entry of this hold')
 
     def _check_hold(self, holder: DutyRecord | None) -> None:
         assert self.tenure is not None
@@ -240,32 +240,32 @@
             renewing.cancel()
 
     def _contend(self) -> None:
-        # The last holder's record determines when orders may be sent, so a
-        # stale copy of the store is not enough.
+        # A stale copy of the store may lack the last holder's record, which
+        # determines when this instance may send orders.
         if self._state.is_leaving or not self._state.is_current:
             return
         if not self._is_wanted():
             return
-        self._attempt = defer.Deferred.fromCoroutine(self._acquire())
-        self._attempt.addErrback(self._failed)
-        self._attempt.addBoth(self._attempt_ended)
+        self._acquisition = defer.Deferred.fromCoroutine(self._acquire())
+        self._acquisition.addErrback(self._failed)
+        self._acquisition.addBoth(self._acquisition_ended)
 
     async def _wait_turn(self) -> None:
         """Wait for the last holder, if it is alive, and for better candidates.
 
-        Leases can expire during a store outage. A new holder would have to
-        read all texts and wait for the handover pause; the last one need not.
+        Leases can expire during a store outage. The last holder resumes at
+        once; a new one would read all texts and wait for the handover pause.
         """
         last = self._state.last_holders_by_service.get(self.service)
-        me = self._state.settings.instance
-        if last is not None and last.instance == me:
+        own_id = self._state.settings.instance
+        if last is not None and last.instance == own_id:
             return
         wait = RANK_SECONDS * self._rank()
-        is_lost = last is None or last.idle_seconds is not None
-        if not is_lost and self._holders is not None:
+        is_released = last is None or last.idle_seconds is not None
+        if not is_released and self._holder_calls is not None:
             asked_at = self._clock.seconds()
             assert last is not None
-            if await self._holders.is_alive(last.instance, self.service):
+            if await self._holder_calls.is_alive(last.instance, self.service):
                 wait += holder_calls.RECLAIM_SECONDS
             wait -= self._clock.seconds() - asked_at
         await task.deferLater(self._clock, max(0.0, wait))
@@ -284,11 +284,11 @@
         earliest_order_at = leadership.earliest_order_at(
             self._state.settings.instance, last, self._policy, self._now()
         )
-        waits = earliest_order_at - self._now()
+        wait = earliest_order_at - self._now()
         self.last_standby = '' if last is None else last.standby
         self._keys.standby = ''
-        revision = await self._keys.acquire(lease, holder, last, waits)
-        earliest_order_at = Instant(self._now() + waits)
+        revision = await self._keys.acquire(lease, holder, last, wait)
+        earliest_order_at = Instant(self._now() + wait)
         self.is_continued = (
             last is not None and last.incarnation == self._incarnation
         )
@@ -302,19 +302,19 @@
         self._confirmed_at = self._lease.renewed_at
         self._renewing = defer.Deferred.fromCoroutine(self._lease.keep())
         self._renewing.addErrback(self._failed)
-        if waits > 0.0:
-            self._clock.callLater(waits, self._handover_wait_ended, revision)
+        if wait > 0.0:
+            self._clock.callLater(wait, self._handover_wait_ended, revision)
         log.info(
             'Duty taken.',
             service=self.service,
             epoch=revision,
             last_holder=None if last is None else last.instance,
-            orders_in=round(waits, 2),
+            orders_in=round(wait, 2),
         )
         self._on_change()
 
     def _handover_wait_ended(self, revision: Revision) -> None:
-        # Recorded so that a restart of this instance does not wait again.
+        # Without this write, a restart of this instance would wait again.
         if self.revision != revision:
             return
         self._write_last_holder()
@@ -327,14 +327,14 @@
 
     def _write_last_holder(self) -> None:
         assert self.tenure is not None
-        waits = max(0.0, self.tenure.earliest_order_at - self._now())
+        wait = max(0.0, self.tenure.earliest_order_at - self._now())
         writing = defer.Deferred.fromCoroutine(
-            self._keys.write_wait(Revision(self.tenure.epoch), waits)
+            self._keys.write_wait(Revision(self.tenure.epoch), wait)
         )
         writing.addErrback(self._last_holder_write_failed)
 
     def _last_holder_write_failed(self, failure: Any) -> None:
-        # Cleared so that the standby's next answer records it again.
+        # With no address kept, the next name_standby() call writes again.
         self._keys.standby = ''
         self._failed(failure)
 
@@ -361,10 +361,10 @@
                 ),
             )
             return
-        log.error('Duty handling failed.', cause=failure.getTraceback())
+        log.error('Unexpected error in a duty.', cause=failure.getTraceback())
 
-    def _attempt_ended(self, _: object) -> None:
-        self._attempt = None
+    def _acquisition_ended(self, _: object) -> None:
+        self._acquisition = None
         if self.tenure is None:
             self._clock.callLater(RETRY_SECONDS, self.update)
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/duty_keys.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/duty_keys.py
@@ -42,21 +42,21 @@
         self._instance = instance
         self._incarnation = incarnation
         self._store = store
-        # Peer address of the standby, written with the holder's record.
+        # Peer address of the standby, written with the last holder's record.
         self.standby = ''
         self._clock = clock
 
     async def acquire(
         self,
-        lease: int,
+        lease_id: int,
         holder: state_module.DutyRecord | None,
         last: leadership.LastHolder | None,
-        waits: float,
+        wait: float,
     ) -> Revision:
         """Acquire the duty and return the revision that granted it.
 
-        Raises StoreConflict if the store differs from the expected holder or
-        last holder, StoreRefused or StoreUnclear.
+        Raises StoreConflict if the store has another holder or last holder
+        than expected; also StoreRefused and StoreUnclear.
         """
         key = keys.duty(self._service)
         record = state_module.DutyRecord(instance=self._instance)
@@ -81,26 +81,26 @@
                 store_module.Write(
                     key=key,
                     value=msgspec.msgpack.encode(record),
-                    lease=lease,
+                    lease=lease_id,
                 ),
-                self._last_holder_write(None, waits),
+                self._last_holder_write(None, wait),
             ],
         )
 
     async def has_hold(self, revision: Revision) -> bool:
-        """Return whether the store has the hold of this revision."""
+        """Return whether the duty's store entry has this revision."""
         entry = await self._store.get(keys.duty(self._service))
         return entry is not None and entry.revision == revision
 
-    async def write_wait(self, revision: Revision, waits: float) -> None:
+    async def write_wait(self, revision: Revision, wait: float) -> None:
         """Write the holder's remaining handover wait and its standby."""
         await self._store.transact(
             expected=[self._expect_hold(revision)],
-            writes=[self._last_holder_write(None, waits)],
+            writes=[self._last_holder_write(None, wait)],
         )
 
     async def release_hold(
-        self, revision: Revision, idle: float, waits: float
+        self, revision: Revision, idle_seconds: float, wait: float
     ) -> None:
         """Remove the hold and record the wait for the next holder.
 
@@ -110,7 +110,7 @@
             try:
                 await self._store.transact(
                     expected=[self._expect_hold(revision)],
-                    writes=[self._last_holder_write(idle, waits)],
+                    writes=[self._last_holder_write(idle_seconds, wait)],
                     removals=[keys.duty(self._service)],
                 )
                 return
@@ -122,7 +122,7 @@
                 store_module.StoreUnclear,
             ) as error:
                 log.info(
-                    'Duty release failed.',
+                    'Duty release failed; retrying.',
                     service=self._service,
                     cause=str(error),
                 )
@@ -134,13 +134,13 @@
         )
 
     def _last_holder_write(
-        self, idle: float | None, waits: float
+        self, idle_seconds: float | None, wait: float
     ) -> store_module.Write:
         record = leadership.LastHolder(
             instance=self._instance,
             incarnation=self._incarnation,
-            idle_seconds=idle,
-            waits=waits,
+            idle_seconds=idle_seconds,
+            waits=wait,
             standby=self.standby,
         )
         return store_module.Write(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/holder_calls.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/holder_calls.py
@@ -21,7 +21,7 @@
 log = logs.for_part('duty')
 
 PATH = '/duty'
-# Covers a cross-region round trip and a busy event loop.
+# Longest delay by a dead holder; covers a cross-region call and a busy loop.
 ANSWER_SECONDS = 0.3
 # Time for a living last holder to reclaim its duty with two store calls; the
 # request itself notifies the last holder of the free duty.
@@ -41,7 +41,7 @@
         """Return whether the last holder is alive and reclaims the duty."""
         peer = self._state.instances_by_id.get(holder)
         if peer is None:
-            # A live holder is not listed after its session lease expires.
+            # A live holder's session lease can expire in a store outage.
             peer = self._state.known_instances_by_id.get(holder)
         if peer is None:
             return False
@@ -52,7 +52,7 @@
             )
         except peer_call.PeerFailed as error:
             log.info(
-                'Last holder does not reclaim its duty.',
+                'Last holder did not confirm that it reclaims its duty.',
                 holder=holder,
                 cause=str(error),
             )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/lease.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/lease.py
@@ -54,8 +54,7 @@
         self._renewal_seconds = renewal_seconds
         self._on_change = on_change
         self._clock = clock
-        # Whether to retry at a fixed short interval during a store outage
-        # instead of backing off.
+        # Whether retries in a store outage have a fixed interval, no backoff.
         self._is_urgent = is_urgent
         self._is_store_unreachable = False
 
@@ -82,19 +81,19 @@
             is_renewed = await self._renew(self.id)
 
     async def end(self) -> None:
-        """Revoke the lease, which deletes its keys."""
-        ended, self.id = self.id, None
-        if ended is not None:
-            await self._store.end_lease(ended)
+        """Revoke the lease; the store then deletes the keys under it."""
+        lease_id, self.id = self.id, None
+        if lease_id is not None:
+            await self._store.end_lease(lease_id)
 
-    async def _renew(self, lease: int) -> bool:
+    async def _renew(self, lease_id: int) -> bool:
         """Send a renewal; return False if it has to be retried."""
         sent_at = boot_time()
         try:
-            await self._store.keep_lease(lease)
+            await self._store.keep_lease(lease_id)
         except store_module.LeaseEnded:
-            log.warning('Lease ended.', lease=lease)
-            if self.id == lease:
+            log.warning('Store no longer has the lease.', lease=lease_id)
+            if self.id == lease_id:
                 self.id = None
                 self._on_change()
             self._end_outage()
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/session.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/session.py
@@ -26,8 +26,8 @@
 LEASE_SECONDS = 4.5
 # Leaves half of the lease for retries of a failed renewal.
 RENEWAL_SECONDS = 2.0
-# Time after which this instance's missing entry is written again.
-UNSEEN_SECONDS = 2.0
+# Time from a write until the entry, if still missing, is written again.
+MISSING_ENTRY_SECONDS = 2.0
 
 
 class Session:
@@ -67,20 +67,20 @@
                 store_module.StoreRefused,
                 store_module.StoreUnclear,
             ) as error:
-                log.warning('Registration failed.', cause=str(error))
+                log.warning('Instance registration failed.', cause=str(error))
                 await self._store.pause(lease_module.RETRY_SECONDS)
 
     async def check(self) -> None:
         """Register again if the entry was deleted while its lease is valid."""
-        me = self._state.settings.instance
+        own_id = self._state.settings.instance
         if self.lease.id is None or not self._state.is_current:
             return
-        if me in self._state.instances_by_id:
+        if own_id in self._state.instances_by_id:
             return
         now = self._clock.seconds()
-        if now >= self._written_at + UNSEEN_SECONDS:
+        if now >= self._written_at + MISSING_ENTRY_SECONDS:
             self._written_at = now
-            log.warning('Missing instance entry is written again.')
+            log.warning('Instance entry is missing; registering again.')
             await self._register()
 
     async def leave(self) -> None:
@@ -113,4 +113,6 @@
             lease=lease,
         )
         await self._store.transact(writes=[write])
-        log.info('Registered.', lease=lease, is_leaving=record.is_leaving)
+        log.info(
+            'Instance registered.', lease=lease, is_leaving=record.is_leaving
+        )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/copier.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/copier.py
@@ -39,7 +39,7 @@
 
 
 class JobCopier:
-    """Send a runner's open jobs to its standby; each job whole only once."""
+    """Send a runner's open jobs to its standby; whole until acknowledged."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
     ) -> None:
         self._service = service
         self._state = state
-        # Called with the peer address of a standby that has all jobs.
+        # Called with the address of a standby that accepted SETTLED_MESSAGES.
         self._on_settled = on_settled
         # Returns each open job with its ended items.
         self._open_jobs = open_jobs
@@ -61,7 +61,7 @@
         self._peers = peers
         self._standby: InstanceRecord | None = None
         self._accepted_messages = 0
-        # Ended items that the standby has acknowledged.
+        # Ended items of each job the standby has; other jobs are sent whole.
         self._ended_by_job: dict[JobId, frozenset[ItemId]] = {}
         self._sending: defer.Deferred[None] | None = None
         self._ticker = task.LoopingCall(self._tick)
@@ -160,10 +160,10 @@
     def _open_job(
         self, job: Job, ended: frozenset[ItemId]
     ) -> messages.OpenJob:
-        known = self._ended_by_job.get(job.id)
-        if known is None:
+        acknowledged = self._ended_by_job.get(job.id)
+        if acknowledged is None:
             return messages.OpenJob(id=job.id, job=job, ended=tuple(ended))
-        return messages.OpenJob(id=job.id, ended=tuple(ended - known))
+        return messages.OpenJob(id=job.id, ended=tuple(ended - acknowledged))
 
     def _failed(self, failure: Any) -> None:
         if not failure.check(defer.CancelledError):
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/desk.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/desk.py
@@ -42,7 +42,7 @@
 RETRY_SECONDS = 0.3
 # Interval of checks for a store outage while a holder is silent. A check reads
 # the age of the last store contact and sends no call to the store.
-CHECK_SECONDS = 0.3
+OUTAGE_CHECK_SECONDS = 0.3
 
 
 @dataclasses.dataclass
@@ -129,7 +129,7 @@
             self._holders_by_service[message.service] = state
         state.watch.record_heartbeat(self._now())
         if state.runner is not None:
-            # The holder is alive.
+            # The message proves that the holder is alive.
             self._stop_runner(message.service, state)
         missing = []
         jobs_by_id: dict[JobId, Job] = {}
@@ -147,7 +147,7 @@
         return tuple(missing)
 
     def stop(self, service: ServiceName) -> None:
-        """Stop running a service, since its duty has a holder again."""
+        """Stop running a service's jobs and drop the state of its holder."""
         state = self._holders_by_service.pop(service, None)
         if state is not None and state.runner is not None:
             self._stop_runner(service, state)
@@ -164,7 +164,7 @@
         texts = state.runner.texts()
         state.runner = None
         self._depot.put(service, texts)
-        log.info('Standby stopped.', service=service, texts=len(texts))
+        log.info('Standby runs stopped.', service=service, texts=len(texts))
 
     def _tick(self) -> None:
         for service, state in list(self._holders_by_service.items()):
@@ -217,10 +217,9 @@
     def _announce_recovery(
         self, service: ServiceName, state: _HolderState
     ) -> None:
-        """Notify the holder's instance that the store has recovered.
+        """Notify the holder's instance once the store is reachable again.
 
-        A restarted holder knows no other instance and retries the store with
-        increasing delays.
+        A restarted holder knows no other instance, and its retries back off.
         """
         if state.is_notified:
             return
@@ -250,11 +249,11 @@
 
     def _check_ended(self, _: object, state: _HolderState) -> None:
         state.is_checking = False
-        state.next_check_at = Instant(self._now() + CHECK_SECONDS)
+        state.next_check_at = Instant(self._now() + OUTAGE_CHECK_SECONDS)
 
     def _failed(self, failure: Any) -> None:
         if not failure.check(defer.CancelledError):
-            log.error('Standby failed.', cause=failure.getTraceback())
+            log.error('Standby task failed.', cause=failure.getTraceback())
 
     def _now(self) -> Instant:
         return Instant(self._clock.seconds())
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/messages.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/messages.py
@@ -22,13 +22,13 @@
     id: JobId
     # The whole job, unless the standby has acknowledged it.
     job: Job | None = None
-    # Items whose results are listed or no longer needed; only those added
-    # since the last message that the standby acknowledged.
+    # Items whose results are listed or no longer needed; without the whole
+    # job, only those added since the last acknowledged message.
     ended: tuple[ItemId, ...] = ()
 
 
 class OpenJobs(msgspec.Struct, frozen=True, kw_only=True):
-    """List every open job of a service; jobs that are absent have ended."""
+    """List the copied jobs of a service; the standby drops all others."""
 
     service: ServiceName
     holder: InstanceId
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/unlisted_runs.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/unlisted_runs.py
@@ -112,10 +112,10 @@
     def finish(
         self, run: queue_module.ItemRun, result: ItemResult, cause: str
     ) -> None:
-        """Record the end of an item; the next holder lists the result."""
+        """Mark an item as ended; the next holder lists the result."""
         self._queue.jobs_by_id[run.job.id].end(run.item.id)
         log.info(
-            'Item completed by a standby.',
+            'Item ended in a standby run.',
             item=run.item.id,
             job=run.job.id,
             end=result.state,
@@ -134,7 +134,7 @@
     def _task_ended(self, result: Any, running: defer.Deferred[None]) -> None:
         self._tasks.discard(running)
         if hasattr(result, 'check') and not result.check(defer.CancelledError):
-            log.error('Standby work failed.', cause=result.getTraceback())
+            log.error('Standby run failed.', cause=result.getTraceback())
 
     def _now(self) -> Instant:
         return Instant(self._clock.seconds())
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/witness.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/witness.py
@@ -25,8 +25,8 @@
 
 log = logs.for_part('standby')
 
-# Instances to ask, and the quorum of answers. Without a quorum, a partitioned
-# standby would run the same texts as its holder.
+# Instances to ask, and the quorum of answers. Without a quorum, a standby
+# that is cut off from all others would run the same texts as its holder.
 MAX_WITNESSES = 3
 MIN_ANSWERS = 2
 # The answer includes the witness's own call to the holder.
@@ -53,15 +53,15 @@
     async def are_lost(
         self, holder: InstanceId, incarnation: Incarnation
     ) -> bool:
-        """Return whether enough instances have lost the holder and the store.
+        """Return whether a quorum answers and all lost the holder and store.
 
         A holder whose process has restarted counts as lost.
         """
-        me = self._state.settings.instance
+        own_id = self._state.settings.instance
         others = [
             record
             for record in self._state.serving_instances()
-            if record.instance not in (me, holder)
+            if record.instance not in (own_id, holder)
         ]
         count = min(MAX_WITNESSES, len(others))
         asked = self._state.generator.sample(others, count)
@@ -95,11 +95,11 @@
             body=msgspec.msgpack.encode(sighting),
         )
 
-    async def _is_reached(self, name: str, incarnation: str) -> bool:
+    async def _is_reached(self, holder: str, incarnation: str) -> bool:
         for record in self._state.instances_by_id.values():
-            if record.instance == name:
-                found = await self._call(record, '', HOLDER_ANSWER_SECONDS)
-                return found is not None and found.incarnation == incarnation
+            if record.instance == holder:
+                answer = await self._call(record, '', HOLDER_ANSWER_SECONDS)
+                return answer is not None and answer.incarnation == incarnation
         return False
 
     async def _ask(
@@ -126,7 +126,7 @@
             )
         except peer_call.PeerFailed as error:
             log.debug(
-                'Instance did not answer.',
+                'Query to another instance failed.',
                 peer=peer.instance,
                 cause=str(error),
             )
--- a/packages/yuccarill-daemon/tests/gateway/test_duties.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_duties.py
@@ -44,8 +44,8 @@
 class Peers:
     """Deliver peer calls between the instances of a test."""
 
-    def __init__(self, found: DutyTest) -> None:
-        self._world = found
+    def __init__(self, test: DutyTest) -> None:
+        self._world = test
 
     async def call(
         self, peer: object, method: str, target: str, seconds: float
@@ -94,9 +94,9 @@
             self.addCleanup(each.cancel)
         # The store has no targets, so one is added directly.
         state.targets.put(world.engine('e1'))
-        found = Instance(state, store, duty, following, holders)
-        self.instances_by_name[name] = found
-        return found
+        instance = Instance(state, store, duty, following, holders)
+        self.instances_by_name[name] = instance
+        return instance
 
     def holders(self, *instances: Instance) -> list[str]:
         return [
--- a/packages/yuccarill-daemon/tests/gateway/test_standby.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_standby.py
@@ -39,20 +39,20 @@
 class Peer:
     """Bundle the components of one instance."""
 
-    def __init__(self, found: StandbyTest, name: str) -> None:
-        self.state: state_module.GatewayState = found.state(name)
-        self.state.table = found.table
+    def __init__(self, test: StandbyTest, name: str) -> None:
+        self.state: state_module.GatewayState = test.state(name)
+        self.state.table = test.table
         for each in NAMES:
             world.list_instance(self.state, each)
-        for engine in found.engines.engines_by_id.values():
+        for engine in test.engines.engines_by_id.values():
             self.state.targets.put(engine.target)
         self.store_age = 0.0
-        self.depot = texts.TextDepot(found.clock)
-        self.peers = peer_call.PeerCalls(Links(found, name), found.clock)
-        guarding = guard.ContentGuard(self.state, found.clock)
+        self.depot = texts.TextDepot(test.clock)
+        self.peers = peer_call.PeerCalls(Links(test, name), test.clock)
+        guarding = guard.ContentGuard(self.state, test.clock)
         self.calls = watched_calls.WatchedCalls(
-            found.engines,
-            target_ends.TargetEnds(found.engines, guarding, found.clock),
+            test.engines,
+            target_ends.TargetEnds(test.engines, guarding, test.clock),
             guarding,
         )
         self.desk = desk.StandbyDesk(
@@ -63,17 +63,17 @@
             lambda service: unlisted_runs.StandbyRunner(
                 service,
                 self.state,
-                generation.Generator(self.calls, found.clock),
+                generation.Generator(self.calls, test.clock),
                 guarding,
                 runner_world.Scorer(),
-                found.clock,
+                test.clock,
             ),
-            found.notify_holder,
-            lambda: found.probes.append(name),
-            found.clock,
+            test.notify_holder,
+            lambda: test.store_retries.append(name),
+            test.clock,
         )
         self.desk.start()
-        found.addCleanup(self.desk.stop, world.SERVICE)
+        test.addCleanup(self.desk.stop, world.SERVICE)
 
     async def handle(
         self, request: small_server.SmallRequest
@@ -95,7 +95,7 @@
         # Holders that were notified of the store's recovery.
         self.notified_holders: list[str] = []
         # Instances that retried the store.
-        self.probes: list[str] = []
+        self.store_retries: list[str] = []
         self.peers_by_name = {name: Peer(self, name) for name in NAMES}
         self.running = self.hold(HOLDER)
         holder = self.peers_by_name[HOLDER]
@@ -194,14 +194,14 @@
         fetcher = text_fetch.TextFetcher(
             state, Links(self, str(state.settings.instance)), self.clock
         )
-        found = self.finish(fetcher.fetch(world.SERVICE))
-        self.assertEqual(4, len(found.texts))
+        fetched = self.finish(fetcher.fetch(world.SERVICE))
+        self.assertEqual(4, len(fetched.texts))
         self.assert_nothing_runs()
 
     def test_a_replacement_fetches_texts_from_the_standby(self) -> None:
         """A replacement machine must not restart texts that a standby has.
 
-        It has never seen another instance; the last holder's record contains
+        The new machine has seen no instance; the last holder's record contains
         the address of the standby.
         """
         self.submit()
@@ -213,11 +213,11 @@
         state = self.peers_by_name['new'].state
         state.instances_by_id = {}
         fetcher = text_fetch.TextFetcher(state, Links(self, 'new'), self.clock)
-        found = self.finish(
+        fetched = self.finish(
             fetcher.fetch(world.SERVICE, self.recorded_standbys[-1])
         )
-        self.assertEqual(4, len(found.texts))
-        self.assertTrue(found.is_whole)
+        self.assertEqual(4, len(fetched.texts))
+        self.assertTrue(fetched.is_whole)
         self.assert_nothing_runs()
 
     def test_a_standby_is_recorded_after_several_answers(self) -> None:
@@ -363,19 +363,19 @@
         """The usual retry delays would detect the store's recovery late."""
         self.submit()
         self.run_for(1.2)
-        self.assertEqual([], self.probes)
+        self.assertEqual([], self.store_retries)
         self.lose_holder()
         self.silence_store()
         self.run_for(3.0)
-        self.probes.clear()
+        self.store_retries.clear()
         self.run_for(3.0)
         name = str(self.standby.state.settings.instance)
-        self.assertEqual({name}, set(self.probes))
-        self.assertIn(len(self.probes), (7, 8, 9, 10))
+        self.assertEqual({name}, set(self.store_retries))
+        self.assertIn(len(self.store_retries), (7, 8, 9, 10))
         self.silence_store(False)
-        self.probes.clear()
+        self.store_retries.clear()
         self.run_for(2.0)
-        self.assertEqual([], self.probes)
+        self.assertEqual([], self.store_retries)
 
     def test_a_store_that_other_instances_reach_is_not_lost(self) -> None:
         self.submit()
@@ -425,8 +425,8 @@
 class Links:
     """Deliver peer calls between the instances of a test."""
 
-    def __init__(self, found: StandbyTest, name: str) -> None:
-        self._world = found
+    def __init__(self, test: StandbyTest, name: str) -> None:
+        self._world = test
         self._name = name
 
     async def exchange(
