--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/__init__.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Keep an instance to its part of services' capacity."""
+"""Share the capacity of services among instances."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/broker_desk.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/broker_desk.py
@@ -1,4 +1,4 @@
-"""Lend capacity to the instances that ask this one for it."""
+"""Lend capacity to the instances that report demand to this one."""
 
 from __future__ import annotations
 
@@ -31,18 +31,18 @@
 OVERVIEW_PATH = '/capacity/services'
 PATHS = frozenset({REPORT_PATH, NOTICE_PATH, OVERVIEW_PATH})
 NOTICE_ANSWER_SECONDS = 0.3
-# Seconds between two notices to the instances that do not ask.
+# Interval of notices to the instances that do not report.
 NOTICE_SECONDS = 0.5
 
 
 class CapacityNotice(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell an instance that a service is congested."""
+    """Notify an instance that a service is congested."""
 
     service: ServiceName
 
 
 class BrokerDesk:
-    """Keep a broker for each service that instances ask about."""
+    """Keep a capacity broker for each reported service."""
 
     def __init__(
         self, state: GatewayState, peers: PeerCalls, clock: Any
@@ -54,41 +54,41 @@
         self._notified_at: dict[ServiceName, float] = {}
 
     def lend(self, report: DemandReport) -> CapacityGrant:
-        """Answer a report."""
+        """Return the grant for a demand report."""
         service = report.service
-        lending = self.brokers_by_service.get(service)
-        if lending is None:
-            lending = broker.CapacityBroker(service, broker.BrokerPolicy())
-            self.brokers_by_service[service] = lending
-        if not lending.leases_by_instance:
+        lender = self.brokers_by_service.get(service)
+        if lender is None:
+            lender = broker.CapacityBroker(service, broker.BrokerPolicy())
+            self.brokers_by_service[service] = lender
+        if not lender.leases_by_instance:
             log.info('Lending capacity.', service=service)
         places = self.places(service)
-        grant = lending.lend(
+        grant = lender.lend(
             report,
             places,
             len(self._state.cores_by_name()),
             Instant(self._clock.seconds()),
         )
         meters.CAPACITY_PLACES.labels(service).set(places)
-        meters.CAPACITY_LENT.labels(service).set(lending.lent_rate())
-        meters.CAPACITY_RATE.labels(service).set(lending.capacity)
+        meters.CAPACITY_LENT.labels(service).set(lender.lent_rate())
+        meters.CAPACITY_RATE.labels(service).set(lender.capacity)
         if grant.is_congested:
-            self._notify(service, lending)
+            self._notify(service, lender)
         return grant
 
     def places(self, service: ServiceName) -> int:
-        """Return the requests that a service's targets run at once."""
+        """Return how many requests a service's targets run concurrently."""
         ready = self._state.targets.ready(service)
         return sum(target.slots for target in ready.values())
 
     def handle(self, request: SmallRequest) -> Page:
-        """Answer a report that came over the peer port."""
+        """Answer a demand report from the peer port."""
         if self._state.is_leaving:
             return Page(status=409)
         try:
             report = msgspec.msgpack.decode(request.body, type=DemandReport)
         except msgspec.MsgspecError as error:
-            log.warning('Report not read.', cause=str(error))
+            log.warning('Demand report is malformed.', cause=str(error))
             return Page(status=400)
         return Page(
             status=200,
@@ -97,23 +97,23 @@
         )
 
     def _notify(
-        self, service: ServiceName, lending: broker.CapacityBroker
+        self, service: ServiceName, lender: broker.CapacityBroker
     ) -> None:
         now = self._clock.seconds()
         if now < self._notified_at.get(service, 0.0) + NOTICE_SECONDS:
             return
         self._notified_at[service] = now
-        known = lending.leases_by_instance.keys()
+        reporting = lender.leases_by_instance.keys()
         for record in self._state.serving_instances():
-            if record.instance in known:
+            if record.instance in reporting:
                 continue
             if record.instance != self._state.settings.instance:
-                telling = defer.Deferred.fromCoroutine(
-                    self._tell(record, service)
+                sending = defer.Deferred.fromCoroutine(
+                    self._send_notice(record, service)
                 )
-                telling.addErrback(_failed, record.instance)
+                sending.addErrback(_log_notice_failure, record.instance)
 
-    async def _tell(
+    async def _send_notice(
         self, record: InstanceRecord, service: ServiceName
     ) -> None:
         await self._peers.call(
@@ -125,6 +125,8 @@
         )
 
 
-def _failed(failure: Any, instance: str) -> None:
+def _log_notice_failure(failure: Any, instance: str) -> None:
     failure.trap(peer_call.PeerFailed)
-    log.info('Not notified.', peer=instance, cause=str(failure.value))
+    log.info(
+        'Congestion notice failed.', peer=instance, cause=str(failure.value)
+    )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/control.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/control.py
@@ -1,4 +1,4 @@
-"""Rule on requests by what the services' brokers lend."""
+"""Admit requests within the capacity lent by the services' brokers."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class CapacityControl:
-    """Keep a gate for each service that requests are sent to."""
+    """Keep an admission gate for each service."""
 
     def __init__(
         self, state: GatewayState, peers: PeerCalls, clock: Any
@@ -43,7 +43,7 @@
         self._clock = clock
         self.desk = broker_desk.BrokerDesk(state, peers, clock)
         self._reporter = reporting.Reporter(
-            state, peers, self.desk, self._admit, clock
+            state, peers, self.desk, self._admit_waiting, clock
         )
         self.gates_by_service: dict[ServiceName, service_gate.ServiceGate] = {}
         self.waiting_by_service: dict[
@@ -54,17 +54,17 @@
     async def enter(
         self, service: ServiceName, request: CapacityRequest
     ) -> port.Entry:
-        """Return once a request may be sent; raises Overloaded."""
+        """Wait until a request may be sent; raise Overloaded if refused."""
         if self._has_engines(service):
-            # Their places are given by the holder of the duty.
+            # The holder of the service's duty assigns the engines' slots.
             return port.OPEN
         gate = self._gate(service)
         gate.congestion.slots = self.desk.places(service)
-        ruling = gate.offer(request, self._now())
-        if ruling.answer is GateVerdict.WAIT:
-            ruling = await self._wait(service, gate, request)
-        if ruling.answer is GateVerdict.REFUSE:
-            raise self._refusal(service, request, ruling)
+        decision = gate.offer(request, self._now())
+        if decision.answer is GateVerdict.WAIT:
+            decision = await self._wait(service, gate, request)
+        if decision.answer is GateVerdict.REFUSE:
+            raise self._refusal(service, request, decision)
         return _GateEntry(gate, service, request, self._clock)
 
     def started(self, service: ServiceName) -> None:
@@ -72,40 +72,40 @@
 
     def finished(self, service: ServiceName, seconds: float) -> None:
         self._gate(service).record_answer(seconds, self._now())
-        self._check(service)
+        self._report_if_congested(service)
 
     def refused(self, service: ServiceName) -> None:
         self._gate(service).record_refusal(self._now())
-        self._check(service)
+        self._report_if_congested(service)
 
     def gave_up(self, service: ServiceName) -> None:
         self._gate(service).record_abandoned(self._now())
 
     def handles(self, path: str) -> bool:
-        """Tell whether a page of the peer port is answered here."""
+        """Return whether this class serves a path of the peer port."""
         return path in broker_desk.PATHS
 
     async def handle(self, request: SmallRequest) -> Page:
-        """Answer another instance."""
+        """Answer a request from the peer port."""
         match request.path:
             case broker_desk.REPORT_PATH:
                 return self.desk.handle(request)
             case broker_desk.NOTICE_PATH:
-                return self._told(request)
+                return self._handle_notice(request)
             case broker_desk.OVERVIEW_PATH:
-                shown = [self._overview(each) for each in self._shown()]
-                return Page(status=200, body=msgspec.json.encode(shown))
+                overviews = [self._overview(each) for each in self._services()]
+                return Page(status=200, body=msgspec.json.encode(overviews))
             case _:
                 return Page(status=404)
 
-    def _shown(self) -> list[ServiceName]:
+    def _services(self) -> list[ServiceName]:
         found = self.gates_by_service.keys() | self.desk.brokers_by_service
         return sorted(s for s in found if not self._has_engines(s))
 
     def _overview(self, service: ServiceName) -> ServiceOverview:
         gate = self._gate(service)
         now = self._now()
-        lending = self.desk.brokers_by_service.get(service)
+        lender = self.desk.brokers_by_service.get(service)
         return ServiceOverview(
             service=service,
             is_congested=gate.is_congested(now),
@@ -114,21 +114,21 @@
             in_flight=gate.congestion.in_flight,
             service_seconds=gate.congestion.service_seconds,
             classes=gate.overview(now),
-            capacity=None if lending is None else lending.capacity,
-            lent=None if lending is None else lending.lent_rate(),
-            fleet=() if lending is None else lending.overview(),
+            capacity=None if lender is None else lender.capacity,
+            lent=None if lender is None else lender.lent_rate(),
+            fleet=() if lender is None else lender.overview(),
         )
 
-    def _told(self, request: SmallRequest) -> Page:
+    def _handle_notice(self, request: SmallRequest) -> Page:
         try:
             notice = msgspec.msgpack.decode(
                 request.body, type=broker_desk.CapacityNotice
             )
         except msgspec.MsgspecError as error:
-            log.warning('Notice not read.', cause=str(error))
+            log.warning('Congestion notice is malformed.', cause=str(error))
             return Page(status=400)
         self._gate(notice.service).congestion.record_notice(self._now())
-        self._check(notice.service)
+        self._report_if_congested(notice.service)
         return Page(status=200)
 
     def _gate(self, service: ServiceName) -> service_gate.ServiceGate:
@@ -149,7 +149,7 @@
         known = table and table.services_by_name.get(service)
         return bool(known and known.engine is not None)
 
-    def _check(self, service: ServiceName) -> None:
+    def _report_if_congested(self, service: ServiceName) -> None:
         gate = self._gate(service)
         if gate.is_congested(self._now()) and not self._has_engines(service):
             self._reporter.start(service, gate)
@@ -161,14 +161,14 @@
         request: CapacityRequest,
     ) -> GateDecision:
         waiting = self.waiting_by_service.setdefault(service, {})
-        ruled: defer.Deferred[GateDecision] = defer.Deferred()
-        waiting[request] = ruled
+        decided: defer.Deferred[GateDecision] = defer.Deferred()
+        waiting[request] = decided
         self._set_timer(service, gate)
         meters.CAPACITY_WAITING.labels(service).set(len(waiting))
         try:
-            return await ruled
+            return await decided
         finally:
-            # Its caller may have left.
+            # The request still waits if its caller was cancelled.
             if waiting.pop(request, None) is not None:
                 gate.withdraw(request)
             meters.CAPACITY_WAITING.labels(service).set(len(waiting))
@@ -182,30 +182,30 @@
         at = gate.next_wakeup(self._now())
         if at is not None:
             self._timers_by_service[service] = self._clock.callLater(
-                max(0.0, at - self._now()), self._admit, service
+                max(0.0, at - self._now()), self._admit_waiting, service
             )
 
-    def _admit(self, service: ServiceName) -> None:
+    def _admit_waiting(self, service: ServiceName) -> None:
         gate = self._gate(service)
         waiting = self.waiting_by_service.get(service, {})
-        for request, ruling in gate.admit(self._now()):
-            ruled = waiting.pop(request, None)
-            if ruled is not None:
-                ruled.callback(ruling)
+        for request, decision in gate.admit(self._now()):
+            decided = waiting.pop(request, None)
+            if decided is not None:
+                decided.callback(decision)
         self._set_timer(service, gate)
 
     def _refusal(
         self,
         service: ServiceName,
         request: CapacityRequest,
-        ruling: GateDecision,
+        decision: GateDecision,
     ) -> errors.Overloaded:
         return _overloaded(
             service,
             request,
-            ruling.cause,
-            ruling.retry_after,
-            ruling.predicted_wait,
+            decision.cause,
+            decision.retry_after,
+            decision.predicted_wait,
         )
 
     def _now(self) -> Instant:
@@ -213,7 +213,7 @@
 
 
 class _GateEntry:
-    """Ask a gate about one request's further attempts."""
+    """Check one request's retries and hedges with its gate."""
 
     def __init__(
         self,
@@ -256,7 +256,7 @@
     priority = request.demand_class.priority
     meters.CAPACITY_REFUSED.labels(service, str(priority)).inc()
     log.info(
-        'Refused.',
+        'Request refused for lack of capacity.',
         request=request.id,
         service=service,
         account=request.demand_class.account,
@@ -270,5 +270,5 @@
 
 
 def _ms(seconds: float) -> int | None:
-    # No wait is long enough for a class that is lent nothing.
+    # The wait of a class without a grant is infinite.
     return None if seconds == float('inf') else round(seconds * 1000.0)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/port.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/port.py
@@ -1,4 +1,4 @@
-"""What the requests' parts need to know of a service's capacity."""
+"""Define the capacity interface used to send requests."""
 
 from __future__ import annotations
 
@@ -17,35 +17,34 @@
     from yuccarill.core.gateway.requests import TargetAnswer
     from yuccarill.core.ids import ServiceName
 
-# Seconds after which a request that targets refused may come back where
-# nothing is known of their capacity: long enough for a target's queue to
-# move, short against the deadlines of 1.5 s and more.
+# Default when the capacity is unknown: long enough for a target's queue to
+# move, short compared with request deadlines.
 RETRY_AFTER = 0.2
 
 
 class Entry(Protocol):
-    """Hold the leave to send one request."""
+    """Represent the permission to send one request."""
 
     def may_try_again(self) -> bool:
-        """Tell whether a second attempt may be sent, and count it."""
+        """Return whether a retry is allowed, and charge its budget."""
         ...
 
     def may_hedge(self) -> bool:
-        """Tell whether a second target may run it, and count it."""
+        """Return whether a hedge is allowed, and charge its budget."""
         ...
 
     def refusal(self, cause: str) -> errors.NotRun:
-        """Return what to tell a caller whose request was not run."""
+        """Return the error for a request that was not run."""
         ...
 
 
 class CapacityPort(Protocol):
-    """Let requests in, and learn from their attempts."""
+    """Admit requests and record the results of their attempts."""
 
     async def enter(
         self, service: ServiceName, request: CapacityRequest
     ) -> Entry:
-        """Return once a request may be sent; raises Overloaded."""
+        """Wait until a request may be sent; raise Overloaded if refused."""
         ...
 
     def started(self, service: ServiceName) -> None: ...
@@ -58,7 +57,7 @@
 
 
 class OpenEntry:
-    """Let a request be sent as often as its route allows."""
+    """Allow every retry and hedge."""
 
     def may_try_again(self) -> bool:
         return True
@@ -74,7 +73,7 @@
 
 
 class NoCapacity:
-    """Let every request in, where capacity is not shared."""
+    """Admit every request, for deployments that share no capacity."""
 
     async def enter(
         self, service: ServiceName, request: CapacityRequest
@@ -97,24 +96,24 @@
 NO_CAPACITY = NoCapacity()
 
 
-class AttemptNote:
-    """Hold what a target answered an attempt, none if it did not."""
+class AttemptOutcome:
+    """Hold the answer to one attempt, none if the attempt failed."""
 
     answer: TargetAnswer | None = None
 
 
 @contextlib.contextmanager
-def noted(
+def record_attempt(
     capacity: CapacityPort, service: ServiceName, clock: Any
-) -> Iterator[AttemptNote]:
-    """Count an attempt while it runs, and learn from its answer."""
+) -> Iterator[AttemptOutcome]:
+    """Record the start and the result of an attempt."""
     capacity.started(service)
     started_at = Instant(clock.seconds())
-    note = AttemptNote()
+    outcome = AttemptOutcome()
     try:
-        yield note
+        yield outcome
     finally:
-        answer = note.answer
+        answer = outcome.answer
         if answer is None or answer.is_from_other_process:
             capacity.gave_up(service)
         elif answer.not_run:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/reporting.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/reporting.py
@@ -1,4 +1,4 @@
-"""Tell a service's broker what is asked for here, while that is congested."""
+"""Report the demand for congested services to their brokers."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 log = logs.for_part('capacity')
 
 REPORT_SECONDS = 0.25
-# Seconds for a broker's answer, and for which one that gave none is left out.
 ANSWER_SECONDS = 0.3
+# Seconds for which a broker that did not answer is skipped.
 SUSPECT_SECONDS = 2.0
-# Instances that are asked one after the other.
+# Instances that may act as the broker of a service.
 CANDIDATES = 3
 
 
 class Reporter:
-    """Ask the first instance that answers to lend capacity."""
+    """Report demand to the first candidate broker that answers."""
 
     def __init__(
         self,
@@ -51,25 +51,25 @@
         self._desk = desk
         self._on_grant = on_grant
         self._clock = clock
-        self._reporting: set[ServiceName] = set()
+        self._reported_services: set[ServiceName] = set()
         self._suspected_until: dict[str, float] = {}
 
     def start(
         self, service: ServiceName, gate: service_gate.ServiceGate
     ) -> None:
-        """Report until the service is quiet, if it is not done yet."""
-        if service in self._reporting:
+        """Start reports, which end with the congestion."""
+        if service in self._reported_services:
             return
-        self._reporting.add(service)
+        self._reported_services.add(service)
         log.info('Service congested.', service=service)
-        # All instances see a rush begin at once.
+        # Jitter: all instances detect congestion simultaneously.
         first = self._state.generator.uniform(0.0, REPORT_SECONDS)
         self._clock.callLater(first, self._report, service, gate)
 
     def broker_of(
         self, service: ServiceName, gate: service_gate.ServiceGate
     ) -> str | None:
-        """Return the instance that lends, none if nobody does."""
+        """Return the broker that granted capacity, none without a grant."""
         found = self._broker(service)
         if found is None or not gate.has_grant(self._now()):
             return None
@@ -83,12 +83,12 @@
     ) -> None:
         report = gate.report(self._now())
         if report is None:
-            self._reporting.discard(service)
+            self._reported_services.discard(service)
             log.info('Service no longer congested.', service=service)
             return
         self._clock.callLater(REPORT_SECONDS, self._report, service, gate)
         asking = defer.Deferred.fromCoroutine(self._ask(gate, report))
-        asking.addErrback(_crashed)
+        asking.addErrback(_log_failure)
 
     async def _ask(
         self, gate: service_gate.ServiceGate, report: DemandReport
@@ -138,7 +138,7 @@
             return None
 
     def _broker(self, service: ServiceName) -> tuple[str, int] | None:
-        """Return whom to ask, and how many come before it."""
+        """Return the broker to ask and its rank among the candidates."""
         ordered = candidates.ordered(
             self._state.cores_by_name(), f'capacity {service}'
         )
@@ -149,6 +149,6 @@
         return None
 
 
-def _crashed(failure: Any) -> None:
+def _log_failure(failure: Any) -> None:
     if not failure.check(defer.CancelledError):
-        log.error('Report ended.', cause=failure.getTraceback())
+        log.error('Demand report failed.', cause=failure.getTraceback())
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/requests.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/requests.py
@@ -1,4 +1,4 @@
-"""Say whose a request is and by when its answer is wanted."""
+"""Build the capacity requests of client requests and of scores."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
     from yuccarill.core.ids import RequestId
 
 
-def of_caller(
+def from_client(
     route: Route, request: ClientRequest, deadline: Instant
 ) -> CapacityRequest:
-    """Return what a client's request asks of a service."""
+    """Return the capacity request of a client request."""
     priority = request.account_priority
     return CapacityRequest(
         id=request.id,
@@ -35,7 +35,7 @@
 def of_score(
     route: Route, request: RequestId, now: Instant, deadline: Instant
 ) -> CapacityRequest:
-    """Return what a text's score asks of a service."""
+    """Return the capacity request of a call that scores a text."""
     return CapacityRequest(
         id=request,
         demand_class=DemandClass(priority=fairness.INTERNAL_PRIORITY),
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/flow/__init__.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/flow/__init__.py
@@ -1,1 +1,1 @@
-"""Carry out what is decided of bytes that are held."""
+"""Enforce the memory budget of client connections."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/flow/desk.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/flow/desk.py
@@ -1,4 +1,4 @@
-"""Account for what connections hold and free what is over a bound."""
+"""Track the memory of connections and drop those over a bound."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class FlowDesk:
-    """Hand out the accounts of connections within one budget."""
+    """Track the buffers of all connections against one budget."""
 
     is_bounded = True
 
@@ -34,23 +34,23 @@
         self._held_by_id: dict[HolderId, HeldBytes] = {}
 
     def open(self, give_up: Callable[[Drop], None]) -> HeldBytes:
-        """Begin a connection; `give_up` is called to free what it holds."""
+        """Track a connection; `give_up` is called to free its memory."""
         held = HeldBytes(self, HolderId(next(self._ids)), give_up)
         self._held_by_id[held.holder.id] = held
         return held
 
     def close(self, held: HeldBytes) -> None:
-        """End a connection's account."""
+        """Stop tracking a connection."""
         if self._held_by_id.pop(held.holder.id, None) is not None:
             self.budget.release(held.holder)
             meters.HELD_BYTES.set(self.budget.held)
 
     def free(self) -> None:
-        """Give up connections until every bound holds."""
+        """Drop connections until every bound holds."""
         for drop in self.budget.choose_drops():
             held = self._held_by_id[drop.holder]
             log.warning(
-                'Request given up for memory.',
+                'Request dropped to free memory.',
                 account=held.holder.account,
                 stage=drop.stage.value,
                 bound=drop.scope.value,
@@ -63,7 +63,7 @@
 
 
 class HeldBytes:
-    """Account for what one connection holds."""
+    """Track the buffered bytes of one connection."""
 
     def __init__(
         self,
@@ -78,9 +78,9 @@
         self._is_paused = False
 
     def hold(self, holding: BufferKind, count: int) -> bool:
-        """Note how many bytes of a kind are held now.
+        """Set the buffered bytes of a kind.
 
-        Returns whether no more of them should be taken in.
+        Returns whether reading more of this kind should pause.
         """
         if not self._is_open:
             return False
@@ -90,33 +90,33 @@
             self._desk.free()
         meters.HELD_BYTES.set(budget.held)
         should_pause = count > 0 and pressure is not Pressure.NONE
-        self._note_pause(should_pause and holding is _ANSWER)
+        self._set_paused(should_pause and holding is _ANSWER)
         return should_pause
 
     def enter(self, stage: RequestStage) -> None:
-        """Note how far the connection's request is."""
+        """Set the stage of the connection's request."""
         self.holder.stage = stage
 
     def own(self, account: AccountName | None) -> None:
-        """Note whose request it is."""
+        """Set the client account of the connection's request."""
         if self._is_open:
             self._desk.budget.set_account(self.holder, account)
 
     def close(self) -> None:
-        """Hold nothing any more."""
+        """Release all buffered bytes."""
         if self._is_open:
             self._is_open = False
-            self._note_pause(False)
+            self._set_paused(False)
             self._desk.close(self)
 
-    def _note_pause(self, is_paused: bool) -> None:
+    def _set_paused(self, is_paused: bool) -> None:
         if is_paused != self._is_paused:
             self._is_paused = is_paused
             meters.PAUSED_ANSWERS.inc(1 if is_paused else -1)
 
 
 class NoFlow:
-    """Bound nothing, where the machine's memory is not known."""
+    """Enforce no bounds, where the machine's memory is unknown."""
 
     is_bounded = False
 
@@ -125,7 +125,7 @@
 
 
 class NothingHeld:
-    """Account for nothing."""
+    """Track nothing."""
 
     def hold(self, holding: BufferKind, count: int) -> bool:
         return False
@@ -144,7 +144,7 @@
 
 
 def for_memory(memory: int | None) -> FlowDesk | NoFlow:
-    """Return a desk with the bounds of a machine's memory."""
+    """Return a desk with bounds for the machine's memory in bytes."""
     if memory is None:
         return NoFlow()
     bounds = budget_module.bounds(memory)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/__init__.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Pass clients' requests on to targets."""
+"""Forward client requests to targets."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/attempting.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/attempting.py
@@ -1,4 +1,4 @@
-"""Make one attempt after the other at a service's targets."""
+"""Send single attempts of a request to a service's targets."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Attempts:
-    """Choose a target, send it one attempt, and learn from what came."""
+    """Choose a target, send it one attempt and record the result."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         return Instant(self._clock.seconds())
 
     def may_hedge(self, call: TargetCall) -> bool:
-        """Tell whether two targets may run a request at once."""
+        """Return whether two targets may run the request concurrently."""
         return self.guard.may_run_twice(call.content)
 
     def choose(
@@ -59,19 +59,18 @@
         tried: frozenset[TargetId],
         avoided: frozenset[TargetId] = frozenset(),
     ) -> ListedTarget | None:
-        """Return a target that was not tried yet, or any one.
+        """Return a target, preferring untried ones, or none.
 
-        One that is to be avoided is taken where there is no other, and one
-        that is gone never.
+        Avoided targets are a fallback; excluded targets are never returned.
         """
         now = self.now()
         pool = self._pools.pool(service, now)
-        gone = self._pools.gone(now)
+        excluded = self._pools.excluded_ids(now)
         connected = self._connected(service)
         chosen = (
-            pool.choose(now, tried | avoided | gone, connected=connected)
-            or (avoided and pool.choose(now, tried | gone))
-            or pool.choose(now, gone)
+            pool.choose(now, tried | avoided | excluded, connected=connected)
+            or (avoided and pool.choose(now, tried | excluded))
+            or pool.choose(now, excluded)
         )
         return self._pools.target(chosen) if chosen else None
 
@@ -85,25 +84,25 @@
     async def attempt(
         self, target: ListedTarget, call: TargetCall, deadline: Instant
     ) -> TargetAnswer:
-        """Send one attempt and let the pool learn from it."""
+        """Send one attempt and record its result in the target pool."""
         pool = self._pools.pool(target.service, self.now())
         pool.record_send(target.id)
         started_at = self.now()
         end, cause = 'cancelled', ''
         try:
-            with port.noted(
+            with port.record_attempt(
                 self._capacity, target.service, self._clock
-            ) as note:
+            ) as outcome:
                 answer = await self._calls.send(target, call, deadline)
-                note.answer = answer
-            end = self._learn(pool, target, answer, started_at)
+                outcome.answer = answer
+            end = self._record_answer(pool, target, answer, started_at)
             return answer
         except calls_module.CallFailed as error:
             end, cause = error.end.value, str(error)
             if self._pools.is_current(target):
                 pool.record_failure(target.id, _failure(error), self.now())
             if error.is_refused:
-                self._pools.note_gone(target, self.now())
+                self._pools.exclude(target, self.now())
             raise
         except defer.CancelledError:
             pool.cancel_attempt(target.id)
@@ -122,11 +121,11 @@
                 ms=round(seconds * 1000.0),
             )
 
-    def wake_at(self, at: Instant, wake: Callable[[], None]) -> Any:
-        """Call a function at an instant; returns a timer to cancel."""
+    def call_at(self, at: Instant, wake: Callable[[], None]) -> Any:
+        """Schedule a call at an instant and return its timer."""
         return self._clock.callLater(max(0.0, at - self.now()), wake)
 
-    def _learn(
+    def _record_answer(
         self,
         pool: pool_module.Pool,
         target: ListedTarget,
@@ -134,7 +133,7 @@
         started_at: Instant,
     ) -> str:
         if answer.is_from_other_process:
-            self._pools.note_gone(target, self.now())
+            self._pools.exclude(target, self.now())
         if answer.not_run and self._pools.is_current(target):
             pool.record_failure(
                 target.id, pool_module.Failure.REFUSED, self.now()
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/exchange.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/exchange.py
@@ -1,4 +1,4 @@
-"""Make the attempts of one idempotent request, side by side if need be."""
+"""Run the attempts of one idempotent request, with hedging."""
 
 from __future__ import annotations
 
@@ -24,32 +24,30 @@
 
 
 class SendRecord(msgspec.Struct, kw_only=True):
-    """Count what became of one request's attempts."""
+    """Record the outcomes of one request's attempts."""
 
     attempts: int = 0
     # Attempts that may have run.
     may_have_run: int = 0
-    # Answers of targets that the work itself failed.
+    # Answers that report a failure of the work itself.
     failed_runs: int = 0
     last_cause: str = ''
-    # When each attempt was sent that ran, or may have run.
+    # Send times of the attempts that ran or may have run.
     sent_at: list[Instant] = []
-    # A target's own failure, passed on if no other target does better.
+    # A target's error response, returned if no other target succeeds.
     failure: TargetAnswer | None = None
 
     @property
     def began_at(self) -> Instant | None:
         """Return when the request began to run, none if it did not.
 
-        An attempt whose outcome nobody knows counts: of those that broke off
-        nearly all had begun, and a target that is dark is followed by one
-        that answers, which counts the request once all the same.
+        Attempts with an unknown outcome count, since most of them have begun.
         """
         return min(self.sent_at, default=None)
 
 
 class Exchange:
-    """Run one request's attempts side by side."""
+    """Run the attempts of one request, hedged where allowed."""
 
     def __init__(
         self,
@@ -66,9 +64,9 @@
         self._plan = plan
         self._record = record
         self._entry = entry
-        # Until there is no capacity for a second target.
+        # Cleared when there is no capacity for a hedge.
         self._is_hedged = True
-        # The plan counts the attempts.
+        # Unlimited here: the plan limits the attempts.
         self._tries = tries.TargetTries(
             attempting, service, call.content, sys.maxsize
         )
@@ -84,7 +82,7 @@
             )
             match self._plan.next(self._attempting.now()):
                 case attempts.Next.START:
-                    self._start()
+                    self._start_attempt()
                 case attempts.Next.WAIT:
                     await self._sleep()
                 case attempts.Next.GIVE_UP:
@@ -92,17 +90,17 @@
         return self._success
 
     def cancel(self) -> None:
-        """Close what is still under way."""
+        """Cancel the attempts still in flight."""
         for running in list(self._running):
             running.cancel()
 
-    def _start(self) -> None:
+    def _start_attempt(self) -> None:
         if self._plan.in_flight and not self._entry.may_hedge():
             self._is_hedged = False
             return
-        target = self._next_target() if self._may_start() else None
+        target = self._next_target() if self._has_retry_budget() else None
         if target is None:
-            # More attempts would find none either.
+            # Further attempts would not find a target either.
             self._plan.max_attempts = self._plan.started
             return
         self._plan.start(self._attempting.now())
@@ -110,12 +108,12 @@
         running = defer.Deferred.fromCoroutine(self._attempt(target))
         if not running.called:
             self._running.append(running)
-            running.addBoth(self._ended, running)
+            running.addBoth(self._remove, running)
 
-    def _may_start(self) -> bool:
-        """Tell whether one more attempt may be sent."""
-        is_second = self._plan.started and not self._plan.in_flight
-        return not is_second or self._entry.may_try_again()
+    def _has_retry_budget(self) -> bool:
+        """Return whether the retry budget allows one more attempt."""
+        is_retry = self._plan.started and not self._plan.in_flight
+        return not is_retry or self._entry.may_try_again()
 
     def _next_target(self) -> ListedTarget | None:
         try:
@@ -128,7 +126,7 @@
             self._record.last_cause = 'no target is ready'
         return target
 
-    def _ended(self, result: object, running: defer.Deferred[None]) -> None:
+    def _remove(self, result: object, running: defer.Deferred[None]) -> None:
         if running in self._running:
             self._running.remove(running)
 
@@ -143,7 +141,7 @@
             self._record.last_cause = str(error)
             if error.end is calls_module.CallEnd.NOT_SENT:
                 self._record.sent_at.remove(sent_at)
-                self._tries.not_reached(target)
+                self._tries.record_unreached(target)
                 self._plan.withdraw()
                 self._wake_up()
                 return
@@ -153,11 +151,11 @@
         else:
             if answer.not_run:
                 self._record.sent_at.remove(sent_at)
-            self._take(answer)
+            self._record_answer(answer)
         self._plan.end()
         self._wake_up()
 
-    def _take(self, answer: TargetAnswer) -> None:
+    def _record_answer(self, answer: TargetAnswer) -> None:
         if answer.not_run:
             self._record.last_cause = f'refused with status {answer.status}'
             return
@@ -171,7 +169,7 @@
 
     async def _sleep(self) -> None:
         self._wake = defer.Deferred()
-        timer = self._attempting.wake_at(self._plan.wakes_at(), self._wake_up)
+        timer = self._attempting.call_at(self._plan.wakes_at(), self._wake_up)
         try:
             await self._wake
         finally:
@@ -187,11 +185,11 @@
         record = self._record
         if record.failure is not None and record.failure.signature is not None:
             return record.failure
-        cause = record.last_cause or 'no target answered in time'
+        cause = record.last_cause or 'no target answered before the deadline'
         if record.may_have_run == 0 and self._plan.in_flight == 0:
             if self._refusal is not None:
                 raise self._refusal
             raise self._entry.refusal(cause)
         if self._attempting.now() >= self._plan.deadline:
             raise errors.DeadlinePassed(f'No answer came in time: {cause}.')
-        raise errors.OutcomeUnknown(f'No whole answer came: {cause}.')
+        raise errors.OutcomeUnknown(f'No complete answer came: {cause}.')
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/forwarding.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/forwarding.py
@@ -1,4 +1,4 @@
-"""Pass clients' requests on to targets."""
+"""Forward client requests to targets by their routes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from yuccarill.core.gateway.routes import RouteKind
 from yuccarill.core.ids import Instant
 from yuccarill.daemon.gateway.capacity import port
-from yuccarill.daemon.gateway.capacity import requests as asking
+from yuccarill.daemon.gateway.capacity import requests as capacity_requests
 from yuccarill.daemon.gateway import meters
 from yuccarill.daemon.gateway.requests import exchange
 from yuccarill.daemon import logs
@@ -33,13 +33,12 @@
 
 log = logs.for_part('request')
 
-# Seconds after which a request is worth sending again while this instance
-# knows no configuration yet; it reads it within some milliseconds.
+# Seconds; longer than a starting instance takes to read its configuration.
 NO_CONFIGURATION_RETRY = 0.3
 
 
 class Forwarder:
-    """Serve each request as its route says."""
+    """Serve each request by the kind of its route."""
 
     def __init__(
         self,
@@ -64,9 +63,9 @@
         self._capacity = capacity
 
     async def judge(self, request: ClientRequest) -> None:
-        """Refuse a request by its head, while its body comes.
+        """Check a request's credentials from its head, before its body.
 
-        Raises KeyMissing, KeyUnknown, or NotRun where that can't be told.
+        Raises KeyMissing, KeyUnknown, or NotRun if the key can't be checked.
         """
         table = self._state.table
         if table is None:
@@ -80,12 +79,12 @@
     ) -> None:
         """Serve one request.
 
-        Raises YuccarillError for what is refused or failed.
+        Raises YuccarillError if the request is refused or fails.
         """
-        request = await self._admission.admit(self._find(request), request)
+        request = await self._admission.admit(self._match(request), request)
         answerer.admitted(request.account)
-        # A newer version may have come while its key was looked up.
-        route = self._find(request)
+        # The route table may have changed during the key lookup.
+        route = self._match(request)
         outcome = 'cancelled'
         try:
             outcome = await self._serve(route, request, answerer)
@@ -105,7 +104,7 @@
                 ms=round(seconds * 1000.0),
             )
 
-    def _find(self, request: ClientRequest) -> Route:
+    def _match(self, request: ClientRequest) -> Route:
         table = self._state.table
         if table is None:
             raise errors.NoConfiguration(
@@ -114,7 +113,7 @@
         route = table.find(request.host, request.path)
         if route is None:
             raise errors.UnknownService(
-                f'No route begins this path in version {table.version}.'
+                f'No route of version {table.version} matches the path.'
             )
         return route
 
@@ -125,15 +124,15 @@
             case RouteKind.BATCH:
                 answer = await self._intake.submit(route, request)
             case RouteKind.IDEMPOTENT:
-                answer = await self._idempotent(route, request)
+                answer = await self._send_idempotent(route, request)
             case RouteKind.AT_MOST_ONCE:
-                answer = await self._at_most_once(route, request)
+                answer = await self._send_at_most_once(route, request)
             case RouteKind.STREAM:
                 return await self._streams.serve(route, request, answerer)
         answerer.answer(answer)
         return f'status {answer.status}'
 
-    async def _idempotent(
+    async def _send_idempotent(
         self, route: Route, request: ClientRequest
     ) -> TargetAnswer:
         deadline = requests.time_limit(route, request)
@@ -143,25 +142,25 @@
             hedge_delay=attempts.hedge_delay(route.objective),
         )
         record = exchange.SendRecord()
-        service = self._service(route)
+        service = self._choose_service(route)
         entry = await self._capacity.enter(
-            service, asking.of_caller(route, request, deadline)
+            service, capacity_requests.from_client(route, request, deadline)
         )
         try:
             return await self._sender.send(
-                service, call_of(request, deadline), plan, record, entry
+                service, to_target_call(request, deadline), plan, record, entry
             )
         finally:
             self._usage.began(request.account, record.began_at)
 
-    async def _at_most_once(
+    async def _send_at_most_once(
         self, route: Route, request: ClientRequest
     ) -> TargetAnswer:
         deadline = requests.time_limit(route, request)
-        service = self._service(route)
-        call = call_of(request, deadline)
+        service = self._choose_service(route)
+        call = to_target_call(request, deadline)
         entry = await self._capacity.enter(
-            service, asking.of_caller(route, request, deadline)
+            service, capacity_requests.from_client(route, request, deadline)
         )
         tries = self._sender.tries(service, call, route.max_attempts, entry)
         cause = 'no target is ready'
@@ -170,20 +169,22 @@
             if sent_at >= deadline:
                 break
             try:
-                with port.noted(self._capacity, service, self._clock) as note:
+                with port.record_attempt(
+                    self._capacity, service, self._clock
+                ) as attempt:
                     answer = await self._calls.send(
                         target, call, deadline, is_fresh=True
                     )
-                    note.answer = answer
+                    attempt.answer = answer
             except calls_module.CallFailed as error:
                 if error.end is calls_module.CallEnd.BROKEN:
                     self._usage.began(request.account, sent_at)
-                    # It may have run; another target could run it twice.
+                    # The request may have run; a retry could run it twice.
                     raise errors.OutcomeUnknown(
-                        f'The target broke off: {error}.'
+                        f'The target failed during the request: {error}.'
                     ) from error
                 cause = str(error)
-                tries.not_reached(target)
+                tries.record_unreached(target)
                 continue
             if not answer.not_run:
                 self._usage.began(request.account, sent_at)
@@ -191,17 +192,17 @@
             cause = f'refused with status {answer.status}'
         raise entry.refusal(cause)
 
-    def _service(self, route: Route) -> ServiceName:
+    def _choose_service(self, route: Route) -> ServiceName:
         service = route.choose_service(self._state.generator)
         if service is None:
             raise errors.NoTarget('The route has no service.', 1.0)
         return service
 
 
-def call_of(
+def to_target_call(
     request: ClientRequest, deadline: Instant | None
 ) -> calls_module.TargetCall:
-    """Return a request as a target gets it."""
+    """Return the target call for a client request."""
     return calls_module.TargetCall(
         id=request.id,
         method=request.method,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/front.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/front.py
@@ -1,4 +1,4 @@
-"""Answer clients, trainers and the platform's checks of one instance."""
+"""Answer clients, trainers and health checks of one instance."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 log = logs.for_part('front')
 
-# Seconds for which clients may keep the addresses. A stopping instance
-# serves on for longer; a killed one is left out within its lease.
+# Seconds for which clients may cache the addresses; a stopping instance
+# serves for longer.
 ADDRESS_VALIDITY = 2.0
 
 
 class Front:
-    """Be the gateway that the platform's server asks."""
+    """Implement the gateway interface of the platform's server."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         self._store_age = store_age
 
     def is_ready(self) -> bool:
-        """Tell whether this instance should get new connections."""
+        """Return whether this instance should get new connections."""
         if self._state.is_leaving or self._state.table is None:
             return False
         return self._state.is_current
@@ -61,9 +61,9 @@
         return ClientLimits() if table is None else table.limits
 
     def addresses(self, data_centre: DataCentreId) -> AddressList:
-        """Return where clients may connect.
+        """Return the addresses that clients may connect to.
 
-        Raises NotRun if no instance is known that takes requests.
+        Raises NotRun if no known instance accepts requests.
         """
         places_by_address = {
             record.client_address: directory.InstanceLocation(
@@ -72,16 +72,18 @@
             )
             for record in self._state.serving_instances()
         }
-        me = self._state.settings
+        settings = self._state.settings
         if self.is_ready():
-            places_by_address[me.client_address] = directory.InstanceLocation(
-                cores=me.cores, data_centre=me.data_centre
+            places_by_address[settings.client_address] = (
+                directory.InstanceLocation(
+                    cores=settings.cores, data_centre=settings.data_centre
+                )
             )
         else:
-            places_by_address.pop(me.client_address, None)
+            places_by_address.pop(settings.client_address, None)
         if not places_by_address:
             raise errors.NotRun('No instance is ready.', 1.0)
-        validity = min(ADDRESS_VALIDITY, me.max_address_validity)
+        validity = min(ADDRESS_VALIDITY, settings.max_address_validity)
         return AddressList(
             addresses=tuple(
                 directory.addresses_for_caller(places_by_address, data_centre)
@@ -90,9 +92,9 @@
         )
 
     async def judge(self, request: ClientRequest) -> None:
-        """Refuse a request by its head, while its body comes.
+        """Check a request's credentials from its head, before its body.
 
-        Raises KeyMissing, KeyUnknown, or NotRun where that can't be told.
+        Raises KeyMissing, KeyUnknown, or NotRun if the key can't be checked.
         """
         await self._forwarder.judge(request)
 
@@ -110,16 +112,16 @@
         return await self._trainers.serve(call, admitted)
 
     def refused(self, request_id: str, error: errors.YuccarillError) -> None:
-        """Log why a request got no answer of a target."""
+        """Log why a request got no answer from a target."""
         table = self._state.table
         log.info(
-            'Refused or failed.',
+            'Request refused or failed.',
             request=request_id,
             code=int(error.code),
             status=error.http_status,
             retry_after=error.retry_after,
             configuration=None if table is None else table.version,
-            # Seconds since the store was last heard.
+            # Seconds since the last answer of the store.
             store_age=round(self._store_age(), 1),
             cause=error.message,
         )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/pools.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/pools.py
@@ -1,4 +1,4 @@
-"""Keep a pool of targets for each service, as the list has them."""
+"""Maintain a pool of ready targets for each service."""
 
 from __future__ import annotations
 
@@ -17,26 +17,24 @@
     from yuccarill.core.ids import TargetId
     from yuccarill.daemon.gateway.state import GatewayState
 
-# Seconds for which a target is not chosen at whose address nobody, or another
-# process, was found. Until the list shows it, 96 texts that waited for their
-# scores asked three such targets a thousand times a second.
-GONE_SECONDS = 0.5
+# Exclusion of a target that is absent from its address, which keeps retries
+# from flooding the address until the target list changes.
+EXCLUSION_SECONDS = 0.5
 
 
 class Pools:
-    """Keep one pool of targets a service, as the list has them."""
+    """Keep the pools in step with the target list."""
 
     def __init__(self, state: GatewayState) -> None:
         self._state = state
         self._pools_by_service: dict[ServiceName, pool_module.Pool] = {}
-        # The targets as each pool took them last.
-        self._taken_by_service: dict[
+        # The targets at the last update of each pool.
+        self._previous_by_service: dict[
             ServiceName, Mapping[TargetId, ListedTarget]
         ] = {}
-        # What each pool was last brought up to.
+        # The change count and data centre at the last update of each pool.
         self._seen_by_service: dict[ServiceName, tuple[int, DataCentreId]] = {}
-        # Until when targets are taken for gone.
-        self._gone_until: dict[TargetId, Instant] = {}
+        self._excluded_until: dict[TargetId, Instant] = {}
 
     def pool(self, service: ServiceName, now: Instant) -> pool_module.Pool:
         """Return a service's pool with its ready targets."""
@@ -48,55 +46,54 @@
             self._pools_by_service[service] = pool
         targets = self._state.targets
         here = self._state.settings.data_centre
-        seen = (targets.changes(service), here)
-        if self._seen_by_service.get(service) != seen:
-            # At each request, it took 90 ms with 1,300 targets.
-            self._seen_by_service[service] = seen
+        current = (targets.changes(service), here)
+        if self._seen_by_service.get(service) != current:
+            # Updates on changes only: each is expensive with many targets.
+            self._seen_by_service[service] = current
             ready = targets.ready(service)
-            taken = self._taken_by_service.get(service, {})
-            self._taken_by_service[service] = ready
-            for target_id in _started_again(taken, ready):
+            previous = self._previous_by_service.get(service, {})
+            self._previous_by_service[service] = ready
+            for target_id in _restarted(previous, ready):
                 pool.remove(target_id)
-                self._gone_until.pop(target_id, None)
+                self._excluded_until.pop(target_id, None)
             centres_by_id = {t.id: t.data_centre for t in ready.values()}
             pool.update(centres_by_id, here, now)
         return pool
 
-    def note_gone(self, target: ListedTarget, now: Instant) -> None:
-        """Do not choose a target for a while that was not at its address."""
-        self._gone_until[target.id] = Instant(now + GONE_SECONDS)
+    def exclude(self, target: ListedTarget, now: Instant) -> None:
+        """Exclude a target that was absent from its address."""
+        self._excluded_until[target.id] = Instant(now + EXCLUSION_SECONDS)
 
-    def gone(self, now: Instant) -> frozenset[TargetId]:
-        """Return the targets that are taken for gone."""
-        if self._gone_until:
-            self._gone_until = {
+    def excluded_ids(self, now: Instant) -> frozenset[TargetId]:
+        """Return the targets excluded at present."""
+        if self._excluded_until:
+            self._excluded_until = {
                 target_id: until
-                for target_id, until in self._gone_until.items()
+                for target_id, until in self._excluded_until.items()
                 if now < until
             }
-        return frozenset(self._gone_until)
+        return frozenset(self._excluded_until)
 
     def is_current(self, target: ListedTarget) -> bool:
-        """Tell whether a target is still the process that is listed."""
+        """Return whether the listed process is still the given one."""
         listed = self.target(target.id)
         return listed is None or target.is_same_start(listed)
 
     def targets(self, service: ServiceName) -> Iterable[ListedTarget]:
-        """Return the targets of a service that are ready."""
+        """Return the ready targets of a service."""
         return self._state.targets.ready(service).values()
 
     def target(self, target_id: TargetId) -> ListedTarget | None:
         return self._state.targets.targets_by_id.get(target_id)
 
 
-def _started_again(
-    taken_by_id: Mapping[TargetId, ListedTarget],
+def _restarted(
+    previous_by_id: Mapping[TargetId, ListedTarget],
     ready_by_id: Mapping[TargetId, ListedTarget],
 ) -> list[TargetId]:
-    # A process that started again under its id would be left out, or chosen,
-    # for what the one before it did.
+    # A restarted target must not inherit the statistics of its predecessor.
     return [
         target_id
-        for target_id in taken_by_id.keys() & ready_by_id.keys()
-        if not taken_by_id[target_id].is_same_start(ready_by_id[target_id])
+        for target_id in previous_by_id.keys() & ready_by_id.keys()
+        if not previous_by_id[target_id].is_same_start(ready_by_id[target_id])
     ]
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/relay.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/relay.py
@@ -1,7 +1,7 @@
-"""Pass a trainer's call on to another instance.
+"""Relay a trainer's call to another instance.
 
-The instance that runs a job has its results in memory, and an instance
-that is cut off from the store can still serve through one that is not.
+The instance that runs a job has its results in memory; an instance that
+can't reach the store serves through one that can.
 """
 
 from __future__ import annotations
@@ -28,18 +28,18 @@
 
 log = logs.for_part('relay')
 
-# Marks a call that was passed on once, which is not passed on again.
+# Marks a relayed call, which is not relayed again.
 HEADER = 'Yuccarill-Relayed'
-# Seconds beyond the call's own waiting time for an answer of the peer.
+# Seconds added to the call's own timeout for the peer's answer.
 ANSWER_SECONDS = 0.8
-# Seconds for which a peer that did not answer is left out.
+# Seconds for which a peer that did not answer is not asked.
 SUSPECT_SECONDS = 2.0
-# What belongs to the connection that an answer came over.
-_DROPPED = frozenset({'content-length', 'connection', 'transfer-encoding'})
+# Headers of the connection to the peer, not of its answer.
+_HOP_BY_HOP = frozenset({'content-length', 'connection', 'transfer-encoding'})
 
 
 class Relay:
-    """Send trainers' calls to peers."""
+    """Relay trainers' calls to peers."""
 
     def __init__(
         self, state: GatewayState, links: Connections, clock: Any
@@ -56,18 +56,18 @@
             return None
         division = self._state.division(service)
         if division.is_by_items:
-            return self._reader(service, division.parts, job)
+            return self._find_reader(service, division.parts, job)
         if division.parts > 1:
-            # Whose a job is stands with it in the store.
+            # The job's record in the store names its holder.
             return None
         return self.holder_of(service)
 
-    def _reader(
+    def _find_reader(
         self, service: ServiceName, count: int, job: JobId
     ) -> InstanceRecord | None:
-        """Return the instance that reads a shared job for all who ask.
+        """Return the instance that serves all reads of a shared job.
 
-        It has read most results before; the holders have other work.
+        One reader has most results cached and spares the holders the load.
         """
         duties_by_service = self._state.duties_by_service
         holders = {
@@ -86,7 +86,7 @@
         return found
 
     def holder_of(self, part: ServiceName) -> InstanceRecord | None:
-        """Return the other instance that runs the jobs of a service's part."""
+        """Return the other instance that holds a service's part."""
         duty = self._state.duties_by_service.get(part)
         if not duty or duty.instance == self._state.settings.instance:
             return None
@@ -96,20 +96,20 @@
         return None
 
     def peer(self) -> InstanceRecord | None:
-        """Return any other instance that serves."""
+        """Return another serving instance, none if there is none."""
         return self._peers.choose()
 
     async def send(
         self, peer: InstanceRecord, request: ClientRequest, seconds: float
     ) -> TargetAnswer | None:
-        """Return a peer's answer, none if it did not give one in time."""
+        """Return a peer's answer, none if the peer fails or times out."""
         if self._peers.is_out(peer.instance):
             return None
         outgoing = http_exchange.OutgoingRequest(
             method=request.method,
             target=request.target,
-            # The peer admits it anew: nobody may name an account by saying
-            # that a request was relayed.
+            # The peer authenticates the call again, so that a forged relay
+            # header gives no access to an account.
             headers=(*request.headers, *_credentials(request), (HEADER, '1')),
             body=request.body,
         )
@@ -133,7 +133,7 @@
         headers = tuple(
             header
             for header in reply.head.headers
-            if header[0] not in _DROPPED
+            if header[0] not in _HOP_BY_HOP
         )
         return TargetAnswer(
             status=reply.head.status,
@@ -164,5 +164,5 @@
 
 
 def is_relayed(request: ClientRequest) -> bool:
-    """Tell whether a peer passed the request on."""
+    """Return whether a peer relayed the request."""
     return any(name.lower() == HEADER.lower() for name, _ in request.headers)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/sender.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/sender.py
@@ -1,4 +1,4 @@
-"""Send idempotent requests to a service's targets until one answers."""
+"""Send idempotent requests, with retries and hedges."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Sender:
-    """Send requests that may be repeated."""
+    """Send idempotent requests to a service's targets."""
 
     def __init__(
         self,
@@ -44,9 +44,9 @@
         record: exchange.SendRecord,
         entry: port.Entry = port.OPEN,
     ) -> TargetAnswer:
-        """Return the first success, else a target's own failure.
+        """Return the first success, else a target's error response.
 
-        Raises NotRun if no attempt can have run, else OutcomeUnknown or
+        Raises NotRun if certainly no attempt ran, else OutcomeUnknown or
         DeadlinePassed.
         """
         running = exchange.Exchange(
@@ -64,7 +64,7 @@
         limit: int,
         entry: port.Entry = port.OPEN,
     ) -> tries.TargetTries:
-        """Return the choice of targets for one request."""
+        """Return the target selection for one request."""
         return tries.TargetTries(
             self._attempts, service, call.content, limit, entry
         )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/streams.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/streams.py
@@ -1,4 +1,4 @@
-"""Pass a target's stream of events on to a client as it arrives."""
+"""Forward a target's event stream to a client as it arrives."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from yuccarill.core.ids import Instant
 from yuccarill.daemon.adapters import http_exchange
 from yuccarill.daemon.gateway.capacity import port
-from yuccarill.daemon.gateway.capacity import requests as asking
+from yuccarill.daemon.gateway.capacity import requests as capacity_requests
 from yuccarill.daemon import logs
 from yuccarill.platform import calls as calls_module
 
@@ -31,15 +31,15 @@
 
 log = logs.for_part('streams')
 
-# Seconds without an event after which a run is taken for silent. Clients
-# give up after two seconds at the earliest.
+# Seconds without an event after which an attempt is abandoned; shorter than
+# the shortest client timeout.
 SILENCE_SECONDS = 1.5
-# Seconds that one run of a stream may take; its silence ends it sooner.
+# Limit for all attempts of one stream.
 STREAM_SECONDS = 600.0
 
 
 class StreamForwarder:
-    """Forward streams, resuming those that may be resumed."""
+    """Forward streams and resume the resumable ones on other targets."""
 
     def __init__(
         self,
@@ -60,16 +60,16 @@
     async def serve(
         self, route: Route, request: ClientRequest, answerer: Answerer
     ) -> str:
-        """Forward one stream and return how it ended.
+        """Forward one stream and return its outcome.
 
-        Raises YuccarillError if it ended before its head was passed on.
+        Raises YuccarillError if the stream fails before its head is sent.
         """
         service = route.choose_service(self._state.generator)
         if service is None:
             raise errors.NoTarget('The route has no service.', 1.0)
         deadline = requests.time_limit(route, request)
         entry = await self._capacity.enter(
-            service, asking.of_caller(route, request, deadline)
+            service, capacity_requests.from_client(route, request, deadline)
         )
         run = _StreamRun(request, answerer, entry, self._clock)
         answerer.feed_from(run, route.is_resumable)
@@ -77,13 +77,13 @@
             service, run.call(), route.max_attempts, entry
         )
         try:
-            return await self._attempts(run, tries, route, service, entry)
+            return await self._run_attempts(run, tries, route, service, entry)
         except errors.RequestQuarantined as error:
             return run.refuse(error)
         finally:
             self._usage.began(request.account, run.began_at)
 
-    async def _attempts(
+    async def _run_attempts(
         self,
         run: _StreamRun,
         tries: TargetTries,
@@ -95,27 +95,27 @@
         cause = 'no target is ready'
         while (target := tries.next()) is not None:
             try:
-                with port.noted(
+                with port.record_attempt(
                     self._capacity, target.service, self._clock
-                ) as note:
+                ) as attempt:
                     answer = await self._calls.generate(
                         target, run.call(), deadline, SILENCE_SECONDS, run
                     )
-                    note.answer = answer
+                    attempt.answer = answer
             except calls_module.CallFailed as error:
                 cause = str(error)
                 run.detach()
                 if error.end is calls_module.CallEnd.NOT_SENT:
-                    tries.not_reached(target)
+                    tries.record_unreached(target)
                     continue
                 run.may_have_run = True
-                run.note_begin()
+                run.record_start()
                 if not route.is_resumable:
                     break
                 if run.was_paused:
-                    # The target cut what stayed unread; it did not fail, and
-                    # a client that reads again has all its attempts.
-                    await run.until_read()
+                    # Targets abort streams that a slow client leaves unread;
+                    # such an abort uses up no attempt.
+                    await run.wait_until_read()
                     tries = self._sender.tries(
                         service, run.call(), route.max_attempts, entry
                     )
@@ -129,7 +129,7 @@
 
 
 class _StreamRun(calls_module.GenerationSink):
-    """Pass the events of one client's stream on, over several runs."""
+    """Forward one client's stream over several attempts."""
 
     def __init__(
         self,
@@ -140,29 +140,29 @@
     ) -> None:
         self._entry = entry
         self._clock = clock
-        # When the first event came, or an attempt broke off that was sent.
+        # Time of the first event, or of the first failed attempt.
         self.began_at: Instant | None = None
         self._request = request
         self._answerer = answerer
         self._has_begun = False
-        # An attempt broke off after it was sent.
+        # An attempt failed after it was sent.
         self.may_have_run = False
-        # The client read slowly since the present attempt began.
+        # The client was slow to read during the current attempt.
         self.was_paused = False
         self._is_paused = False
         self._reading: http_exchange.Reading | None = None
-        self._reads_again: defer.Deferred[None] | None = None
-        self._last = request.after_event
+        self._resumed: defer.Deferred[None] | None = None
+        self._last_event = request.after_event
 
     def call(self) -> calls_module.TargetCall:
-        """Return the request for the next run."""
+        """Return the target call that continues after the last event."""
         return calls_module.TargetCall(
             id=self._request.id,
             method=self._request.method,
             target=self._request.target,
             headers=self._request.headers,
             body=self._request.body,
-            after_event=self._last,
+            after_event=self._last_event,
             deadline=self._request.deadline,
             account=self._request.account,
         )
@@ -174,34 +174,38 @@
             reading.pause()
 
     def detach(self) -> None:
-        """Note that an attempt ended; its connection may serve another."""
+        """Release an ended attempt's connection, which may be reused."""
         self._reading = None
 
     def pause(self) -> None:
-        """Let the target wait for the client."""
+        """Apply back pressure to the target."""
         self._is_paused = self.was_paused = True
-        log.info('Stream paused.', request=self._request.id, after=self._last)
+        log.info(
+            'Stream paused.', request=self._request.id, after=self._last_event
+        )
         if self._reading is not None:
             self._reading.pause()
 
     def resume(self) -> None:
-        """Go on for a client that has read everything."""
+        """Resume reading once the client has read everything."""
         self._is_paused = False
-        log.info('Stream goes on.', request=self._request.id, after=self._last)
+        log.info(
+            'Stream resumed.', request=self._request.id, after=self._last_event
+        )
         if self._reading is not None:
             self._reading.resume()
-        waiting, self._reads_again = self._reads_again, None
-        if waiting is not None:
-            waiting.callback(None)
+        resumed, self._resumed = self._resumed, None
+        if resumed is not None:
+            resumed.callback(None)
 
-    async def until_read(self) -> None:
-        """Wait until the client has read what it was sent."""
+    async def wait_until_read(self) -> None:
+        """Wait until the client has read everything sent to it."""
         if self._is_paused:
-            self._reads_again = defer.Deferred()
-            await self._reads_again
+            self._resumed = defer.Deferred()
+            await self._resumed
 
-    def note_begin(self) -> None:
-        """Note that the request runs, or may have run."""
+    def record_start(self) -> None:
+        """Record when the request began, or may have begun, to run."""
         if self.began_at is None:
             self.began_at = Instant(self._clock.seconds())
 
@@ -211,17 +215,17 @@
             self._answerer.begin(answer)
 
     def event(self, event: StreamEvent) -> None:
-        expected = (self._last or 0) + 1
+        expected = (self._last_event or 0) + 1
         if event.number != expected:
             raise http_exchange.SinkRefused(
-                f'event {event.number} came instead of {expected}'
+                f'received event {event.number}, expected {expected}'
             )
-        self._last = expected
-        self.note_begin()
+        self._last_event = expected
+        self.record_start()
         self._answerer.write(event.raw)
 
     def end(self, answer: TargetAnswer) -> str:
-        """Finish the client's answer."""
+        """Complete the client's response and return the outcome."""
         if self._has_begun:
             self._answerer.finish()
         else:
@@ -229,17 +233,19 @@
         return f'status {answer.status}'
 
     def refuse(self, error: errors.RequestQuarantined) -> str:
-        """End a stream that may not be sent on any more."""
+        """End a stream whose request is quarantined."""
         if not self._has_begun and not self.may_have_run:
             raise error
         return self.give_up(error.message)
 
     def give_up(self, cause: str) -> str:
-        """End a stream that no target finished."""
+        """End a stream that no target completed."""
         if self._has_begun:
-            # The client must not take the part for the whole.
+            # The client must not mistake a partial answer for a complete one.
             self._answerer.abort()
             return 'cut'
         if self.may_have_run:
-            raise errors.OutcomeUnknown(f'The stream broke off: {cause}.')
+            raise errors.OutcomeUnknown(
+                f'The stream failed before its first event: {cause}.'
+            )
         raise self._entry.refusal(cause)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/tries.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/tries.py
@@ -1,4 +1,4 @@
-"""Choose the targets that one request is sent to, one after the other."""
+"""Select the targets for the successive attempts of one request."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class TargetTries:
-    """Choose targets as long as a request may be sent to one more."""
+    """Select targets within the attempt limit and the retry budget."""
 
     def __init__(
         self,
@@ -36,9 +36,9 @@
         self._unreached: set[TargetId] = set()
 
     def next(self) -> ListedTarget | None:
-        """Return a target to send the request to, none if none is left.
+        """Return the next target, none if no attempt or target is left.
 
-        Raises RequestQuarantined if its like ended targets.
+        Raises RequestQuarantined if similar requests crashed targets.
         """
         if self._sent >= self._limit:
             return None
@@ -56,12 +56,11 @@
         self._sent += 1
         return target
 
-    def not_reached(self, target: ListedTarget) -> None:
-        """Note a target to which no byte was sent.
+    def record_unreached(self, target: ListedTarget) -> None:
+        """Record a target that could not be connected to.
 
-        It does not count: while two of three targets are gone and still
-        listed, a request that may be sent to two used both up on them, and
-        was refused beside a target that could have served it.
+        Such an attempt doesn't count, so that targets that are gone but still
+        listed don't use up the attempts.
         """
         self._unreached.add(target.id)
         self._sent -= 1
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/usage_sink.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/usage_sink.py
@@ -1,4 +1,4 @@
-"""Count requests that began to run."""
+"""Define the interface that counts requests for usage reports."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class NoUsage:
-    """Count nothing, where nobody wants reports."""
+    """Count nothing, for deployments without usage reports."""
 
     def began(self, account: AccountName | None, at: Instant | None) -> None:
         pass
--- a/packages/yuccarill-daemon/tests/gateway/test_capacity.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_capacity.py
@@ -108,9 +108,11 @@
             except errors.Overloaded as error:
                 found.append(error)
                 return
-            with port.noted(made, world.SERVICE, self.clock) as note:
+            with port.record_attempt(
+                made, world.SERVICE, self.clock
+            ) as outcome:
                 await task.deferLater(self.clock, 0.01)
-                note.answer = TargetAnswer(
+                outcome.answer = TargetAnswer(
                     status=503 if is_refused else 200,
                     headers=(),
                     body=b'',
