--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/control.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/control.py
@@ -53,11 +53,11 @@
 
     async def enter(
         self, service: ServiceName, request: CapacityRequest
-    ) -> port.Entry:
+    ) -> port.SendPermit:
         """Wait until a request may be sent; raise Overloaded if refused."""
         if self._has_engines(service):
             # The holder of the service's duty assigns the engines' slots.
-            return port.OPEN
+            return port.UNLIMITED
         gate = self._gate(service)
         gate.congestion.slots = self.desk.places(service)
         decision = gate.offer(request, self._now())
@@ -65,20 +65,20 @@
             decision = await self._wait(service, gate, request)
         if decision.answer is GateVerdict.REFUSE:
             raise self._refusal(service, request, decision)
-        return _GateEntry(gate, service, request, self._clock)
+        return _GatePermit(gate, service, request, self._clock)
 
-    def started(self, service: ServiceName) -> None:
+    def record_start(self, service: ServiceName) -> None:
         self._gate(service).record_start(self._now())
 
-    def finished(self, service: ServiceName, seconds: float) -> None:
+    def record_answer(self, service: ServiceName, seconds: float) -> None:
         self._gate(service).record_answer(seconds, self._now())
         self._report_if_congested(service)
 
-    def refused(self, service: ServiceName) -> None:
+    def record_refusal(self, service: ServiceName) -> None:
         self._gate(service).record_refusal(self._now())
         self._report_if_congested(service)
 
-    def gave_up(self, service: ServiceName) -> None:
+    def record_abandoned(self, service: ServiceName) -> None:
         self._gate(service).record_abandoned(self._now())
 
     def handles(self, path: str) -> bool:
@@ -212,7 +212,7 @@
         return Instant(self._clock.seconds())
 
 
-class _GateEntry:
+class _GatePermit:
     """Check one request's retries and hedges with its gate."""
 
     def __init__(
@@ -227,7 +227,7 @@
         self._request = request
         self._clock = clock
 
-    def may_try_again(self) -> bool:
+    def may_retry(self) -> bool:
         return self._gate.take_retry(self._request, self._now())
 
     def may_hedge(self) -> bool:
@@ -236,7 +236,7 @@
     def refusal(self, cause: str) -> errors.NotRun:
         now = self._now()
         if not self._gate.is_congested(now):
-            return port.OPEN.refusal(cause)
+            return port.UNLIMITED.refusal(cause)
         retry_after = self._gate.retry_after(self._request, now)
         return _overloaded(
             self._service, self._request, cause, retry_after, 0.0
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/port.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/port.py
@@ -22,10 +22,10 @@
 RETRY_AFTER = 0.2
 
 
-class Entry(Protocol):
+class SendPermit(Protocol):
     """Represent the permission to send one request."""
 
-    def may_try_again(self) -> bool:
+    def may_retry(self) -> bool:
         """Return whether a retry is allowed, and charge its budget."""
         ...
 
@@ -43,23 +43,23 @@
 
     async def enter(
         self, service: ServiceName, request: CapacityRequest
-    ) -> Entry:
+    ) -> SendPermit:
         """Wait until a request may be sent; raise Overloaded if refused."""
         ...
 
-    def started(self, service: ServiceName) -> None: ...
+    def record_start(self, service: ServiceName) -> None: ...
 
-    def finished(self, service: ServiceName, seconds: float) -> None: ...
+    def record_answer(self, service: ServiceName, seconds: float) -> None: ...
 
-    def refused(self, service: ServiceName) -> None: ...
+    def record_refusal(self, service: ServiceName) -> None: ...
 
-    def gave_up(self, service: ServiceName) -> None: ...
+    def record_abandoned(self, service: ServiceName) -> None: ...
 
 
-class OpenEntry:
+class UnlimitedPermit:
     """Allow every retry and hedge."""
 
-    def may_try_again(self) -> bool:
+    def may_retry(self) -> bool:
         return True
 
     def may_hedge(self) -> bool:
@@ -69,7 +69,7 @@
         return errors.NotRun(f'The request was not run: {cause}.', RETRY_AFTER)
 
 
-OPEN = OpenEntry()
+UNLIMITED = UnlimitedPermit()
 
 
 class NoCapacity:
@@ -77,19 +77,19 @@
 
     async def enter(
         self, service: ServiceName, request: CapacityRequest
-    ) -> Entry:
-        return OPEN
+    ) -> SendPermit:
+        return UNLIMITED
 
-    def started(self, service: ServiceName) -> None:
+    def record_start(self, service: ServiceName) -> None:
         pass
 
-    def finished(self, service: ServiceName, seconds: float) -> None:
+    def record_answer(self, service: ServiceName, seconds: float) -> None:
         pass
 
-    def refused(self, service: ServiceName) -> None:
+    def record_refusal(self, service: ServiceName) -> None:
         pass
 
-    def gave_up(self, service: ServiceName) -> None:
+    def record_abandoned(self, service: ServiceName) -> None:
         pass
 
 
@@ -107,7 +107,7 @@
     capacity: CapacityPort, service: ServiceName, clock: Any
 ) -> Iterator[AttemptOutcome]:
     """Record the start and the result of an attempt."""
-    capacity.started(service)
+    capacity.record_start(service)
     started_at = Instant(clock.seconds())
     outcome = AttemptOutcome()
     try:
@@ -115,8 +115,8 @@
     finally:
         answer = outcome.answer
         if answer is None or answer.is_from_other_process:
-            capacity.gave_up(service)
+            capacity.record_abandoned(service)
         elif answer.not_run:
-            capacity.refused(service)
+            capacity.record_refusal(service)
         else:
-            capacity.finished(service, clock.seconds() - started_at)
+            capacity.record_answer(service, clock.seconds() - started_at)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/reporting.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/reporting.py
@@ -70,10 +70,10 @@
         self, service: ServiceName, gate: service_gate.ServiceGate
     ) -> str | None:
         """Return the broker that granted capacity, none without a grant."""
-        found = self._broker(service)
-        if found is None or not gate.has_grant(self._now()):
+        choice = self._choose_broker(service)
+        if choice is None or not gate.has_grant(self._now()):
             return None
-        return found[0]
+        return choice[0]
 
     def _now(self) -> Instant:
         return Instant(self._clock.seconds())
@@ -87,29 +87,29 @@
             log.info('Service no longer congested.', service=service)
             return
         self._clock.callLater(REPORT_SECONDS, self._report, service, gate)
-        asking = defer.Deferred.fromCoroutine(self._ask(gate, report))
-        asking.addErrback(_log_failure)
+        sending = defer.Deferred.fromCoroutine(self._send_report(gate, report))
+        sending.addErrback(_log_failure)
 
-    async def _ask(
+    async def _send_report(
         self, gate: service_gate.ServiceGate, report: DemandReport
     ) -> None:
         sent_at = self._now()
-        found = self._broker(report.service)
-        if found is None:
+        choice = self._choose_broker(report.service)
+        if choice is None:
             return
-        name, rank = found
+        name, rank = choice
         report = msgspec.structs.replace(report, passed_over=rank)
         if name == self._state.settings.instance:
             grant = self._desk.lend(report)
         else:
-            asked = await self._ask_peer(name, report)
-            if asked is None:
+            peer_grant = await self._send_to_peer(name, report)
+            if peer_grant is None:
                 return
-            grant = asked
+            grant = peer_grant
         gate.apply_grant(grant, sent_at)
         self._on_grant(report.service)
 
-    async def _ask_peer(
+    async def _send_to_peer(
         self, name: str, report: DemandReport
     ) -> CapacityGrant | None:
         for record in self._state.serving_instances():
@@ -137,7 +137,7 @@
             )
             return None
 
-    def _broker(self, service: ServiceName) -> tuple[str, int] | None:
+    def _choose_broker(self, service: ServiceName) -> tuple[str, int] | None:
         """Return the broker to ask and its rank among the candidates."""
         ordered = candidates.ordered(
             self._state.cores_by_name(), f'capacity {service}'
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/meters.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/meters.py
@@ -5,20 +5,8 @@
 import prometheus_client
 
 REGISTRY = prometheus_client.CollectorRegistry()
-# Request objectives lie between 0.1 and 10 s.
-_BUCKET_SECONDS = (
-    0.01,
-    0.025,
-    0.05,
-    0.1,
-    0.15,
-    0.25,
-    0.5,
-    1.0,
-    2.5,
-    5.0,
-    10.0,
-)
+# Seconds; request objectives lie between 0.1 and 10 s.
+_BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
 
 REQUESTS = prometheus_client.Counter(
     'yuccarill_requests',
@@ -30,7 +18,7 @@
     'yuccarill_request_seconds',
     'From a request to the end of its answer',
     ('route',),
-    buckets=_BUCKET_SECONDS,
+    buckets=_BUCKETS,
     registry=REGISTRY,
 )
 KEYS = prometheus_client.Counter(
@@ -70,7 +58,7 @@
     'yuccarill_attempt_seconds',
     'From a call of a target to its end',
     ('service',),
-    buckets=_BUCKET_SECONDS,
+    buckets=_BUCKETS,
     registry=REGISTRY,
 )
 LOSSES = prometheus_client.Counter(
@@ -121,7 +109,7 @@
     'yuccarill_store_seconds',
     'From a call of the store to its end, watches aside',
     ('way',),
-    buckets=_BUCKET_SECONDS,
+    buckets=_BUCKETS,
     registry=REGISTRY,
 )
 ENTRIES_LEFT_OUT = prometheus_client.Counter(
@@ -150,7 +138,7 @@
 ITEM_SECONDS = prometheus_client.Histogram(
     'yuccarill_item_seconds',
     "From a job's arrival at its runner to an item's result",
-    buckets=_BUCKET_SECONDS,
+    buckets=_BUCKETS,
     registry=REGISTRY,
 )
 ORDERS = prometheus_client.Counter(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/process.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/process.py
@@ -267,7 +267,7 @@
         self._observer.on_restart = self._calls.forget
         self._observer.on_start = self._quarantine.ends.started
         self._session.lease.on_return = self._observer.refresh
-        self._way.on_lost = self._on_way_lost
+        self._way.on_lost = self._on_store_lost
         self._holders.on_asked = self._on_duty_query
         for work in (*self._observer.following(), self._session.follow()):
             background_task = defer.ensureDeferred(work)
@@ -291,7 +291,7 @@
             self._clock,
         )
 
-    def _on_way_lost(self) -> None:
+    def _on_store_lost(self) -> None:
         self._observer.refresh()
         self._work.resume()
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/exchange.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/exchange.py
@@ -56,18 +56,18 @@
         call: TargetCall,
         plan: attempts.AttemptPlan,
         record: SendRecord,
-        entry: port.Entry = port.OPEN,
+        permit: port.SendPermit = port.UNLIMITED,
     ) -> None:
         self._attempting = attempting
         self._service = service
         self._call = call
         self._plan = plan
         self._record = record
-        self._entry = entry
+        self._permit = permit
         # Cleared when there is no capacity for a hedge.
         self._is_hedged = True
         # Unlimited here: the plan limits the attempts.
-        self._tries = tries.TargetTries(
+        self._selector = tries.TargetSelector(
             attempting, service, call.content, sys.maxsize
         )
         self._refusal: errors.RequestQuarantined | None = None
@@ -95,7 +95,7 @@
             running.cancel()
 
     def _start_attempt(self) -> None:
-        if self._plan.in_flight and not self._entry.may_hedge():
+        if self._plan.in_flight and not self._permit.may_hedge():
             self._is_hedged = False
             return
         target = self._next_target() if self._has_retry_budget() else None
@@ -113,11 +113,11 @@
     def _has_retry_budget(self) -> bool:
         """Return whether the retry budget allows one more attempt."""
         is_retry = self._plan.started and not self._plan.in_flight
-        return not is_retry or self._entry.may_try_again()
+        return not is_retry or self._permit.may_retry()
 
     def _next_target(self) -> ListedTarget | None:
         try:
-            target = self._tries.next()
+            target = self._selector.next()
         except errors.RequestQuarantined as error:
             self._refusal = error
             self._record.last_cause = error.message
@@ -141,7 +141,7 @@
             self._record.last_cause = str(error)
             if error.end is calls_module.CallEnd.NOT_SENT:
                 self._record.sent_at.remove(sent_at)
-                self._tries.record_unreached(target)
+                self._selector.record_unreached(target)
                 self._plan.withdraw()
                 self._wake_up()
                 return
@@ -189,7 +189,7 @@
         if record.may_have_run == 0 and self._plan.in_flight == 0:
             if self._refusal is not None:
                 raise self._refusal
-            raise self._entry.refusal(cause)
+            raise self._permit.refusal(cause)
         if self._attempting.now() >= self._plan.deadline:
             raise errors.DeadlinePassed(f'No answer came in time: {cause}.')
         raise errors.OutcomeUnknown(f'No complete answer came: {cause}.')
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/forwarding.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/forwarding.py
@@ -143,12 +143,16 @@
         )
         record = exchange.SendRecord()
         service = self._choose_service(route)
-        entry = await self._capacity.enter(
+        permit = await self._capacity.enter(
             service, capacity_requests.from_client(route, request, deadline)
         )
         try:
             return await self._sender.send(
-                service, to_target_call(request, deadline), plan, record, entry
+                service,
+                to_target_call(request, deadline),
+                plan,
+                record,
+                permit,
             )
         finally:
             self._usage.began(request.account, record.began_at)
@@ -159,12 +163,14 @@
         deadline = requests.time_limit(route, request)
         service = self._choose_service(route)
         call = to_target_call(request, deadline)
-        entry = await self._capacity.enter(
+        permit = await self._capacity.enter(
             service, capacity_requests.from_client(route, request, deadline)
         )
-        tries = self._sender.tries(service, call, route.max_attempts, entry)
+        selector = self._sender.select_targets(
+            service, call, route.max_attempts, permit
+        )
         cause = 'no target is ready'
-        while (target := tries.next()) is not None:
+        while (target := selector.next()) is not None:
             sent_at = Instant(self._clock.seconds())
             if sent_at >= deadline:
                 break
@@ -184,13 +190,13 @@
                         f'The target failed during the request: {error}.'
                     ) from error
                 cause = str(error)
-                tries.record_unreached(target)
+                selector.record_unreached(target)
                 continue
             if not answer.not_run:
                 self._usage.began(request.account, sent_at)
                 return answer
             cause = f'refused with status {answer.status}'
-        raise entry.refusal(cause)
+        raise permit.refusal(cause)
 
     def _choose_service(self, route: Route) -> ServiceName:
         service = route.choose_service(self._state.generator)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/sender.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/sender.py
@@ -42,7 +42,7 @@
         call: TargetCall,
         plan: AttemptPlan,
         record: exchange.SendRecord,
-        entry: port.Entry = port.OPEN,
+        permit: port.SendPermit = port.UNLIMITED,
     ) -> TargetAnswer:
         """Return the first success, else a target's error response.
 
@@ -50,21 +50,21 @@
         DeadlinePassed.
         """
         running = exchange.Exchange(
-            self._attempts, service, call, plan, record, entry
+            self._attempts, service, call, plan, record, permit
         )
         try:
             return await running.run()
         finally:
             running.cancel()
 
-    def tries(
+    def select_targets(
         self,
         service: ServiceName,
         call: TargetCall,
         limit: int,
-        entry: port.Entry = port.OPEN,
-    ) -> tries.TargetTries:
+        permit: port.SendPermit = port.UNLIMITED,
+    ) -> tries.TargetSelector:
         """Return the target selection for one request."""
-        return tries.TargetTries(
-            self._attempts, service, call.content, limit, entry
+        return tries.TargetSelector(
+            self._attempts, service, call.content, limit, permit
         )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/streams.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/streams.py
@@ -24,7 +24,7 @@
     from yuccarill.core.jobs.text import StreamEvent
     from yuccarill.daemon.gateway.quarantine.watched_calls import WatchedCalls
     from yuccarill.daemon.gateway.requests.sender import Sender
-    from yuccarill.daemon.gateway.requests.tries import TargetTries
+    from yuccarill.daemon.gateway.requests.tries import TargetSelector
     from yuccarill.daemon.gateway.requests.usage_sink import UsageSink
     from yuccarill.daemon.gateway.state import GatewayState
     from yuccarill.platform.ports import Answerer
@@ -68,16 +68,18 @@
         if service is None:
             raise errors.NoTarget('The route has no service.', 1.0)
         deadline = requests.time_limit(route, request)
-        entry = await self._capacity.enter(
+        permit = await self._capacity.enter(
             service, capacity_requests.from_client(route, request, deadline)
         )
-        run = _StreamRun(request, answerer, entry, self._clock)
+        run = _StreamRun(request, answerer, permit, self._clock)
         answerer.feed_from(run, route.is_resumable)
-        tries = self._sender.tries(
-            service, run.call(), route.max_attempts, entry
+        selector = self._sender.select_targets(
+            service, run.call(), route.max_attempts, permit
         )
         try:
-            return await self._run_attempts(run, tries, route, service, entry)
+            return await self._run_attempts(
+                run, selector, route, service, permit
+            )
         except errors.RequestQuarantined as error:
             return run.refuse(error)
         finally:
@@ -86,14 +88,14 @@
     async def _run_attempts(
         self,
         run: _StreamRun,
-        tries: TargetTries,
+        selector: TargetSelector,
         route: Route,
         service: ServiceName,
-        entry: port.Entry,
+        permit: port.SendPermit,
     ) -> str:
         deadline = Instant(self._clock.seconds() + STREAM_SECONDS)
         cause = 'no target is ready'
-        while (target := tries.next()) is not None:
+        while (target := selector.next()) is not None:
             try:
                 with port.record_attempt(
                     self._capacity, target.service, self._clock
@@ -106,7 +108,7 @@
                 cause = str(error)
                 run.detach()
                 if error.end is calls_module.CallEnd.NOT_SENT:
-                    tries.record_unreached(target)
+                    selector.record_unreached(target)
                     continue
                 run.may_have_run = True
                 run.record_start()
@@ -116,8 +118,8 @@
                     # Targets abort streams that a slow client leaves unread;
                     # such an abort uses up no attempt.
                     await run.wait_until_read()
-                    tries = self._sender.tries(
-                        service, run.call(), route.max_attempts, entry
+                    selector = self._sender.select_targets(
+                        service, run.call(), route.max_attempts, permit
                     )
                 continue
             run.detach()
@@ -135,10 +137,10 @@
         self,
         request: ClientRequest,
         answerer: Answerer,
-        entry: port.Entry,
+        permit: port.SendPermit,
         clock: Any,
     ) -> None:
-        self._entry = entry
+        self._permit = permit
         self._clock = clock
         # Time of the first event, or of the first failed attempt.
         self.began_at: Instant | None = None
@@ -244,4 +246,4 @@
             raise errors.OutcomeUnknown(
                 f'The stream was interrupted: {cause}.'
             )
-        raise self._entry.refusal(cause)
+        raise self._permit.refusal(cause)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/tries.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/tries.py
@@ -14,7 +14,7 @@
     from yuccarill.daemon.gateway.requests.attempting import Attempts
 
 
-class TargetTries:
+class TargetSelector:
     """Select targets within the attempt limit and the retry budget."""
 
     def __init__(
@@ -23,14 +23,14 @@
         service: ServiceName,
         content: ContentDigest,
         limit: int,
-        entry: port.Entry = port.OPEN,
+        permit: port.SendPermit = port.UNLIMITED,
     ) -> None:
         self._attempting = attempting
         self._guard = attempting.guard
         self._service = service
         self._content = content
         self._limit = limit
-        self._entry = entry
+        self._permit = permit
         self._sent = 0
         self._tried: set[TargetId] = set()
         self._unreached: set[TargetId] = set()
@@ -43,7 +43,7 @@
         if self._sent >= self._limit:
             return None
         self._guard.admit(self._content, self._service)
-        if self._sent and not self._entry.may_try_again():
+        if self._sent and not self._permit.may_retry():
             return None
         target = self._attempting.choose(
             self._service,
--- a/packages/yuccarill-daemon/tests/gateway/test_admission.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_admission.py
@@ -24,7 +24,7 @@
 from . import world
 
 KEY = 'Bearer k1'
-OTHER = 'Bearer k2'
+OTHER_KEY = 'Bearer k2'
 PRIORITY = 2
 
 
@@ -105,7 +105,7 @@
 
     def test_open_route_needs_no_key(self) -> None:
         # The client's credentials don't reach the target either.
-        for values in ((), (OTHER,), (KEY, KEY)):
+        for values in ((), (OTHER_KEY,), (KEY, KEY)):
             found = self.admit(*values, is_open=True).result
             self.assertIsNone(found.account)
             self.assertEqual((('Accept', '*/*'),), found.headers)
@@ -127,12 +127,12 @@
 
     def test_recently_added_key_is_admitted(self) -> None:
         """Guard against a final refusal of a key that was just added."""
-        waiting = self.admit(OTHER)
+        waiting = self.admit(OTHER_KEY)
         self.reads.answers[0].callback(table(2, a='k1', b='k2'))
         self.assertEqual('b', waiting.result.account)
 
     def test_unknown_key_is_refused(self) -> None:
-        waiting = self.admit(OTHER)
+        waiting = self.admit(OTHER_KEY)
         self.reads.answers[0].callback(None)
         self.refused_with(waiting, errors.KeyUnknown)
 
@@ -146,7 +146,7 @@
     def test_unreachable_store_asks_the_client_to_retry(
         self,
     ) -> None:
-        waiting = self.admit(OTHER)
+        waiting = self.admit(OTHER_KEY)
         self.reads.answers[0].errback(store_module.StoreRefused('away'))
         error = self.refused_with(waiting, errors.NotRun).value
         self.assertEqual(admission.RETRY_AFTER, error.retry_after)
--- a/packages/yuccarill-daemon/tests/gateway/test_capacity.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_capacity.py
@@ -77,9 +77,9 @@
         for other in NAMES:
             world.list_instance(state, other)
         peers = peer_call.PeerCalls(self.links, self.clock)
-        made = control.CapacityControl(state, peers, self.clock)
-        self.links.controls_by_address[f'{name}:2'] = made
-        return made
+        capacity = control.CapacityControl(state, peers, self.clock)
+        self.links.controls_by_address[f'{name}:2'] = capacity
+        return capacity
 
     def request(self, account: str | None = None) -> CapacityRequest:
         now = self.clock.seconds()
@@ -96,16 +96,16 @@
     def offer(self, name: str, is_refused: bool) -> errors.Overloaded | None:
         """Offer one request; a target refuses it or runs it for 10 ms."""
         found: list[errors.Overloaded] = []
-        made = self.controls[name]
+        capacity = self.controls[name]
 
         async def serve() -> None:
             try:
-                await made.enter(world.SERVICE, self.request())
+                await capacity.enter(world.SERVICE, self.request())
             except errors.Overloaded as error:
                 found.append(error)
                 return
             with port.record_attempt(
-                made, world.SERVICE, self.clock
+                capacity, world.SERVICE, self.clock
             ) as outcome:
                 await task.deferLater(self.clock, 0.01)
                 outcome.answer = TargetAnswer(
@@ -131,8 +131,8 @@
     def grants(self) -> int:
         now = Instant(self.clock.seconds())
         return sum(
-            made.gates_by_service[world.SERVICE].has_grant(now)
-            for made in self.controls.values()
+            capacity.gates_by_service[world.SERVICE].has_grant(now)
+            for capacity in self.controls.values()
         )
 
     def test_uncongested_service_costs_no_message(self) -> None:
@@ -186,16 +186,18 @@
     def test_caller_cancelled_while_it_waits(self) -> None:
         """Guard against places kept for cancelled callers."""
         self.load(3.0, refused=8)
-        made = self.controls['a']
+        capacity = self.controls['a']
         waiting = []
         for _ in range(30):
             entering = defer.ensureDeferred(
-                made.enter(world.SERVICE, self.request())
+                capacity.enter(world.SERVICE, self.request())
             )
             entering.addErrback(lambda failure: None)
             waiting.append(entering)
         for each in waiting:
             each.cancel()
-        self.assertEqual({}, made.waiting_by_service.get(world.SERVICE, {}))
-        gate = made.gates_by_service[world.SERVICE]
+        self.assertEqual(
+            {}, capacity.waiting_by_service.get(world.SERVICE, {})
+        )
+        gate = capacity.gates_by_service[world.SERVICE]
         self.assertIsNone(gate.next_wakeup(Instant(self.clock.seconds())))
--- a/packages/yuccarill-daemon/tests/gateway/test_scaling.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_scaling.py
@@ -101,7 +101,7 @@
             1, [], [service], routes.ClientLimits()
         )
 
-    def put_elsewhere(self) -> None:
+    def add_engine_elsewhere(self) -> None:
         engine = world.engine('e2')
         self.state.targets.put(
             msgspec.structs.replace(engine, data_centre=DataCentreId('other'))
@@ -139,7 +139,7 @@
 
     def test_duty_lost_between_two_orders(self) -> None:
         """Guard against orders after the loss of the duty."""
-        self.put_elsewhere()
+        self.add_engine_elsewhere()
         self.platform.seconds = 1.0
         self.scaler.start()
         self.run_for(0.5)
@@ -159,7 +159,7 @@
 
     def test_stop_during_an_order(self) -> None:
         """Guard against orders after a stop."""
-        self.put_elsewhere()
+        self.add_engine_elsewhere()
         self.platform.seconds = 1.0
         self.scaler.start()
         self.run_for(0.5)
--- a/packages/yuccarill-daemon/tests/gateway/test_sender.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_sender.py
@@ -78,7 +78,7 @@
 class NoBudget:
     """Allow no retry and no hedge."""
 
-    def may_try_again(self) -> bool:
+    def may_retry(self) -> bool:
         return False
 
     def may_hedge(self) -> bool:
@@ -89,7 +89,7 @@
 
 
 class SenderTest(world.WorldTest):
-    entry: port.Entry = port.OPEN
+    permit: port.SendPermit = port.UNLIMITED
     # Targets that crashed while running the request.
     known_ends: list[str] = []
 
@@ -117,7 +117,7 @@
         )
         self.started_at = self.clock.seconds()
         return self.finish(
-            sending.send(world.SERVICE, CALL, plan, self.record, self.entry)
+            sending.send(world.SERVICE, CALL, plan, self.record, self.permit)
         )
 
     def elapsed(self) -> float:
@@ -146,14 +146,14 @@
     def test_no_second_attempt_without_a_budget(self) -> None:
         """Guard against retries that load targets without free slots."""
         refused = answer(503, not_run=True)
-        self.entry = NoBudget()
+        self.permit = NoBudget()
         with self.assertRaises(errors.Overloaded):
             self.send(5, x=(0.0, refused), y=(0.0, refused), z=(0.0, refused))
         self.assertEqual(1, len(self.targets.called))
 
     def test_no_hedge_without_a_budget(self) -> None:
         """Guard against hedges that displace first attempts."""
-        self.entry = NoBudget()
+        self.permit = NoBudget()
         self.send(x=(0.3, answer()), y=(0.3, answer()))
         self.assertEqual(1, len(self.targets.called))
 
