--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/exchange.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/exchange.py
@@ -98,7 +98,7 @@
         if self._plan.in_flight and not self._permit.may_hedge():
             self._is_hedged = False
             return
-        target = self._next_target() if self._has_retry_budget() else None
+        target = self._next_target() if self._may_start_attempt() else None
         if target is None:
             # Further attempts would not find a target either.
             self._plan.max_attempts = self._plan.started
@@ -110,8 +110,8 @@
             self._running.append(running)
             running.addBoth(self._remove, running)
 
-    def _has_retry_budget(self) -> bool:
-        """Return whether the retry budget allows one more attempt."""
+    def _may_start_attempt(self) -> bool:
+        """Return whether an attempt is allowed, and charge retries."""
         is_retry = self._plan.started and not self._plan.in_flight
         return not is_retry or self._permit.may_retry()
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/tries.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/tries.py
@@ -38,7 +38,7 @@
     def next(self) -> ListedTarget | None:
         """Return the next target, none if no attempt or target is left.
 
-        Raises RequestQuarantined if similar requests crashed targets.
+        Raises RequestQuarantined if this content crashed targets.
         """
         if self._sent >= self._limit:
             return None
@@ -57,7 +57,7 @@
         return target
 
     def record_unreached(self, target: ListedTarget) -> None:
-        """Record a target that could not be connected to.
+        """Record a target to which nothing could be sent.
 
         Such an attempt doesn't count, so that targets that are gone but still
         listed don't use up the attempts.
