--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/application.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/application.py
@@ -64,7 +64,7 @@
     default=Placement.LOAD.value,
     show_default=True,
     envvar='YUCCARILL_PLACEMENT',
-    help='By what items of batch jobs find their engines.',
+    help='How items of batch jobs are assigned to engines.',
 )
 @click.option(
     '--check-settings', is_flag=True, help='Check the settings and end.'
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/broker_desk.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/broker_desk.py
@@ -31,7 +31,7 @@
 OVERVIEW_PATH = '/capacity/services'
 PATHS = frozenset({REPORT_PATH, NOTICE_PATH, OVERVIEW_PATH})
 NOTICE_ANSWER_SECONDS = 0.3
-# Interval of notices to the instances that do not report.
+# Minimum interval between notices for one service.
 NOTICE_SECONDS = 0.5
 
 
@@ -62,21 +62,21 @@
             self.brokers_by_service[service] = lender
         if not lender.leases_by_instance:
             log.info('Lending capacity.', service=service)
-        places = self.places(service)
+        slots = self.slots(service)
         grant = lender.lend(
             report,
-            places,
+            slots,
             len(self._state.cores_by_name()),
             Instant(self._clock.seconds()),
         )
-        meters.CAPACITY_PLACES.labels(service).set(places)
+        meters.CAPACITY_PLACES.labels(service).set(slots)
         meters.CAPACITY_LENT.labels(service).set(lender.lent_rate())
         meters.CAPACITY_RATE.labels(service).set(lender.capacity)
         if grant.is_congested:
             self._notify(service, lender)
         return grant
 
-    def places(self, service: ServiceName) -> int:
+    def slots(self, service: ServiceName) -> int:
         """Return how many requests a service's targets run concurrently."""
         ready = self._state.targets.ready(service)
         return sum(target.slots for target in ready.values())
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/control.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/control.py
@@ -59,7 +59,7 @@
             # The holder of the service's duty assigns the engines' slots.
             return port.UNLIMITED
         gate = self._gate(service)
-        gate.congestion.slots = self.desk.places(service)
+        gate.congestion.slots = self.desk.slots(service)
         decision = gate.offer(request, self._now())
         if decision.answer is GateVerdict.WAIT:
             decision = await self._wait(service, gate, request)
@@ -110,7 +110,7 @@
             service=service,
             is_congested=gate.is_congested(now),
             broker=self._reporter.broker_of(service, gate),
-            places=self.desk.places(service),
+            places=self.desk.slots(service),
             in_flight=gate.congestion.in_flight,
             service_seconds=gate.congestion.service_seconds,
             classes=gate.overview(now),
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/port.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/port.py
@@ -17,13 +17,13 @@
     from yuccarill.core.gateway.requests import TargetAnswer
     from yuccarill.core.ids import ServiceName
 
-# Default when the capacity is unknown: long enough for a target's queue to
-# move, short compared with request deadlines.
+# Seconds until a retry if the capacity is unknown: long enough for a target's
+# queue to move, short compared with request deadlines.
 RETRY_AFTER = 0.2
 
 
 class SendPermit(Protocol):
-    """Represent the permission to send one request."""
+    """Decide on the retries and hedges of one admitted request."""
 
     def may_retry(self) -> bool:
         """Return whether a retry is allowed, and charge its budget."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/reporting.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/reporting.py
@@ -57,11 +57,11 @@
     def start(
         self, service: ServiceName, gate: service_gate.ServiceGate
     ) -> None:
-        """Start reports, which end with the congestion."""
+        """Report demand until the congestion ends."""
         if service in self._reported_services:
             return
         self._reported_services.add(service)
-        log.info('Service congested.', service=service)
+        log.info('Service is congested.', service=service)
         # Jitter: all instances detect congestion simultaneously.
         first = self._state.generator.uniform(0.0, REPORT_SECONDS)
         self._clock.callLater(first, self._report, service, gate)
@@ -69,7 +69,7 @@
     def broker_of(
         self, service: ServiceName, gate: service_gate.ServiceGate
     ) -> str | None:
-        """Return the broker that granted capacity, none without a grant."""
+        """Return the current broker of a service, none without a grant."""
         choice = self._choose_broker(service)
         if choice is None or not gate.has_grant(self._now()):
             return None
@@ -84,7 +84,7 @@
         report = gate.report(self._now())
         if report is None:
             self._reported_services.discard(service)
-            log.info('Service no longer congested.', service=service)
+            log.info('Service is no longer congested.', service=service)
             return
         self._clock.callLater(REPORT_SECONDS, self._report, service, gate)
         sending = defer.Deferred.fromCoroutine(self._send_report(gate, report))
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/flow/desk.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/flow/desk.py
@@ -116,7 +116,7 @@
 
 
 class NoFlow:
-    """Enforce no bounds, where the machine's memory is unknown."""
+    """Enforce no bounds, for machines of unknown memory size."""
 
     is_bounded = False
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/peer_call.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/peer_call.py
@@ -40,7 +40,7 @@
     ) -> bytes:
         """Call a peer and return the body of its answer.
 
-        Raises PeerFailed if it gives no answer with status 200 in time.
+        Raises PeerFailed unless the peer answers with status 200 in time.
         """
         return await self.call_at(
             peer.peer_address, method, target, seconds, body
@@ -54,7 +54,7 @@
         seconds: float,
         body: bytes = b'',
     ) -> bytes:
-        """Call a peer port by its address; raises as `call`."""
+        """Call a peer by its address, with the errors of `call`."""
         request = http_exchange.OutgoingRequest(
             method=method,
             target=target,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/process.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/process.py
@@ -66,8 +66,8 @@
 log = logs.for_part('instance')
 
 METRICS_PORT = 9464
-# Seconds before the platform kills a stopping instance at which it closes idle
-# connections, and at which it stops waiting for requests.
+# Seconds before the platform's kill: when a stopping instance closes idle
+# connections, and when it stops waiting for requests.
 CLOSE_BEFORE_KILL = 1.8
 END_BEFORE_KILL = 0.7
 # Timeout for revoking the lease, short enough to end before the platform kills
@@ -111,7 +111,7 @@
             lambda: feed.FeedSource(self._state, background, links, clock),
             clock,
         )
-        self._feeds = feed.FeedServer(self._observer.followers_by_prefix)
+        self._feed_server = feed.FeedServer(self._observer.followers_by_prefix)
         self._session = session.Session(
             self._state, background, self._update, clock
         )
@@ -128,17 +128,17 @@
             capacity_port,
         )
         jobs = job_store.JobStore(self._store, clock)
-        self._holders = holder_calls.HolderCalls(self._state, peers)
-        self._depot = texts.TextDepot(clock)
+        self._holder_calls = holder_calls.HolderCalls(self._state, peers)
+        self._text_depot = texts.TextDepot(clock)
         text_sender = texts.TextSender(self._state, links, clock)
         text_fetcher = text_fetch.TextFetcher(self._state, links, clock)
         self._standbys = desk.StandbyDesk(
             self._state,
             self._observer.least_age,
-            self._depot,
+            self._text_depot,
             witness.Witnesses(self._state, peers, self._observer.least_age),
             self._standby_runner,
-            self._holders.is_alive,
+            self._holder_calls.is_alive,
             self._way.expect_return,
             clock,
         )
@@ -150,12 +150,12 @@
             self._quarantine.guard,
             self._sender,
             engines.Engines(links),
-            self._depot,
+            self._text_depot,
             text_sender,
             text_fetcher,
             self._standbys,
             peers,
-            self._holders,
+            self._holder_calls,
             scaling_parts.ScalingParts(
                 options.target_orders, self._state, links, clock
             ),
@@ -175,7 +175,7 @@
                 self._state,
                 self._store,
                 links,
-                self._holders,
+                self._holder_calls,
                 clock,
             )
         usage_counter = self._usage or usage_sink.NoUsage()
@@ -219,7 +219,7 @@
             self._session,
             self._work.duties_by_service,
             self._work.runners_by_service,
-            self._depot,
+            self._text_depot,
             text_sender,
             clock,
             () if self._usage is None else (self._usage.duty,),
@@ -268,7 +268,7 @@
         self._observer.on_start = self._quarantine.ends.started
         self._session.lease.on_return = self._observer.refresh
         self._way.on_lost = self._on_store_lost
-        self._holders.on_asked = self._on_duty_query
+        self._holder_calls.on_asked = self._on_duty_query
         for work in (*self._observer.following(), self._session.follow()):
             background_task = defer.ensureDeferred(work)
             background_task.addErrback(self._log_crash)
@@ -299,11 +299,11 @@
         self, request: small_server.SmallRequest
     ) -> small_server.Page:
         if request.path == feed.PATH:
-            return await self._feeds.handle(request)
+            return await self._feed_server.handle(request)
         if request.path == texts.PATH:
-            return await self._depot.handle(request)
+            return await self._text_depot.handle(request)
         if request.path == holder_calls.PATH:
-            return await self._holders.handle(request)
+            return await self._holder_calls.handle(request)
         if self._standbys.handles(request.path):
             return await self._standbys.handle(request)
         if self._quarantine.handles(request.path):
@@ -326,19 +326,19 @@
         log.info('Settings reloaded.', changed=changed)
 
     async def stop(self) -> None:
-        """Leave, serve until clients have moved, and shut down."""
+        """Hand over duties, serve until clients have moved, and shut down."""
         grace = self._state.settings.stop_grace
         close_at = self._now() + grace - CLOSE_BEFORE_KILL
         end_at = self._now() + grace - END_BEFORE_KILL
         log.info('Stopping.', under_way=self._clients.requests_under_way)
         self._state.is_leaving = True
-        leaving = defer.Deferred.fromCoroutine(self._departure.leave())
-        leaving.addErrback(self._log_crash)
+        departing = defer.Deferred.fromCoroutine(self._departure.leave())
+        departing.addErrback(self._log_crash)
         while self._now() < close_at:
             await self._pause()
-        if not leaving.called:
+        if not departing.called:
             # Another instance takes the duty over when the lease expires.
-            leaving.cancel()
+            departing.cancel()
             handover = defer.Deferred.fromCoroutine(self._departure.hand_on())
             handover.addErrback(self._log_crash)
         await defer.maybeDeferred(self._client_port.stopListening)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/exchange.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/exchange.py
@@ -27,14 +27,14 @@
     """Record the outcomes of one request's attempts."""
 
     attempts: int = 0
-    # Attempts that may have run.
+    # Attempts that ran or may have run.
     may_have_run: int = 0
-    # Answers that report a failure of the work itself.
+    # Error responses that count as failed runs; timeouts do not.
     failed_runs: int = 0
     last_cause: str = ''
-    # Send times of the attempts that ran or may have run.
+    # Send times of all attempts but those that certainly did not run.
     sent_at: list[Instant] = []
-    # A target's error response, returned if no other target succeeds.
+    # A target's error response, returned if signed and no target succeeds.
     failure: TargetAnswer | None = None
 
     @property
@@ -65,12 +65,12 @@
         self._record = record
         self._permit = permit
         # Cleared when there is no capacity for a hedge.
-        self._is_hedged = True
+        self._may_hedge = True
         # Unlimited here: the plan limits the attempts.
         self._selector = tries.TargetSelector(
             attempting, service, call.content, sys.maxsize
         )
-        self._refusal: errors.RequestQuarantined | None = None
+        self._quarantine_error: errors.RequestQuarantined | None = None
         self._running: list[defer.Deferred[None]] = []
         self._success: TargetAnswer | None = None
         self._wake: defer.Deferred[None] | None = None
@@ -78,7 +78,7 @@
     async def run(self) -> TargetAnswer:
         while self._success is None:
             self._plan.may_hedge = (
-                self._is_hedged and self._attempting.may_hedge(self._call)
+                self._may_hedge and self._attempting.may_hedge(self._call)
             )
             match self._plan.next(self._attempting.now()):
                 case attempts.Next.START:
@@ -96,11 +96,11 @@
 
     def _start_attempt(self) -> None:
         if self._plan.in_flight and not self._permit.may_hedge():
-            self._is_hedged = False
+            self._may_hedge = False
             return
         target = self._next_target() if self._may_start_attempt() else None
         if target is None:
-            # Further attempts would not find a target either.
+            # Stop: no target, no retry budget, or the request is quarantined.
             self._plan.max_attempts = self._plan.started
             return
         self._plan.start(self._attempting.now())
@@ -119,7 +119,7 @@
         try:
             target = self._selector.next()
         except errors.RequestQuarantined as error:
-            self._refusal = error
+            self._quarantine_error = error
             self._record.last_cause = error.message
             return None
         if target is None and not self._record.last_cause:
@@ -187,8 +187,8 @@
             return record.failure
         cause = record.last_cause or 'no target answered before the deadline'
         if record.may_have_run == 0 and self._plan.in_flight == 0:
-            if self._refusal is not None:
-                raise self._refusal
+            if self._quarantine_error is not None:
+                raise self._quarantine_error
             raise self._permit.refusal(cause)
         if self._attempting.now() >= self._plan.deadline:
             raise errors.DeadlinePassed(f'No answer came in time: {cause}.')
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/forwarding.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/forwarding.py
@@ -33,12 +33,12 @@
 
 log = logs.for_part('request')
 
-# Seconds; longer than a starting instance takes to read its configuration.
+# Seconds until a retry; a starting instance reads its configuration sooner.
 NO_CONFIGURATION_RETRY = 0.3
 
 
 class Forwarder:
-    """Serve each request by the kind of its route."""
+    """Serve each request according to the kind of its route."""
 
     def __init__(
         self,
@@ -113,7 +113,7 @@
         route = table.find(request.host, request.path)
         if route is None:
             raise errors.UnknownService(
-                f'No route of version {table.version} matches the path.'
+                f'Configuration {table.version} has no route for the path.'
             )
         return route
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/front.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/front.py
@@ -65,7 +65,7 @@
 
         Raises NotRun if no known instance accepts requests.
         """
-        places_by_address = {
+        locations = {
             record.client_address: directory.InstanceLocation(
                 cores=record.cores,
                 data_centre=DataCentreId(record.data_centre),
@@ -74,19 +74,17 @@
         }
         settings = self._state.settings
         if self.is_ready():
-            places_by_address[settings.client_address] = (
-                directory.InstanceLocation(
-                    cores=settings.cores, data_centre=settings.data_centre
-                )
+            locations[settings.client_address] = directory.InstanceLocation(
+                cores=settings.cores, data_centre=settings.data_centre
             )
         else:
-            places_by_address.pop(settings.client_address, None)
-        if not places_by_address:
+            locations.pop(settings.client_address, None)
+        if not locations:
             raise errors.NotRun('No instance is ready.', 1.0)
         validity = min(ADDRESS_VALIDITY, settings.max_address_validity)
         return AddressList(
             addresses=tuple(
-                directory.addresses_for_caller(places_by_address, data_centre)
+                directory.addresses_for_caller(locations, data_centre)
             ),
             validity=validity,
         )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/pools.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/pools.py
@@ -17,13 +17,13 @@
     from yuccarill.core.ids import TargetId
     from yuccarill.daemon.gateway.state import GatewayState
 
-# Exclusion of a target that is absent from its address, which keeps retries
-# from flooding the address until the target list changes.
+# Exclusion of a target whose address refuses connections or runs another
+# process; keeps retries from flooding it until the target list changes.
 EXCLUSION_SECONDS = 0.5
 
 
 class Pools:
-    """Keep the pools in step with the target list."""
+    """Update the pools from the target list."""
 
     def __init__(self, state: GatewayState) -> None:
         self._state = state
@@ -75,7 +75,7 @@
         return frozenset(self._excluded_until)
 
     def is_current(self, target: ListedTarget) -> bool:
-        """Return whether the listed process is still the given one."""
+        """Return whether no other process is listed under the target's id."""
         listed = self.target(target.id)
         return listed is None or target.is_same_start(listed)
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/relay.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/relay.py
@@ -1,7 +1,7 @@
 """Relay a trainer's call to another instance.
 
 The instance that runs a job has its results in memory; an instance that
-can't reach the store serves through one that can.
+can't reach the store relays calls to a peer.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
         self._peers = peer_choice.PeerChoice(state, clock)
 
     def holder(self, host: str, job: JobId) -> InstanceRecord | None:
-        """Return the other instance that has a job's results in memory."""
+        """Return the peer that has a job's results in memory, if any."""
         service = self._service(host)
         if service is None:
             return None
@@ -86,7 +86,7 @@
         return found
 
     def holder_of(self, part: ServiceName) -> InstanceRecord | None:
-        """Return the other instance that holds a service's part."""
+        """Return the peer that holds the duty of a service's part, if any."""
         duty = self._state.duties_by_service.get(part)
         if not duty or duty.instance == self._state.settings.instance:
             return None
@@ -96,7 +96,7 @@
         return None
 
     def peer(self) -> InstanceRecord | None:
-        """Return another serving instance, none if there is none."""
+        """Return a serving peer, none if no peer is available."""
         return self._peers.choose()
 
     async def send(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/sender.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/sender.py
@@ -44,7 +44,7 @@
         record: exchange.SendRecord,
         permit: port.SendPermit = port.UNLIMITED,
     ) -> TargetAnswer:
-        """Return the first success, else a target's error response.
+        """Return the first success, else a target's signed error response.
 
         Raises NotRun if certainly no attempt ran, else OutcomeUnknown or
         DeadlinePassed.
@@ -64,7 +64,7 @@
         limit: int,
         permit: port.SendPermit = port.UNLIMITED,
     ) -> tries.TargetSelector:
-        """Return the target selection for one request."""
+        """Return a target selector for one request."""
         return tries.TargetSelector(
             self._attempts, service, call.content, limit, permit
         )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/streams.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/streams.py
@@ -142,7 +142,7 @@
     ) -> None:
         self._permit = permit
         self._clock = clock
-        # Time of the first event, or of the first failed attempt.
+        # Time of the first event, or of the first failure of a sent attempt.
         self.began_at: Instant | None = None
         self._request = request
         self._answerer = answerer
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/tries.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/tries.py
@@ -36,9 +36,9 @@
         self._unreached: set[TargetId] = set()
 
     def next(self) -> ListedTarget | None:
-        """Return the next target, none if no attempt or target is left.
+        """Return the next target, none if targets or attempts are used up.
 
-        Raises RequestQuarantined if this content crashed targets.
+        Raises RequestQuarantined if the content is quarantined.
         """
         if self._sent >= self._limit:
             return None
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/scaling/scaler.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/scaling/scaler.py
@@ -70,7 +70,7 @@
         self._sampler.start(STEP_SECONDS).addErrback(self._log_failure)
 
     def stop(self) -> None:
-        """Stop, and cancel the orders in flight."""
+        """Stop scaling and cancel the order in flight."""
         if self._sampler.running:
             self._sampler.stop()
         if self._sending is not None:
@@ -130,7 +130,7 @@
             self._scaling.record_result(order, result, self._now())
             meters.TARGET_ORDERS.labels(result.value).inc()
             log.info(
-                'Targets ordered.',
+                'Target order sent.',
                 service=order.service,
                 data_centre=order.data_centre,
                 kind=order.kind.value,
@@ -145,7 +145,7 @@
 
     def _log_failure(self, failure: Any) -> None:
         if not failure.check(defer.CancelledError):
-            log.error('Target order failed.', cause=failure.getTraceback())
+            log.error('Scaling step failed.', cause=failure.getTraceback())
 
     def _now(self) -> Instant:
         return Instant(self._clock.seconds())
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/state.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/state.py
@@ -55,7 +55,7 @@
 
 
 class QuarantineRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """Describe a request that no instance forwards any more."""
+    """Describe a quarantined request, which no instance forwards."""
 
     # Host and path of the request.
     request: str
@@ -89,7 +89,7 @@
     known_instances_by_id: dict[InstanceId, InstanceRecord] = (
         dataclasses.field(default_factory=dict)
     )
-    # Division of each service into parts, once decided.
+    # Division of each service into parts; no entry while undecided.
     divisions_by_service: dict[ServiceName, Division] = dataclasses.field(
         default_factory=dict
     )
--- a/packages/yuccarill-daemon/tests/gateway/test_admission.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_admission.py
@@ -62,11 +62,11 @@
         super().setUp()
         self.known = self.state('a')
         self.known.table = table(1, a='k1')
-        self.reads = CountingStore()
+        self.config_store = CountingStore()
         self.admission = admission.AccountAdmission(
             self.known,
             look.ConfigurationLook(
-                self.known, self.reads, self.learn, self.clock
+                self.known, self.config_store, self.learn, self.clock
             ),
             lambda: 0.5,
             self.clock,
@@ -123,17 +123,17 @@
         self, values: tuple[str, ...]
     ) -> None:
         self.refused_with(self.admit(*values), errors.KeyMissing)
-        self.assertEqual(0, self.reads.reads)
+        self.assertEqual(0, self.config_store.reads)
 
     def test_recently_added_key_is_admitted(self) -> None:
         """Guard against a final refusal of a key that was just added."""
         waiting = self.admit(OTHER_KEY)
-        self.reads.answers[0].callback(table(2, a='k1', b='k2'))
+        self.config_store.answers[0].callback(table(2, a='k1', b='k2'))
         self.assertEqual('b', waiting.result.account)
 
     def test_unknown_key_is_refused(self) -> None:
         waiting = self.admit(OTHER_KEY)
-        self.reads.answers[0].callback(None)
+        self.config_store.answers[0].callback(None)
         self.refused_with(waiting, errors.KeyUnknown)
 
     def test_removed_key_is_refused_without_a_read(self) -> None:
@@ -141,18 +141,18 @@
         following.accounts.record_removed_keys(self.known.table.accounts)
         self.known.table = following
         self.refused_with(self.admit(KEY), errors.KeyUnknown)
-        self.assertEqual(0, self.reads.reads)
+        self.assertEqual(0, self.config_store.reads)
 
     def test_unreachable_store_asks_the_client_to_retry(
         self,
     ) -> None:
         waiting = self.admit(OTHER_KEY)
-        self.reads.answers[0].errback(store_module.StoreRefused('away'))
+        self.config_store.answers[0].errback(store_module.StoreRefused('away'))
         error = self.refused_with(waiting, errors.NotRun).value
         self.assertEqual(admission.RETRY_AFTER, error.retry_after)
 
     def test_many_unknown_keys_cost_few_reads(self) -> None:
-        """Guard against a flood of unknown keys that floods the store.
+        """Guard against unknown keys that flood the store with reads.
 
         1,000 keys a second for 5 s; the requests that wait share one read.
         """
@@ -160,14 +160,14 @@
         for number in range(5_000):
             waiting.append(self.admit(f'Bearer u{number}'))
             self.clock.advance(0.001)
-            for answer in self.reads.answers:
+            for answer in self.config_store.answers:
                 if not answer.called:
                     answer.callback(None)
         self.run_for(1.0)
-        for answer in self.reads.answers:
+        for answer in self.config_store.answers:
             if not answer.called:
                 answer.callback(None)
-        self.assertLessEqual(self.reads.reads, 22)
+        self.assertLessEqual(self.config_store.reads, 22)
         for each in waiting:
             self.refused_with(each, errors.KeyUnknown, errors.NotRun)
 
--- a/packages/yuccarill-daemon/tests/gateway/test_capacity.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_capacity.py
@@ -94,7 +94,7 @@
         )
 
     def offer(self, name: str, is_refused: bool) -> errors.Overloaded | None:
-        """Offer one request; a target refuses it or runs it for 10 ms."""
+        """Offer one request, which a target refuses or answers after 10 ms."""
         found: list[errors.Overloaded] = []
         capacity = self.controls[name]
 
@@ -120,7 +120,7 @@
         return found[0] if found else None
 
     def load(self, seconds: float, refused: int) -> list[errors.Overloaded]:
-        """Offer 100 requests/s per instance; refuse that many of ten."""
+        """Offer 100 requests/s per instance, with `refused` of ten refused."""
         found = []
         for number in range(round(seconds / 0.01)):
             for name in NAMES:
@@ -164,7 +164,7 @@
         self.assertGreater(shown.fleet[0].offered, 200.0)
 
     @params(1, 3)
-    def test_unreachable_brokers(self, count: int) -> None:
+    def test_unreachable_brokers_stop_no_requests(self, count: int) -> None:
         """Guard against unreachable brokers that stop requests."""
         self.links.unreachable = {f'{name}:2' for name in self.order[:count]}
         self.load(4.0, refused=8)
@@ -184,7 +184,7 @@
         self.assertTrue(gate.is_congested(Instant(self.clock.seconds())))
 
     def test_caller_cancelled_while_it_waits(self) -> None:
-        """Guard against places kept for cancelled callers."""
+        """Guard against queue entries that outlive cancelled callers."""
         self.load(3.0, refused=8)
         capacity = self.controls['a']
         waiting = []
--- a/packages/yuccarill-daemon/tests/gateway/test_scaling.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_scaling.py
@@ -55,20 +55,20 @@
 
     def __init__(self, clock: task.Clock) -> None:
         self._clock = clock
-        self.taken: list[tuple[plan.TargetOrder, str, int]] = []
-        self.under_way = 0
-        self.most_under_way = 0
+        self.received: list[tuple[plan.TargetOrder, str, int]] = []
+        self.in_flight = 0
+        self.max_in_flight = 0
         self.seconds = 0.01
         self.end = OrderEnd.ACCEPTED
 
     async def send(
         self, order: plan.TargetOrder, holder: InstanceId, epoch: Epoch
     ) -> OrderEnd:
-        self.taken.append((order, holder, epoch))
-        self.under_way += 1
-        self.most_under_way = max(self.under_way, self.most_under_way)
+        self.received.append((order, holder, epoch))
+        self.in_flight += 1
+        self.max_in_flight = max(self.in_flight, self.max_in_flight)
         await task.deferLater(self._clock, self.seconds)
-        self.under_way -= 1
+        self.in_flight -= 1
         return self.end
 
 
@@ -114,10 +114,10 @@
     def test_orders_name_holder_and_epoch(self) -> None:
         self.scaler.start()
         self.run_for(0.5)
-        order, holder, epoch = self.platform.taken[0]
+        order, holder, epoch = self.platform.received[0]
         self.assertEqual((CENTRE, 8), (order.data_centre, order.count))
         self.assertEqual(('a', 7), (holder, epoch))
-        self.assertEqual(len(self.platform.taken), self.duty.orders)
+        self.assertEqual(len(self.platform.received), self.duty.orders)
 
     @params('no duty', 'no lease', 'no bounds', 'stopped')
     def test_no_order_without_a_precondition(self, missing: str) -> None:
@@ -133,9 +133,9 @@
         if missing == 'stopped':
             self.scaler.stop()
             self.clock.advance(0.0)
-            self.platform.taken.clear()
+            self.platform.received.clear()
         self.run_for(5.0)
-        self.assertEqual([], self.platform.taken)
+        self.assertEqual([], self.platform.received)
 
     def test_duty_lost_between_two_orders(self) -> None:
         """Guard against orders after the loss of the duty."""
@@ -143,10 +143,10 @@
         self.platform.seconds = 1.0
         self.scaler.start()
         self.run_for(0.5)
-        self.assertEqual(1, len(self.platform.taken))
+        self.assertEqual(1, len(self.platform.received))
         self.duty.is_usable = False
         self.run_for(5.0)
-        self.assertEqual(1, len(self.platform.taken))
+        self.assertEqual(1, len(self.platform.received))
 
     def test_slow_interface_gets_one_order_at_a_time(self) -> None:
         """Guard against concurrent calls to a slow ordering interface."""
@@ -154,8 +154,8 @@
         self.platform.end = OrderEnd.UNKNOWN
         self.scaler.start()
         self.run_for(20.0)
-        self.assertEqual(1, self.platform.most_under_way)
-        self.assertGreater(len(self.platform.taken), 3)
+        self.assertEqual(1, self.platform.max_in_flight)
+        self.assertGreater(len(self.platform.received), 3)
 
     def test_stop_during_an_order(self) -> None:
         """Guard against orders after a stop."""
@@ -165,4 +165,4 @@
         self.run_for(0.5)
         self.scaler.stop()
         self.run_for(5.0)
-        self.assertEqual(1, len(self.platform.taken))
+        self.assertEqual(1, len(self.platform.received))
--- a/packages/yuccarill-daemon/tests/gateway/test_sender.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_sender.py
@@ -91,7 +91,7 @@
 class SenderTest(world.WorldTest):
     permit: port.SendPermit = port.UNLIMITED
     # Targets that crashed while running the request.
-    known_ends: list[str] = []
+    crashed_targets: list[str] = []
 
     def send(self, max_attempts: int = 2, **replies: object) -> TargetAnswer:
         state = self.state('a')
@@ -103,7 +103,7 @@
         )
         self.record = exchange.SendRecord()
         self.guard = guard.ContentGuard(state, self.clock)
-        for target in self.known_ends:
+        for target in self.crashed_targets:
             self.guard.target_ended(
                 CrashReport(target=TargetId(target), contents=(CALL.content,))
             )
@@ -185,13 +185,13 @@
 
     def test_request_that_crashed_a_target_is_not_hedged(self) -> None:
         """Guard against a request that crashes two targets at once."""
-        self.known_ends = ['t0']
+        self.crashed_targets = ['t0']
         found = self.send(x=(0.5, answer()), y=(0.5, answer()))
         self.assertEqual(200, found.status)
         self.assertEqual(1, len(self.targets.called))
 
     def test_quarantined_request_is_not_sent(self) -> None:
-        self.known_ends = ['t0', 't1', 't2']
+        self.crashed_targets = ['t0', 't1', 't2']
         with self.assertRaises(errors.RequestQuarantined):
             self.send(x=(0.02, answer()), y=(0.02, answer()))
         self.assertEqual([], self.targets.called)
@@ -225,7 +225,7 @@
         self.assertEqual(2, self.record.failed_runs)
 
     def test_timeout_response_is_not_a_failed_run(self) -> None:
-        # A timeout of the target says nothing about the request.
+        # A timeout does not show that the request itself fails.
         self.send(2, x=(0.0, answer(504)), y=(0.0, answer(504)))
         self.assertEqual(0, self.record.failed_runs)
 
--- a/packages/yuccarill-daemon/tests/gateway/test_slow_readers.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_slow_readers.py
@@ -1,6 +1,6 @@
 """Test streams to slow clients next to streams to fast ones.
 
-Covers the path from the server's connections to the target calls in memory.
+Runs server connections, flow control and forwarding on fake sockets.
 """
 
 from __future__ import annotations
@@ -135,7 +135,7 @@
         if self.next > EVENTS:
             self.ended.callback(_ANSWER)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Abort the stream, as a target does with a slow reader."""
         self.ended.errback(calls.CallFailed(calls.CallEnd.BROKEN, 'cut'))
 
@@ -224,10 +224,10 @@
         channel.dataReceived(REQUEST % number)
         return channel, socket
 
-    # Memory of the machine, and whether pauses suffice to keep the bound.
+    # Memory of the machine, and whether pausing suffices without drops.
     @params((MEMORY, True), (SMALL_MEMORY, False))
     def test_slow_readers_stay_in_bounds_and_others_are_served(
-        self, memory: int, is_enough: bool
+        self, memory: int, pausing_suffices: bool
     ) -> None:
         """Guard against unbounded buffers for slow readers."""
         self.begin(memory)
@@ -248,7 +248,7 @@
             self.assertTrue(each.read.endswith(b'0\r\n\r\n'))
             self.assertIn(b'%03d;' % EVENTS, each.read)
         kept = [each for each in slow if not each.is_aborted]
-        self.assertEqual(is_enough, len(kept) == SLOW_CLIENTS)
+        self.assertEqual(pausing_suffices, len(kept) == SLOW_CLIENTS)
         codes = [refusal.code for refusal in self.refusals]
         cut = errors.ResultCode.ANSWER_CUT
         self.assertEqual([cut] * (SLOW_CLIENTS - len(kept)), codes)
@@ -278,13 +278,13 @@
         """Guard against aborts of slow streams that use up the attempts."""
         self.begin()
         _, socket = self.ask(1, False)
-        cuts = 0
+        aborts = 0
         for _ in range(4 * EVENTS):
             run = self.targets.runs[-1]
             run.step()
             if run.is_paused:
-                run.cut()
-                cuts += 1
+                run.abort()
+                aborts += 1
                 # No retry starts until the client reads.
                 self.assertIs(run, self.targets.runs[-1])
                 socket.drain()
@@ -292,7 +292,7 @@
                 last = self.targets.runs[-1].call.after_event
                 self.assertEqual(run.next - 1, last)
         socket.drain()
-        self.assertGreaterEqual(cuts, 2)
+        self.assertGreaterEqual(aborts, 2)
         self.assertTrue(socket.read.endswith(b'0\r\n\r\n'))
         numbers = [b'%03d;' % n for n in range(1, EVENTS + 1)]
         self.assertEqual([1] * EVENTS, [socket.read.count(n) for n in numbers])
@@ -317,7 +317,7 @@
         channel.connectionLost(failure.Failure(error.ConnectionLost()))
         self.assertEqual(0, self.flow.budget.held)
 
-    def answer_whole(self) -> Socket:
+    def leave_answer_unread(self) -> Socket:
         """Answer a request with a long body that its client leaves unread."""
         self.begin()
         answer = msgspec.structs.replace(_ANSWER, body=b'x' * 300_000)
@@ -334,7 +334,7 @@
 
     def test_answer_is_kept_until_it_is_read(self) -> None:
         """Guard against an idle timeout while a client still reads."""
-        socket = self.answer_whole()
+        socket = self.leave_answer_unread()
         self.clock.pump([1.0] * 40)
         self.assertFalse(socket.disconnecting)
         socket.drain()
@@ -346,7 +346,7 @@
 
     def test_unread_answer_is_dropped_during_the_next_head(self) -> None:
         """Guard against a drop that fails on an incomplete request head."""
-        socket = self.answer_whole()
+        socket = self.leave_answer_unread()
         self.channel.dataReceived(REQUEST[:30])
         other = self.flow.open(lambda drop: None)
         other.enter(memory_budget.RequestStage.SERVED)
@@ -357,6 +357,6 @@
 
     def test_answer_that_is_never_read_is_aborted(self) -> None:
         """Guard against clients that never read their answers."""
-        socket = self.answer_whole()
+        socket = self.leave_answer_unread()
         self.clock.pump([1.0] * 90)
         self.assertTrue(socket.is_aborted)
--- a/packages/yuccarill-daemon/tests/gateway/test_streams.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_streams.py
@@ -61,7 +61,7 @@
 class Targets:
     """Interrupt each attempt after a planned number of events."""
 
-    # Number of events per attempt; none refuses the attempt.
+    # Number of events of each attempt; None for a refused attempt.
     plan: list[int | None]
     begun_after: list[int | None] = dataclasses.field(default_factory=list)
     deadlines: list[Instant | None] = dataclasses.field(default_factory=list)
@@ -174,9 +174,9 @@
     def test_failure_before_the_head_has_unknown_outcome(self) -> None:
         # Reported as not run, the request could run twice.
         with self.assertRaises(errors.OutcomeUnknown):
-            self.serve_headless()
+            self.serve_with_failure_before_head()
 
-    def serve_headless(self) -> None:
+    def serve_with_failure_before_head(self) -> None:
         broken = calls.CallFailed(calls.CallEnd.BROKEN, 'reset')
 
         async def generate(*_: object) -> TargetAnswer:
