--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/__init__.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Run batch jobs for trainers."""
+"""Run batch jobs of text generation for trainers."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/cleaner.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/cleaner.py
@@ -1,4 +1,4 @@
-"""Remove jobs from the store once nobody may read them any more."""
+"""Remove jobs from the store once their retention time is over."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 log = logs.for_part('cleaner')
 
-# Seconds beyond the time for which a job has to be readable.
+# Added to the time for which a job has to stay readable.
 SLACK_SECONDS = 30.0
 
 
 class Cleaner:
-    """Remember when jobs ended, and remove them later.
+    """Remove ended jobs after their retention time.
 
-    After a change of the holder the times count from when the new one saw
-    that a job had ended, so that none is removed too soon.
+    The time counts from when this instance learns that a job has ended, so
+    that no job is removed too early after a change of the holder.
     """
 
     def __init__(
@@ -43,13 +43,13 @@
         self._remove_at_by_job: dict[JobId, Instant] = {}
         self._removing: defer.Deferred[None] | None = None
 
-    def ended(self, job: JobId) -> None:
-        """Note that a job has ended."""
+    def schedule_removal(self, job: JobId) -> None:
+        """Schedule the removal of a job that has ended."""
         at = self._clock.seconds() + self._retention + SLACK_SECONDS
         self._remove_at_by_job.setdefault(job, Instant(at))
 
     def update(self) -> None:
-        """Remove the next job whose time is over."""
+        """Start the removal of one job that is due, unless one is running."""
         now = self._clock.seconds()
         if self._removing is not None:
             return
@@ -58,8 +58,8 @@
                 self._removing = defer.Deferred.fromCoroutine(
                     self._remove(job)
                 )
-                self._removing.addErrback(self._failed, job)
-                self._removing.addBoth(self._removed)
+                self._removing.addErrback(self._log_failure, job)
+                self._removing.addBoth(self._finish_removal)
                 return
 
     async def _remove(self, job: JobId) -> None:
@@ -67,10 +67,10 @@
         del self._remove_at_by_job[job]
         log.info('Job removed.', job=job)
 
-    def _failed(self, failure: Any, job: JobId) -> None:
+    def _log_failure(self, failure: Any, job: JobId) -> None:
         failure.trap(store_module.StoreRefused, store_module.StoreUnclear)
-        # The index stands until the rest is gone, so it is tried again.
-        log.info('Job not removed yet.', job=job, cause=str(failure.value))
+        # The index entry is removed last, so the next update retries.
+        log.info('Job removal failed.', job=job, cause=str(failure.value))
 
-    def _removed(self, _: object) -> None:
+    def _finish_removal(self, _: object) -> None:
         self._removing = None
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/generation.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/generation.py
@@ -1,4 +1,4 @@
-"""Let an engine generate one item's text, or go on with it."""
+"""Let an engine generate or continue the text of one item."""
 
 from __future__ import annotations
 
@@ -26,28 +26,27 @@
 
 log = logs.for_part('generation')
 
-# Seconds without an event after which a run goes on elsewhere. Events come
-# every 40 ms, at a fourfold slow engine every 160 ms; a change of weights
-# under way stops them for about a second.
+# Time without an event after which a run is abandoned; longer than a change
+# of weights, which stops the events.
 SILENCE_SECONDS = 2.0
-# Seconds that one run may take. The longest texts have some 100 events.
+# Deadline of one run.
 RUN_SECONDS = 60.0
 
 
 class Outcome(enum.Enum):
-    """Say how a run ended."""
+    """Describe how a run ended."""
 
     WHOLE = 'whole'
-    # The engine says that the item failed.
+    # The engine reports that the item failed.
     FAILED = 'failed'
-    # The engine says that the item can never be done.
+    # The engine reports that the item can never succeed.
     IMPOSSIBLE = 'impossible'
-    # The text goes on elsewhere, from its last whole event.
+    # Another run continues the text after its last whole event.
     BROKEN = 'broken'
 
 
 class Generator:
-    """Run items at engines."""
+    """Run single items at engines."""
 
     def __init__(self, calls: WatchedCalls, clock: Any) -> None:
         self._calls = calls
@@ -59,9 +58,9 @@
         engine: EngineState,
         on_progress: Callable[[Instant], None],
     ) -> Outcome:
-        """Run an item, from its last whole event on."""
+        """Run an item, continuing after the last whole event of its text."""
         sink = _TextSink(run, engine, on_progress, self._clock)
-        before = run.text.events
+        previous_events = run.text.events
         started_at = self._now()
         outcome, cause = Outcome.BROKEN, 'cancelled'
         try:
@@ -72,7 +71,7 @@
                 SILENCE_SECONDS,
                 sink,
             )
-            outcome, cause = self._judge(answer, engine, run)
+            outcome, cause = self._outcome_of(answer, engine, run)
         except calls_module.CallFailed as error:
             cause = str(error)
             engine.fail(self._now())
@@ -86,14 +85,14 @@
                 engine=engine.target.id,
                 outcome=outcome,
                 cause=cause,
-                first=before,
+                first=previous_events,
                 events=run.text.events,
                 versions=run.text.versions,
                 seconds=round(self._now() - started_at, 3),
             )
         return outcome
 
-    def _judge(
+    def _outcome_of(
         self, answer: TargetAnswer, engine: EngineState, run: ItemRun
     ) -> tuple[Outcome, str]:
         if answer.is_success:
@@ -115,7 +114,7 @@
 
 
 class _TextSink(calls_module.GenerationSink):
-    """Add a run's events to its item's text."""
+    """Append the events of a run to the text of its item."""
 
     def __init__(
         self,
@@ -129,18 +128,20 @@
         self._on_progress = on_progress
         self._clock = clock
         self._last_at: Instant | None = None
-        # The text so far can't be listed and has to be made anew.
+        # The text violates the job's weight versions: restart it from empty.
         self.must_restart = False
 
     def begin(self, answer: TargetAnswer, version: int | None) -> None:
         known = None if version is None else WeightVersion(version)
-        self._see(known)
+        self._record_version(known)
         if known is not None and known < self._run.job.min_version:
-            raise http_exchange.SinkRefused(f'its weights are version {known}')
+            raise http_exchange.SinkRefused(
+                f'weight version {known} is too old'
+            )
         self._run.text.begin_run(known)
 
     def event(self, event: StreamEvent) -> None:
-        self._see(event.version)
+        self._record_version(event.version)
         try:
             self._run.text.add_event(event)
         except text_module.TextSequenceError as error:
@@ -148,20 +149,20 @@
         job = self._run.job
         if not self._run.text.fits(job.min_version, job.is_single_version):
             self.must_restart = True
-            raise http_exchange.SinkRefused('its weights changed under way')
+            raise http_exchange.SinkRefused('weights changed during the run')
         now = Instant(self._clock.seconds())
         self._on_progress(now)
         if self._last_at is not None:
             self._engine.record_gap(now - self._last_at, now)
         self._last_at = now
 
-    def _see(self, version: WeightVersion | None) -> None:
+    def _record_version(self, version: WeightVersion | None) -> None:
         if version is not None and self._run.job.model is not None:
             self._engine.record_version(self._run.job.model, version)
 
 
 def content_of(run: ItemRun) -> ContentDigest:
-    """Return what tells an item from those that ask other things."""
+    """Return the digest that identifies the request of an item."""
     return _call(run).content
 
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/intake.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/intake.py
@@ -1,4 +1,4 @@
-"""Accept trainers' batch jobs and answer what they ask of them."""
+"""Accept batch jobs from trainers and serve their results."""
 
 from __future__ import annotations
 
@@ -46,24 +46,23 @@
 
 log = logs.for_part('jobs')
 
-# Part of the time that a trainer waits for which an acceptance is tried
-# while the store is away. A refusal sends the trainer to another instance
-# before the same store, and it comes back only once.
-ACCEPT_PART = 0.75
+# Fraction of the client's timeout for which storing a job is retried while
+# the store is unavailable. Other instances use the same store, so an early
+# refusal would only use up the client's retry.
+ACCEPT_TIME_FRACTION = 0.75
 RETRY_SECONDS = 0.2
-# Seconds between looks whether a service's division is known.
-DIVISION_SECONDS = 0.05
-# Seconds that a peer may take to store a job in this instance's place.
+# Interval of checks whether the partitions of a service are known.
+DIVISION_POLL_SECONDS = 0.05
+# Deadline for a peer that stores a job on behalf of this instance.
 RELAY_SECONDS = 2.0
-# Seconds that a relayed submission is tried; its sender tries others then.
-RELAYED_TRY_SECONDS = 1.0
-# Seconds after which a trainer may come back when the store is away.
+# Retry period for a relayed submission; its sender then tries other peers.
+RELAYED_RETRY_SECONDS = 1.0
+# Seconds of the Retry-After header while the store is unavailable.
 RETRY_AFTER = 1.0
-# Jobs whose results are kept in memory for readers.
+# Jobs whose results, and jobs whose item bodies, are cached for readers.
 CACHED_JOBS = 24
-CACHED_BODIES = 3
-# From a job's submission until its results are due, where its route names
-# no time.
+CACHED_ITEM_BODIES = 3
+# Seconds from a job's submission, where its route configures no times.
 DEFAULT_DUE = 30.0
 DEFAULT_RETENTION = 60.0
 _ACCEPTED = TargetAnswer(status=202, headers=(), body=b'', signature=None)
@@ -72,12 +71,12 @@
 
 @dataclasses.dataclass
 class JobView:
-    """Hold what this instance has read of one job."""
+    """Cache the results of one job that were read from the store."""
 
     job: JobId
     summary: Summary
     results: list[ItemResult]
-    # The last chunk that was taken; reading goes on after it.
+    # Key of the last chunk read; the next read starts after this key.
     last_key: str
     revision: Revision
 
@@ -85,9 +84,9 @@
     def is_whole(self) -> bool:
         return len(self.results) >= self.summary.total
 
-    def take(self, found: StoredResults) -> None:
-        """Add the results that follow those already here."""
-        # Two readers of one job may read the same chunk side by side.
+    def add_chunks(self, found: StoredResults) -> None:
+        """Append the chunks that follow the results read so far."""
+        # Concurrent readers of one job can read the same chunk.
         for position, chunk in sorted(found.chunks_by_position.items()):
             if position == len(self.results):
                 self.results += chunk.results
@@ -96,7 +95,7 @@
 
 
 class Intake:
-    """Answer trainers' calls about jobs from the store."""
+    """Serve trainers' calls about jobs from the store."""
 
     def __init__(
         self,
@@ -121,31 +120,31 @@
     async def submit(
         self, route: Route, request: ClientRequest
     ) -> TargetAnswer:
-        """Accept a job once it is stored.
+        """Store a job and return the acceptance.
 
-        Raises RequestError, NotRun if it was not stored and never will be,
-        or OutcomeUnknown.
+        Raises RequestError, NotRun if the job was not stored and never will
+        be, or OutcomeUnknown.
         """
         if request.method != 'POST':
             raise errors.WrongMethod('Batch jobs are submitted by POST.')
-        await self._wait_for_division(route, request)
-        job = self._job(route, request)
+        await self._wait_for_partitions(route, request)
+        job = self._job_from_request(route, request)
         runner = self._runners_by_service.get(job.service)
         if runner is None and not relay_module.is_relayed(request):
-            # The instance that runs the job then need not read it back.
+            # The instance that runs the job then gets it without a read.
             holder = self._relay.holder_of(job.service)
             if holder is not None:
                 answer = await self._relay.send(holder, request, RELAY_SECONDS)
                 if answer is not None and answer.status == 202:
                     return _ACCEPTED
         give_up_at = requests.time_limit(route, request)
-        left = give_up_at - self._clock.seconds()
-        try_for = ACCEPT_PART * left
+        remaining = give_up_at - self._clock.seconds()
+        retry_seconds = ACCEPT_TIME_FRACTION * remaining
         if relay_module.is_relayed(request):
-            try_for = RELAYED_TRY_SECONDS
-        try_until = Instant(self._clock.seconds() + try_for)
+            retry_seconds = RELAYED_RETRY_SECONDS
+        retry_until = Instant(self._clock.seconds() + retry_seconds)
         shares = self._shares(job)
-        is_new = await self._accept(job, shares, request, try_until)
+        is_new = await self._store_job(job, shares, request, retry_until)
         log.info(
             'Job accepted.',
             request=request.id,
@@ -155,7 +154,7 @@
             min_version=job.min_version,
             items=len(job.items),
         )
-        # One that stood before may have results: its runner reads them.
+        # A job stored earlier can have results, which its runner reads.
         if is_new:
             self._offer(shares or (job,))
         return _ACCEPTED
@@ -177,31 +176,31 @@
     ) -> bytes:
         """Return results from a position on, waiting for the first.
 
-        Raises UnknownStep if there is no such job, StoreUnavailable if
-        that is not known.
+        Raises UnknownStep if there is no such job, StoreUnavailable if the
+        store cannot be read.
         """
         deadline = Instant(self._clock.seconds() + query.wait)
         try:
             view = await self._view(query)
             _check_owner(view.summary.account, account)
             while len(view.results) <= query.first and not view.is_whole:
-                left = deadline - self._clock.seconds()
-                if left <= 0.0:
+                remaining = deadline - self._clock.seconds()
+                if remaining <= 0.0:
                     break
-                view.take(
+                view.add_chunks(
                     await self._store.watch_results(
-                        query.job, view.revision, left
+                        query.job, view.revision, remaining
                     )
                 )
         except store_module.HistoryGone:
-            # The reader asks again; by then the view is read anew.
+            # The next request of the reader reloads the view.
             self._views_by_id.pop(query.job, None)
         except (
             store_module.StoreRefused,
             store_module.StoreUnclear,
         ) as error:
             raise errors.StoreUnavailable(
-                f'The results can not be read now: {error}.', RETRY_AFTER
+                f'The results cannot be read now: {error}.', RETRY_AFTER
             ) from error
         return result_page.page(view.summary.total, view.results, query.first)
 
@@ -213,8 +212,8 @@
     ) -> bytes:
         """Return the body of one item.
 
-        Raises UnknownStep if there is no such item, StoreUnavailable if
-        that is not known.
+        Raises UnknownStep if there is no such item, StoreUnavailable if the
+        store cannot be read.
         """
         job = self._jobs_by_id.get(job_id)
         if job is None:
@@ -225,13 +224,13 @@
                 store_module.StoreUnclear,
             ) as error:
                 raise errors.StoreUnavailable(
-                    f'The job can not be read now: {error}.', RETRY_AFTER
+                    f'The job cannot be read now: {error}.', RETRY_AFTER
                 ) from error
         if job is None:
             raise errors.UnknownStep('There is no such batch job.')
         _check_owner(job.account, account)
         self._jobs_by_id[job_id] = job
-        if len(self._jobs_by_id) > CACHED_BODIES:
+        if len(self._jobs_by_id) > CACHED_ITEM_BODIES:
             self._jobs_by_id.popitem(last=False)
         for item in job.items:
             if item.id == item_id:
@@ -244,10 +243,10 @@
         service: ServiceName | None,
         account: AccountName | None = None,
     ) -> None:
-        """End a job, whose service is looked up if it is not given.
+        """End a job, looking up its service if none is given.
 
-        Raises UnknownStep if there is none, StoreUnavailable if the end
-        may not have been written.
+        Raises UnknownStep if there is no such job, StoreUnavailable if the
+        end was possibly not written.
         """
         try:
             shares: tuple[tuple[ServiceName, JobId], ...] = ()
@@ -263,30 +262,30 @@
             store_module.StoreUnclear,
         ) as error:
             raise errors.StoreUnavailable(
-                f'The end can not be written now: {error}.', RETRY_AFTER
+                f'Ending the job failed: {error}.', RETRY_AFTER
             ) from error
         log.info('Job ended by its trainer.', job=job_id)
 
-    async def _wait_for_division(
+    async def _wait_for_partitions(
         self, route: Route, request: ClientRequest
     ) -> None:
-        """Wait until it is known whose jobs a route's are.
+        """Wait until the partitions of a route's service are known.
 
-        An instance that has just started knows its routes a moment before.
-        Accepted for a holder that there is not, a job would never be run.
-        Raises NotRun if that takes longer than the trainer waits.
+        A starting instance reads its routes first. A job stored for a
+        partition that does not exist would never run. Raises NotRun if the
+        client's timeout is nearly over.
         """
         give_up_at = requests.time_limit(route, request)
         for service in route.services[:1]:
             while service not in self._state.divisions_by_service:
                 if self._clock.seconds() >= give_up_at - RETRY_SECONDS:
                     raise errors.NotRun(
-                        'The job was not stored: nobody runs its service yet.',
+                        'The job was not stored: no instance runs it yet.',
                         RETRY_AFTER,
                     )
-                await task.deferLater(self._clock, DIVISION_SECONDS)
+                await task.deferLater(self._clock, DIVISION_POLL_SECONDS)
 
-    def _job(self, route: Route, request: ClientRequest) -> Job:
+    def _job_from_request(self, route: Route, request: ClientRequest) -> Job:
         submitted = wire_jobs.submission(
             request.body, has_account=request.account is not None
         )
@@ -313,39 +312,41 @@
             items=submitted.items,
         )
 
-    async def _accept(
+    async def _store_job(
         self,
         job: Job,
         shares: tuple[Job, ...],
         request: ClientRequest,
-        try_until: Instant,
+        retry_until: Instant,
     ) -> bool:
-        """Tell whether the job was written by this call and is new."""
-        may_stand = False
+        """Store a job and return whether this call created it."""
+        may_be_stored = False
         while True:
             try:
                 return await self._store.accept(job, shares)
             except store_module.StoreRefused as error:
                 cause: Exception = error
             except store_module.StoreUnclear as error:
-                may_stand = True
+                may_be_stored = True
                 cause = error
             if not relay_module.is_relayed(request):
-                answer = await self._pass_on(request)
+                answer = await self._submit_by_peer(request)
                 if answer is not None and answer.status == 202:
                     return False
-                may_stand = may_stand or answer is None
-            if self._clock.seconds() >= try_until:
+                may_be_stored = may_be_stored or answer is None
+            if self._clock.seconds() >= retry_until:
                 break
             await task.deferLater(self._clock, RETRY_SECONDS)
-        if may_stand:
-            # An unanswered write may be carried out later: the job may run
-            # and must not be refused as one that never will.
-            raise errors.OutcomeUnknown(f'The job may stand: {cause}.')
+        if may_be_stored:
+            # A write without a reply can still take effect, so the job must
+            # not be reported as not run.
+            raise errors.OutcomeUnknown(f'The job may be stored: {cause}.')
         raise errors.NotRun(f'The job was not stored: {cause}.', RETRY_AFTER)
 
-    async def _pass_on(self, request: ClientRequest) -> TargetAnswer | None:
-        """Submit through a peer; none if the job may stand there."""
+    async def _submit_by_peer(
+        self, request: ClientRequest
+    ) -> TargetAnswer | None:
+        """Submit through a peer; return None if the outcome is unknown."""
         peer = self._relay.peer()
         if peer is None:
             return _REFUSED
@@ -374,19 +375,19 @@
             last_key=keys.summary(job_id),
             revision=found.revision,
         )
-        view.take(found)
+        view.add_chunks(found)
         self._views_by_id[job_id] = view
         if len(self._views_by_id) > CACHED_JOBS:
             self._views_by_id.popitem(last=False)
         return view
 
     async def _refresh(self, job_id: JobId, view: JobView) -> None:
-        view.take(await self._store.read_results(job_id, view.last_key))
+        view.add_chunks(await self._store.read_results(job_id, view.last_key))
 
 
 def _check_owner(
     owner: AccountName | None, account: AccountName | None
 ) -> None:
-    # Told as not found: whether another account has such a job is not told.
+    # Answered as not found, to reveal nothing about jobs of other accounts.
     if owner is not None and owner != account:
         raise errors.UnknownStep('There is no such batch job.')
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_holds.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_holds.py
@@ -1,4 +1,4 @@
-"""Hold items back that may end the engines which run them."""
+"""Hold back items that are suspected of crashing engines."""
 
 from __future__ import annotations
 
@@ -22,36 +22,35 @@
 
 
 class ItemHolds:
-    """Say which items may run now, and apart from which others."""
+    """Decide which items can run now, and at which engines."""
 
     def __init__(
-        self, service: ServiceName, board: JobQueue, guard: ContentGuard
+        self, service: ServiceName, queue: JobQueue, guard: ContentGuard
     ) -> None:
         self._service = partitions.service_of_part(service)
-        self._board = board
+        self._queue = queue
         self._guard = guard
-        # Those that are quarantined.
-        self.runs: list[ItemRun] = []
+        self.quarantined_runs: list[ItemRun] = []
 
     def is_held_back(self, run: ItemRun) -> bool:
-        """Tell whether an item may not be run now for what it did.
+        """Return whether an item must not run now because of engine crashes.
 
-        Nobody may give it up before its job's time is over, or has its
-        result; until then it waits, and its job is whole without its group.
+        A held item waits until its job expires; the job can complete without
+        the item's group.
         """
-        if not run.text.events and self._is_unsettled(run):
+        if not run.text.events and self._has_unsettled_run(run):
             return True
         if self._guard.ledger.is_clear and self._guard.doubts.is_empty:
             return False
-        content = _content(run)
+        content = _ensure_content(run)
         if self._guard.is_admitted(content, self._service):
             return False
         if self._guard.ledger.verdict(content) is Verdict.QUARANTINED:
-            # Its group can't be whole, and goes after those that can.
-            self._board.jobs_by_id[run.job.id].hold(run)
-            self.runs.append(run)
+            # The group cannot complete, so groups that can complete go first.
+            self._queue.jobs_by_id[run.job.id].hold(run)
+            self.quarantined_runs.append(run)
             log.info(
-                'Item held back.',
+                'Item held back: its content is quarantined.',
                 item=run.item.id,
                 job=run.job.id,
                 content=content,
@@ -59,45 +58,47 @@
         return True
 
     def resume(self) -> None:
-        """Let items wait for an engine again that are quarantined no more."""
-        for run in list(self.runs):
-            verdict = self._guard.ledger.verdict(_content(run))
-            state = self._board.jobs_by_id.get(run.job.id)
+        """Requeue the items whose quarantine has ended."""
+        for run in list(self.quarantined_runs):
+            verdict = self._guard.ledger.verdict(_ensure_content(run))
+            state = self._queue.jobs_by_id.get(run.job.id)
             if state is not None and verdict is Verdict.QUARANTINED:
                 continue
-            self.runs.remove(run)
+            self.quarantined_runs.remove(run)
             if state is not None:
                 state.resume(run)
 
-    def choose(
-        self, run: ItemRun, placing: EngineAssigner
+    def choose_engine(
+        self, run: ItemRun, assigner: EngineAssigner
     ) -> EngineState | None:
-        """Choose an engine where a suspect is told from the others."""
+        """Choose an engine, keeping a suspect apart from other suspects."""
         if self._guard.ledger.is_clear:
-            return placing.choose(run.job)
-        content = _content(run)
-        return placing.choose(
+            return assigner.choose(run.job)
+        content = _ensure_content(run)
+        return assigner.choose(
             run.job, self._guard.others(content), self._guard.barred(content)
         )
 
     def is_suspect(self, run: ItemRun) -> bool:
-        """Tell whether an item finds fewer engines than others do."""
+        """Return whether an item is suspected, and so has fewer engines."""
         if self._guard.ledger.is_clear:
             return False
-        return self._guard.ledger.verdict(_content(run)) is Verdict.SUSPECT
+        return (
+            self._guard.ledger.verdict(_ensure_content(run)) is Verdict.SUSPECT
+        )
 
-    def note_broken(self, run: ItemRun) -> None:
-        """Know an item by what it asks from its first broken run on."""
-        _content(run)
+    def ensure_content(self, run: ItemRun) -> None:
+        """Compute the content digest of an item after a broken run."""
+        _ensure_content(run)
 
-    def _is_unsettled(self, run: ItemRun) -> bool:
-        # Its next engine may end before it is known that this one did.
+    def _has_unsettled_run(self, run: ItemRun) -> bool:
+        # Another engine could crash before the last crash is confirmed.
         return run.content is not None and self._guard.is_unsettled(
             run.content
         )
 
 
-def _content(run: ItemRun) -> ContentDigest:
+def _ensure_content(run: ItemRun) -> ContentDigest:
     if run.content is None:
         run.content = generation.content_of(run)
     return run.content
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_runs.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_runs.py
@@ -1,4 +1,4 @@
-"""Run items at engines."""
+"""Run the waiting items of a service at its engines."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 from yuccarill.core.gateway import partitions
 from yuccarill.core.ids import Instant
-from yuccarill.core.jobs import engine_assignment as placing_module
+from yuccarill.core.jobs import engine_assignment
 from yuccarill.core.jobs import engines as engines_module
-from yuccarill.core.jobs import job_queue as board_module
+from yuccarill.core.jobs import job_queue
 from yuccarill.core.jobs.placement import Placement
 from yuccarill.core.jobs import planning
 from yuccarill.core.speeds import pace_estimator
@@ -40,31 +40,30 @@
 
 log = logs.for_part('runner')
 
-# Part of the loop's time that goes to putting waiting items in order: places
-# that come free wait for 60 ms with 3,000 items, and not at all with 300.
-PUMP_PART = 0.2
-# Seconds of a pause that is not worth a timer.
+# Fraction of the event loop's time for ordering and starting waiting items.
+PUMP_TIME_FRACTION = 0.2
+# Shorter pauses are skipped.
 MIN_PUMP_PAUSE = 0.005
 
 
-class ResultDesk(Protocol):
-    """Take results, and the work that leads to them."""
+class ResultSink(Protocol):
+    """Receive results and track the work that leads to them."""
 
     def finish(
-        self, run: board_module.ItemRun, result: ItemResult, cause: str
+        self, run: job_queue.ItemRun, result: ItemResult, cause: str
     ) -> None:
-        """List an item's result."""
+        """Record the result of an item."""
         ...
 
     def track(
         self, job: JobId, work: Coroutine[Any, Any, None]
     ) -> defer.Deferred[None]:
-        """Start work that ends with its job."""
+        """Start work that is cancelled when its job ends."""
         ...
 
 
 def speed_book(placement: Placement) -> pace_estimator.PaceEstimator | None:
-    """Return what learns engines' lasting paces, where that is asked."""
+    """Return an estimator of engine paces if the placement uses one."""
     return (
         pace_estimator.PaceEstimator()
         if placement is Placement.FINISH
@@ -73,144 +72,144 @@
 
 
 class Permission(enum.Enum):
-    """Say whether the configuration allows an item here."""
+    """Describe whether the configuration lets an item run here."""
 
     GRANTED = 'granted'
-    # No route leads to it any more.
+    # No route matches the item any more.
     REVOKED = 'revoked'
-    # Its route leads to another service.
+    # The route of the item names another service.
     ELSEWHERE = 'elsewhere'
 
 
 class ItemRuns:
-    """Run the items that a board has waiting."""
+    """Run the waiting items of a job queue."""
 
     def __init__(
         self,
         service: ServiceName,
         state: GatewayState,
-        board: board_module.JobQueue,
+        queue: job_queue.JobQueue,
         fleet: engines_module.EngineFleet,
         generator: Generator,
         guard: ContentGuard,
         scorer: Scorer,
-        desk: ResultDesk,
+        result_sink: ResultSink,
         clock: Any,
     ) -> None:
         self._service = service
         self._state = state
-        self._board = board
+        self._queue = queue
         self._fleet = fleet
         self._generator = generator
         self._scorer = scorer
-        self._desk = desk
+        self._results = result_sink
         self._clock = clock
-        self._holds = item_holds.ItemHolds(service, board, guard)
+        self._holds = item_holds.ItemHolds(service, queue, guard)
         self._plan: planning.FinishPlan | None = None
         if fleet.speeds is not None:
-            self._plan = planning.FinishPlan(board, fleet)
-        # Moves the runs off engines that hold them up.
-        self.moves = run_moves.RunMoves(board, fleet, self._plan, clock)
+            self._plan = planning.FinishPlan(queue, fleet)
+        self.moves = run_moves.RunMoves(queue, fleet, self._plan, clock)
         self._is_stopped = False
         self._is_pumping = False
-        self._is_asked = False
-        # The next pump, and how long the last one took.
+        self._is_pump_requested = False
+        # Timer of the next pump, and end and duration of the last one.
         self._next_pump: Any = None
         self._pumped_at = -math.inf
         self._pump_seconds = 0.0
 
     def stop(self) -> None:
-        """Start nothing more."""
+        """Start no more items."""
         self._is_stopped = True
         if self._next_pump is not None and self._next_pump.active():
             self._next_pump.cancel()
 
     def _pump_soon(self) -> None:
-        """Start items for a place that came free, together with others.
+        """Pump now, or as soon as the time fraction of pumps allows.
 
-        Each pump puts all waiting items in order. With thousands of them,
-        one for each run that ends took the whole loop; so pumps have a part
-        of the time at most, and a place waits for as long as that takes.
+        Each pump orders all waiting items; one for each ended run would
+        block the event loop when thousands of items wait.
         """
         if self._next_pump is not None and self._next_pump.active():
             return
-        pause = self._pump_seconds / PUMP_PART
-        left = self._pumped_at + pause - self._clock.seconds()
-        if left <= MIN_PUMP_PAUSE:
+        pause = self._pump_seconds / PUMP_TIME_FRACTION
+        remaining = self._pumped_at + pause - self._clock.seconds()
+        if remaining <= MIN_PUMP_PAUSE:
             self.pump()
         else:
-            self._next_pump = self._clock.callLater(left, self.pump)
+            self._next_pump = self._clock.callLater(remaining, self.pump)
 
     def pump(self) -> None:
-        """Start the items that have a place now."""
+        """Start the waiting items for which an engine has a free slot."""
         if self._is_stopped or self._is_pumping:
-            # A run that ends while others are started asks for a pump too.
-            self._is_asked = True
+            # A run that ends during a pump requests another pump.
+            self._is_pump_requested = True
             return
         self._is_pumping = True
         began_at = self._clock.seconds()
         try:
-            self._is_asked = True
-            while self._is_asked:
-                self._is_asked = False
-                self._pump()
+            self._is_pump_requested = True
+            while self._is_pump_requested:
+                self._is_pump_requested = False
+                self._start_waiting()
         finally:
             self._is_pumping = False
             self._pumped_at = self._clock.seconds()
             self._pump_seconds = self._pumped_at - began_at
 
-    def _pump(self) -> None:
+    def _start_waiting(self) -> None:
         now = self._now()
-        # Putting 8,192 waiting items in order takes 47 ms, and each run that
-        # ends asks for it.
+        # Avoids ordering all waiting items when none can start.
         if not self._fleet.has_free_slots(now):
             return
-        # Items of one model and age of weights find the same engines.
-        full: set[tuple[ModelName | None, WeightVersion]] = set()
+        # Items of one model and minimum version can use the same engines.
+        full_needs: set[tuple[ModelName | None, WeightVersion]] = set()
         all_needs = {
             (state.job.model, state.job.min_version)
-            for state in self._board.jobs_by_id.values()
+            for state in self._queue.jobs_by_id.values()
         }
-        pace = self._fleet.usual_pace(now) or board_module.DEFAULT_PACE
-        placing = placing_module.EngineAssigner(self._fleet, now)
+        pace = self._fleet.usual_pace(now) or job_queue.DEFAULT_PACE
+        assigner = engine_assignment.EngineAssigner(self._fleet, now)
         self._holds.resume()
-        for run in self._waiting(pace, now):
-            if len(full) == len(all_needs):
+        for run in self._ordered_runs(pace, now):
+            if len(full_needs) == len(all_needs):
                 break
             needs = (run.job.model, run.job.min_version)
-            if needs in full or self._holds.is_held_back(run):
+            if needs in full_needs or self._holds.is_held_back(run):
                 continue
             match self._permission(run):
                 case Permission.GRANTED:
-                    engine = self._holds.choose(run, placing)
+                    engine = self._holds.choose_engine(run, assigner)
                     if engine is not None:
                         self._start(run, engine)
                     elif not self._holds.is_suspect(run):
-                        full.add(needs)
+                        full_needs.add(needs)
                 case Permission.REVOKED:
-                    self._desk.finish(
-                        run, run.failed_result(), 'its route is gone'
+                    self._results.finish(
+                        run, run.failed_result(), 'its route was removed'
                     )
                 case Permission.ELSEWHERE:
                     continue
 
-    def _waiting(
+    def _ordered_runs(
         self, pace: float, now: Instant
-    ) -> Iterable[board_module.ItemRun]:
+    ) -> Iterable[job_queue.ItemRun]:
         if self._plan is None:
-            return self._board.waiting(pace)
+            return self._queue.waiting(pace)
         was_short = self._plan.is_short
         found = self._plan.waiting(pace, now)
         put_off = self._plan.deferred_groups
         meters.GROUPS_PUT_OFF.labels(self._service).set(put_off)
         if self._plan.is_short is not was_short:
-            event = 'Engines suffice.' if was_short else 'Engines fall short.'
+            event = (
+                'Engines can finish all groups in time again.'
+                if was_short
+                else 'Engines cannot finish all groups in time.'
+            )
             log.info(event, service=self._service, put_off=put_off)
         return found
 
-    def _permission(self, run: board_module.ItemRun) -> Permission:
-        # Items are bound by the configuration in force as requests are: an
-        # item must not reach a service that its route no longer names.
+    def _permission(self, run: job_queue.ItemRun) -> Permission:
+        # An item must not reach a service that its route no longer names.
         table = self._state.table
         path = run.item.path.partition('?')[0]
         route = table.find(run.job.host, path) if table else None
@@ -221,20 +220,20 @@
         return Permission.ELSEWHERE
 
     def _start(
-        self, run: board_module.ItemRun, engine: engines_module.EngineState
+        self, run: job_queue.ItemRun, engine: engines_module.EngineState
     ) -> None:
-        run.state = board_module.RunState.RUNNING
-        self._board.jobs_by_id[run.job.id].begin(run)
+        run.state = job_queue.RunState.RUNNING
+        self._queue.jobs_by_id[run.job.id].begin(run)
         engine.runs_by_model[run.job.model] += 1
         if self._plan is not None:
             self._log_start(self._plan, run, engine)
-        work = self._desk.track(run.job.id, self._run(run, engine))
+        work = self._results.track(run.job.id, self._run(run, engine))
         work.addBoth(lambda _: self._pump_soon())
 
     def _log_start(
         self,
         plan: planning.FinishPlan,
-        run: board_module.ItemRun,
+        run: job_queue.ItemRun,
         engine: engines_module.EngineState,
     ) -> None:
         now = self._now()
@@ -253,60 +252,60 @@
 
     async def _run(
         self,
-        run: board_module.ItemRun,
+        run: job_queue.ItemRun,
         engine: engines_module.EngineState,
     ) -> None:
-        generating = run_moves.Generating(
+        active_run = run_moves.ActiveRun(
             engine, self._now(), self._fleet.speeds
         )
-        generating.work = defer.Deferred.fromCoroutine(
-            self._generator.run(run, engine, generating.progress)
+        active_run.work = defer.Deferred.fromCoroutine(
+            self._generator.run(run, engine, active_run.record_event)
         )
-        self.moves.generating_by_run[run] = generating
+        self.moves.active_runs_by_item[run] = active_run
         try:
-            outcome = await generating.work
+            outcome = await active_run.work
         except defer.CancelledError:
-            if not generating.is_moved:
+            if not active_run.is_moved:
                 raise
             outcome = generation.Outcome.BROKEN
         finally:
-            del self.moves.generating_by_run[run]
+            del self.moves.active_runs_by_item[run]
             engine.runs_by_model[run.job.model] -= 1
-            generating.work.cancel()
+            active_run.work.cancel()
         match outcome:
             case generation.Outcome.WHOLE:
                 run.text.is_whole = True
-                self._board.lengths.learn(
+                self._queue.lengths.learn(
                     run.job.model, run.item, run.text.events
                 )
                 await self.score(run)
             case generation.Outcome.FAILED:
-                self._failed(run, run.fail())
+                self._handle_failure(run, run.fail())
             case generation.Outcome.IMPOSSIBLE:
-                self._desk.finish(run, run.failed_result(), 'impossible')
+                self._results.finish(run, run.failed_result(), 'impossible')
             case generation.Outcome.BROKEN:
-                run.state = board_module.RunState.WAITING
-                self._holds.note_broken(run)
+                run.state = job_queue.RunState.WAITING
+                self._holds.ensure_content(run)
 
-    async def score(self, run: board_module.ItemRun) -> None:
-        """Get the score of a whole text, and finish its item."""
-        run.state = board_module.RunState.SCORING
+    async def score(self, run: job_queue.ItemRun) -> None:
+        """Score a whole text and record the result of its item."""
+        run.state = job_queue.RunState.SCORING
         score = run.score
         if score is None:
             score = await self._scorer.score(run)
         run.score = score
         if score is None:
-            self._desk.finish(run, run.failed_result(), 'not scored')
+            self._results.finish(run, run.failed_result(), 'scoring failed')
         else:
-            self._desk.finish(run, run.completed_result(score), 'completed')
+            self._results.finish(run, run.completed_result(score), 'completed')
 
-    def _failed(
-        self, run: board_module.ItemRun, result: ItemResult | None
+    def _handle_failure(
+        self, run: job_queue.ItemRun, result: ItemResult | None
     ) -> None:
         if result is None:
-            run.state = board_module.RunState.WAITING
+            run.state = job_queue.RunState.WAITING
         else:
-            self._desk.finish(run, result, 'failed at each attempt')
+            self._results.finish(run, result, 'each attempt failed')
 
     def _now(self) -> Instant:
         return Instant(self._clock.seconds())
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/job_reader.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/job_reader.py
@@ -1,4 +1,4 @@
-"""Read what stands of a job in the store, however long that takes."""
+"""Read jobs from the store, retrying until the store answers."""
 
 from __future__ import annotations
 
@@ -22,30 +22,30 @@
 
 
 class JobReader:
-    """Read jobs that a runner takes over, again until the store answers."""
+    """Read the jobs that a runner takes over, without a deadline."""
 
     def __init__(self, jobs: JobStore, clock: Any) -> None:
         self._jobs = jobs
         self._clock = clock
 
-    async def job(self, job_id: JobId) -> Job | None:
-        """Return a job's content, none if it can't be read at all."""
+    async def read_job(self, job_id: JobId) -> Job | None:
+        """Return a job, or None if it is missing or cannot be decoded."""
         while True:
             try:
                 return await self._jobs.read_job(job_id)
             except (store_module.StoreRefused, store_module.StoreUnclear):
                 await self._pause()
             except msgspec.MsgspecError as error:
-                log.error('Job left out.', job=job_id, cause=str(error))
+                log.error('Job is unreadable.', job=job_id, cause=str(error))
                 return None
 
-    async def listed(self, job: Job) -> list[ItemResult]:
-        """Return the results that are listed of a job, in their order."""
-        listed_under = job.id if job.share is None else job.share.job
+    async def read_results(self, job: Job) -> list[ItemResult]:
+        """Return the stored results of a job, ordered by position."""
+        results_job = job.id if job.share is None else job.share.job
         ids = {item.id for item in job.items}
         while True:
             try:
-                found = await self._jobs.read_results(listed_under)
+                found = await self._jobs.read_results(results_job)
             except (store_module.StoreRefused, store_module.StoreUnclear):
                 await self._pause()
                 continue
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/job_store.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/job_store.py
@@ -1,4 +1,4 @@
-"""Keep batch jobs and their results in the platform's store."""
+"""Write batch jobs and their results to the store, and read them."""
 
 from __future__ import annotations
 
@@ -24,25 +24,25 @@
     from yuccarill.core.jobs.job import Item
     from yuccarill.platform.store import Store
 
-# Seconds between tries of a write whose outcome is not known.
+# Interval of retries of a write whose outcome is unknown.
 RETRY_SECONDS = 0.25
-# Keys that one transaction may remove.
+# Maximum keys removed in one transaction.
 MAX_REMOVALS = 32
 
 
 class Summary(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what readers need of a job beside its results."""
+    """Describe a job for readers of its results."""
 
     service: ServiceName
     total: int
     submitted_at: WallTime
     account: AccountName | None = None
-    # Whose holders run it, and under which ids, where several share it.
+    # Partitions that run a shared job, and the id of each share.
     shares: tuple[tuple[ServiceName, JobId], ...] = ()
 
 
 class WorkRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell a service's runner of one job."""
+    """Announce one job to the runner of its service."""
 
     is_ended: bool = False
 
@@ -54,26 +54,26 @@
 
 
 class StoredResults(msgspec.Struct, kw_only=True):
-    """Hold what was read of a job's results."""
+    """Hold the summary and result chunks read for one job."""
 
     summary: Summary | None = None
     chunks_by_position: dict[int, Chunk] = {}
-    # Where to go on reading: the last key and the store's revision at the
-    # first page, since pages are no snapshot.
+    # Where the next read starts: the last key, and the store's revision at
+    # the first page, because pages are not one snapshot.
     last_key: str | None = None
     revision: Revision = Revision(0)
 
 
 class DutyLost(Exception):
-    """Report a write under a duty that another instance holds."""
+    """Signal a write under a duty that another instance holds now."""
 
 
 class PositionTaken(Exception):
-    """Report a position at which other results are listed."""
+    """Signal a write at a position that already has other results."""
 
 
 class ResultWriter(Protocol):
-    """List results of one job."""
+    """Write the results of one job."""
 
     async def append(
         self,
@@ -83,24 +83,22 @@
         service: ServiceName,
         duty: Revision,
     ) -> None:
-        """Write results behind the first ones, under a duty."""
+        """Write results from position `first` on, under a duty."""
         ...
 
 
 class JobStore:
-    """Write and read jobs."""
+    """Write, read and remove batch jobs."""
 
     def __init__(self, store: Store, clock: Any) -> None:
         self._store = store
         self._clock = clock
 
     async def accept(self, job: Job, shares: tuple[Job, ...] = ()) -> bool:
-        """Write a job once; one that stands already is left as it is.
+        """Write a job, or its shares, unless it exists; return if it is new.
 
-        Of a job that several holders share, its shares are written.
-
-        Tells whether it was written now. Raises StoreRefused if the store
-        did nothing, StoreUnclear if the job may stand.
+        Raises StoreRefused if the store did nothing, StoreUnclear if the job
+        was possibly written.
         """
         summary = Summary(
             service=job.service,
@@ -123,21 +121,21 @@
                     store_module.Write(
                         key=summary_key, value=msgspec.msgpack.encode(summary)
                     ),
-                    *(write for part in parts for write in _spec(part)),
+                    *(write for part in parts for write in _job_writes(part)),
                 ],
             )
         except store_module.StoreConflict:
-            # An earlier try of the same submission was carried out.
+            # An earlier attempt of the same submission succeeded.
             return False
         return True
 
     async def read_job(self, job: JobId) -> Job | None:
-        """Return a job's content."""
+        """Return a job, or a share of one, by its id."""
         entry = await self._store.get(keys.job_spec(job))
         return None if entry is None else decode_job(entry.value)
 
     async def read_whole(self, job: JobId) -> Job | None:
-        """Return a job's content, put together where holders share it."""
+        """Return a job, assembled from its shares if it is a shared job."""
         found = await self.read_job(job)
         if found is not None:
             return found
@@ -160,7 +158,7 @@
     async def read_results(
         self, job: JobId, after: str | None = None
     ) -> StoredResults:
-        """Return a job's summary and the results after a key."""
+        """Return a job's summary and its results stored after a key."""
         found = StoredResults()
         has_more = True
         while has_more:
@@ -175,7 +173,7 @@
     ) -> StoredResults:
         """Wait for results that are written after a revision.
 
-        Raises HistoryGone.
+        Raises HistoryGone if the store no longer has that revision.
         """
         page = await self._store.watch(keys.results(job), after, seconds)
         found = StoredResults()
@@ -190,11 +188,11 @@
         service: ServiceName,
         duty: Revision,
     ) -> None:
-        """Write results at their positions, under a duty.
+        """Write results from position `first` on, under a duty.
 
         Retries until the outcome is known. Raises DutyLost if another
-        instance holds the duty by now, PositionTaken if other results are
-        listed there though the duty is held.
+        instance holds the duty, PositionTaken if the duty is held but the
+        position already has other results.
         """
         key = keys.chunk(job, first)
         value = msgspec.msgpack.encode(Chunk(results=results))
@@ -209,11 +207,11 @@
                 return
             except store_module.StoreConflict as conflict:
                 written = conflict.entries_by_key.get(key)
-                # A try without an answer was carried out after all.
+                # An earlier attempt without a reply succeeded.
                 if written is not None and written.value == value:
                     return
-                holding = conflict.entries_by_key.get(keys.duty(service))
-                if holding is not None and holding.revision == duty:
+                duty_entry = conflict.entries_by_key.get(keys.duty(service))
+                if duty_entry is not None and duty_entry.revision == duty:
                     raise PositionTaken from conflict
                 raise DutyLost from conflict
             except (store_module.StoreRefused, store_module.StoreUnclear):
@@ -225,31 +223,33 @@
         job: JobId,
         shares: tuple[tuple[ServiceName, JobId], ...] = (),
     ) -> None:
-        """Write that a trainer has ended a job."""
+        """Mark a job, or all its shares, as ended."""
         record = WorkRecord(is_ended=True)
         parts = shares or ((service, job),)
         await self._store.transact(
-            writes=[_work(part, job_id, record) for part, job_id in parts]
+            writes=[
+                _work_write(part, job_id, record) for part, job_id in parts
+            ]
         )
 
     async def remove(self, service: ServiceName, job: JobId) -> None:
-        """Remove a job that nobody may read any more, its index last.
+        """Remove a job and its results, the index entry last.
 
-        The first holder of several that share it removes its results.
+        The results of a shared job are removed with its first share.
         """
         spec = await self.read_job(job)
         share = None if spec is None else spec.share
-        whole = job if share is None else share.job
-        found = await self.read_results(whole)
+        results_job = job if share is None else share.job
+        found = await self.read_results(results_job)
         content = [
-            keys.chunk(whole, position)
+            keys.chunk(results_job, position)
             for position in found.chunks_by_position
         ]
-        content += [keys.summary(whole), keys.listed(whole)]
+        content += [keys.summary(results_job), keys.listed(results_job)]
         content.append(keys.job_spec(job))
         for first in range(0, len(content), MAX_REMOVALS):
-            some = content[first : first + MAX_REMOVALS]
-            await self._store.transact(removals=some)
+            batch = content[first : first + MAX_REMOVALS]
+            await self._store.transact(removals=batch)
         await self._store.transact(removals=[keys.work(service, job)])
 
 
@@ -269,16 +269,16 @@
             found.chunks_by_position[position] = chunk
 
 
-def _spec(job: Job) -> tuple[store_module.Write, store_module.Write]:
+def _job_writes(job: Job) -> tuple[store_module.Write, store_module.Write]:
     return (
         store_module.Write(
             key=keys.job_spec(job.id), value=msgspec.msgpack.encode(job)
         ),
-        _work(job.service, job.id, WorkRecord()),
+        _work_write(job.service, job.id, WorkRecord()),
     )
 
 
-def _work(
+def _work_write(
     service: ServiceName, job: JobId, record: WorkRecord
 ) -> store_module.Write:
     return store_module.Write(
@@ -287,10 +287,10 @@
 
 
 def decode_work(value: bytes) -> WorkRecord:
-    """Decode what stands of a job; raises MsgspecError."""
+    """Decode the work record of a job; raises MsgspecError."""
     return msgspec.msgpack.decode(value, type=WorkRecord)
 
 
 def decode_job(value: bytes) -> Job:
-    """Decode a job's content; raises MsgspecError."""
+    """Decode a job; raises MsgspecError."""
     return msgspec.msgpack.decode(value, type=Job)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/listing.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/listing.py
@@ -1,4 +1,4 @@
-"""List a job's results in a fixed order, in chunks."""
+"""Append a job's results to the store in a fixed order, in chunks."""
 
 from __future__ import annotations
 
@@ -23,22 +23,19 @@
 
 log = logs.for_part('listing')
 
-# Seconds that results are collected before they are written together, when
-# a trainer waits for one of them and when it does not. Each write is paid
-# for; a step of 224 items that was written with each whole group made 17,
-# of which its trainer needed the last. What is not written yet is copied to
-# the next holder as texts are; a loss of all instances takes it, so it must
-# not be much.
+# Delays for collecting results into one write, when the trainer waits for a
+# result and when not. Longer delays make fewer writes, which are paid for,
+# but lose more results if all instances fail.
 AWAITED_SECONDS = 0.05
-COLLECT_SECONDS = 0.6
-# Seconds between two writes of one job at least.
+BATCH_SECONDS = 0.6
+# Minimum interval of writes of one job.
 WRITE_SECONDS = 0.25
-# Bytes of text in one chunk; a value of the store holds a megabyte.
+# Maximum text of one chunk; a value in the store can have a megabyte.
 CHUNK_BYTES = 400 * 1024
 
 
 class Listing:
-    """Write one job's results behind those that are listed."""
+    """Append the results of one job to its stored results."""
 
     def __init__(
         self,
@@ -48,19 +45,19 @@
         jobs: ResultWriter,
         duty: Duty,
         clock: Any,
-        on_taken: Callable[[], None],
+        on_conflict: Callable[[], None],
     ) -> None:
         self._job = job
         self._jobs = jobs
         self._duty = duty
         self._clock = clock
-        # Called when more is listed than this instance knows.
-        self._on_taken = on_taken
+        # Called when the store has results that this instance does not know.
+        self._on_conflict = on_conflict
         self.total = total
-        # What readers may be told of: it stands in the store.
+        # Results in the store, which readers can be shown.
         self.results = list(known)
-        self._readers: list[defer.Deferred[None]] = []
-        self._ids = {result.id for result in known}
+        self._waiting_readers: list[defer.Deferred[None]] = []
+        self._item_ids = {result.id for result in known}
         self._pending: list[ItemResult] = []
         self._timer: Any = None
         self._write_at = math.inf
@@ -70,16 +67,16 @@
         self.is_stopped = False
 
     def add(self, result: ItemResult, is_awaited: bool) -> None:
-        """List a result, at once if its trainer waits for it.
+        """Schedule the write of a result, early if its trainer waits.
 
-        An item is listed once.
+        A second result of the same item is ignored.
         """
-        if result.id in self._ids:
+        if result.id in self._item_ids:
             return
-        self._ids.add(result.id)
+        self._item_ids.add(result.id)
         self._pending.append(result)
         now = self._clock.seconds()
-        seconds = AWAITED_SECONDS if is_awaited else COLLECT_SECONDS
+        seconds = AWAITED_SECONDS if is_awaited else BATCH_SECONDS
         self._write_at = min(self._write_at, now + seconds)
         if self._is_writing:
             return
@@ -88,9 +85,9 @@
         self._write_later()
 
     async def wait(self, seconds: float) -> None:
-        """Wait until something is listed, or for a time."""
+        """Wait until results are written, or for a time in seconds."""
         reader: defer.Deferred[None] = defer.Deferred()
-        self._readers.append(reader)
+        self._waiting_readers.append(reader)
         timer = self._clock.callLater(seconds, self._wake, reader)
         try:
             await reader
@@ -99,34 +96,34 @@
                 timer.cancel()
 
     def write_age(self) -> float:
-        """Return the seconds that a write has been under way, or 0."""
+        """Return the seconds since the running write began, or 0."""
         if not self._is_writing:
             return 0.0
         age: float = self._clock.seconds() - self._began_at
         return age
 
     def stop(self) -> None:
-        """Write nothing more.
+        """Start no more writes.
 
-        A write under way goes on: what it lists is read here as well.
+        A running write continues, so that readers here see its results.
         """
         self.is_stopped = True
         self._wake_readers()
 
     def _wake_readers(self) -> None:
-        for reader in list(self._readers):
+        for reader in list(self._waiting_readers):
             self._wake(reader)
 
     def _wake(self, reader: defer.Deferred[None]) -> None:
-        if reader in self._readers:
-            self._readers.remove(reader)
+        if reader in self._waiting_readers:
+            self._waiting_readers.remove(reader)
         if not reader.called:
             reader.callback(None)
 
     def _write_later(self) -> None:
         at = max(self._write_at, self._written_at + WRITE_SECONDS)
-        left = max(0.0, at - self._clock.seconds())
-        self._timer = self._clock.callLater(left, self._begin_write)
+        remaining = max(0.0, at - self._clock.seconds())
+        self._timer = self._clock.callLater(remaining, self._begin_write)
 
     def _begin_write(self) -> None:
         if self.is_stopped:
@@ -135,13 +132,13 @@
         self._began_at = self._clock.seconds()
         self._write_at = math.inf
         writing = defer.Deferred.fromCoroutine(self._write())
-        writing.addErrback(self._failed)
-        writing.addBoth(self._ended)
+        writing.addErrback(self._log_failure)
+        writing.addBoth(self._finish_write)
 
     async def _write(self) -> None:
         chunk = self._next_chunk()
         if len(chunk) < len(self._pending):
-            # What did not fit is due as well.
+            # The results that did not fit are due as well.
             self._write_at = self._clock.seconds()
         while not await self._append(chunk):
             if self.is_stopped:
@@ -171,17 +168,16 @@
                 revision,
             )
         except job_store_module.PositionTaken:
-            log.error('Position taken; read again.', job=self._job)
-            self._on_taken()
+            log.error('Position is taken; job is read again.', job=self._job)
+            self._on_conflict()
             return False
         except job_store_module.DutyLost:
-            # Without the lease nothing is listed here. The same chunk is
-            # tried again if this process gets the duty back; if another
-            # one gets it, this listing is stopped.
-            log.warning('Not listed: the duty is lost.', job=self._job)
+            # The chunk is retried if this process regains the duty. If
+            # another process gets the duty, this listing is stopped.
+            log.warning('Results not written: duty is lost.', job=self._job)
             self._duty.give_up(revision)
             return False
-        # Its condition was that the store knows the duty.
+        # The write was conditional on the duty, so it confirms the duty.
         self._duty.confirm_from(sent_at)
         return True
 
@@ -195,15 +191,15 @@
             taken.append(result)
         return tuple(taken)
 
-    def _failed(self, failure: Any) -> None:
+    def _log_failure(self, failure: Any) -> None:
         if not failure.check(defer.CancelledError):
-            log.error('Listing failed.', cause=failure.getTraceback())
+            log.error('Writing results failed.', cause=failure.getTraceback())
 
-    def _ended(self, _: object) -> None:
+    def _finish_write(self, _: object) -> None:
         self._is_writing = False
         self._written_at = self._clock.seconds()
         if self._pending and not self.is_stopped:
             self._write_at = min(
-                self._write_at, self._written_at + COLLECT_SECONDS
+                self._write_at, self._written_at + BATCH_SECONDS
             )
             self._write_later()
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/paced_work.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/paced_work.py
@@ -1,4 +1,4 @@
-"""Do work that is asked for often with a part of the loop's time."""
+"""Limit frequently requested work to a fraction of the loop's time."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Part of the loop's time that the work gets.
-TIME_PART = 0.2
-# Seconds of a pause that is not worth a timer.
-MIN_PAUSE = 0.005
+# Fraction of the event loop's time that the work can use.
+TIME_FRACTION = 0.2
+# Shorter pauses are skipped.
+MIN_PAUSE_SECONDS = 0.005
 
 
 class PacedWork:
-    """Do some work soon, once for all that ask for it meanwhile."""
+    """Run work on request, once for all requests during a pause."""
 
     def __init__(self, work: Callable[[], None], clock: Any) -> None:
         self._work = work
@@ -25,23 +25,23 @@
         self._ended_at = -math.inf
         self._seconds = 0.0
 
-    def ask(self) -> None:
-        """Do the work now, or as soon as its part of the time allows."""
+    def request(self) -> None:
+        """Run the work now, or as soon as its time fraction allows."""
         if self._timer is not None and self._timer.active():
             return
-        pause = self._seconds * (1.0 / TIME_PART - 1.0)
-        left = self._ended_at + pause - self._clock.seconds()
-        if left <= MIN_PAUSE:
-            self._do()
+        pause = self._seconds * (1.0 / TIME_FRACTION - 1.0)
+        remaining = self._ended_at + pause - self._clock.seconds()
+        if remaining <= MIN_PAUSE_SECONDS:
+            self._run_work()
         else:
-            self._timer = self._clock.callLater(left, self._do)
+            self._timer = self._clock.callLater(remaining, self._run_work)
 
     def stop(self) -> None:
-        """Do nothing more that was asked for."""
+        """Cancel the scheduled run of the work."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
-    def _do(self) -> None:
+    def _run_work(self) -> None:
         began_at = self._clock.seconds()
         try:
             self._work()
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/progress.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/progress.py
@@ -1,4 +1,4 @@
-"""Keep long texts under way in the store, for when all instances stop."""
+"""Save unfinished long texts in the store, in case all instances stop."""
 
 from __future__ import annotations
 
@@ -26,31 +26,30 @@
 
 log = logs.for_part('progress')
 
-# Seconds between two writes, each paid for as one call. A loss of all
-# instances takes as much of each text.
+# Interval of writes. A failure of all instances loses as much of each text.
 WRITE_SECONDS = 1.0
-# Events from which on a text is kept: about a second of an engine, which is
-# what the time between two writes may lose of each text anyway.
+# Shorter texts are not saved; an engine makes about as many events during one
+# write interval.
 MIN_EVENTS = 24
-# Characters of text in one write, so that one fits a value of the store with
-# room to spare; 100 runs make 0.9 MB a second, and the longest texts go first.
+# Maximum characters of text in one write, so that a record fits a value of
+# the store. The longest texts go first.
 MAX_SIZE = 400_000
-# Writes that are kept. A text whose first events were overwritten is written
-# whole again.
+# Size of the ring of records. A text whose first record is about to be
+# overwritten is written in full again.
 SLOTS = 16
 
 
 class ProgressRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what came to texts since the record before."""
+    """Hold the changes of texts since the previous record."""
 
-    # Under which hold of the duty it was written, and how many were before.
+    # Revision of the duty, and sequence number of the record under the duty.
     epoch: int
     number: int
     changes: tuple[text_copies.TextChange, ...]
 
 
 class ProgressStore:
-    """Write and read the last records of one service."""
+    """Write and read the ring of progress records of one service."""
 
     def __init__(self, service: ServiceName, store: Store) -> None:
         self._service = service
@@ -60,10 +59,10 @@
     async def write(
         self, changes: tuple[text_copies.TextChange, ...], duty: Duty
     ) -> None:
-        """Write a record over the oldest one, under a duty.
+        """Overwrite the oldest record, under a duty.
 
-        Raises StoreRefused, StoreUnclear, and StoreConflict where another
-        instance holds the duty: its records must not be mixed with these.
+        Raises StoreRefused, StoreUnclear, or StoreConflict if another
+        instance holds the duty, so that records of two holders never mix.
         """
         self.number += 1
         revision = duty.revision
@@ -86,19 +85,19 @@
         )
 
     async def read(self) -> list[PartialText]:
-        """Return the texts that the records hold from their start."""
+        """Return the texts whose first events are still in the records."""
         try:
             records = await self._records()
         except (
             store_module.StoreRefused,
             store_module.StoreUnclear,
         ) as error:
-            # The texts are generated anew, at the cost of engines' time.
-            log.warning('Texts not read.', cause=str(error))
+            # The engines then generate the texts from the start.
+            log.warning('Reading saved texts failed.', cause=str(error))
             return []
-        texts = _put_together(records)
+        texts = _merge_records(records)
         log.info(
-            'Texts read.',
+            'Texts read from the store.',
             service=self._service,
             records=len(records),
             count=len(texts),
@@ -116,20 +115,16 @@
                 if isinstance(entry, store_module.Removal):
                     continue
                 after = entry.key
-                records += _decoded(entry)
+                records += _decode(entry)
             has_more = page.has_more
         return records
 
 
 class ProgressWriter:
-    """Write what is new of a runner's long texts.
-
-    A loss of all processes or of all power takes the copies of the other
-    instances along: a step that was open took 12.9 s in place of 8, since its
-    last texts began anew. Over 20 days that end with such a loss, each played
-    with and without, it is worth 0.04 of what a day may earn, and costs 0.0006
-    of it in calls. What is kept is a saving and no promise: a text that is
-    missing, or stale, is generated from where it was.
+    """Periodically write the changes of a runner's long texts.
+
+    Guards against the loss of all instances, and so of all copies in memory.
+    Records are best effort: engines generate again what is missing.
     """
 
     def __init__(
@@ -145,22 +140,22 @@
         self._open_texts = open_texts
         self._pause = pause
         self._clock = clock
-        self._copied = text_copies.CopiedTexts()
-        # The record in which a text stands with its first events.
-        self._begun_by_item: dict[ItemId, int] = {}
+        self._written = text_copies.CopiedTexts()
+        # Number of the record that has the first events of a text.
+        self._first_record_by_item: dict[ItemId, int] = {}
         self._writing: defer.Deferred[None] | None = None
 
     def start(self) -> None:
-        """Begin to write."""
-        self._writing = defer.Deferred.fromCoroutine(self._follow())
-        self._writing.addErrback(self._failed)
+        """Start the periodic writes."""
+        self._writing = defer.Deferred.fromCoroutine(self._keep_writing())
+        self._writing.addErrback(self._log_failure)
 
     def stop(self) -> None:
-        """Write nothing more."""
+        """Cancel the periodic writes."""
         if self._writing is not None:
             self._writing.cancel()
 
-    async def _follow(self) -> None:
+    async def _keep_writing(self) -> None:
         while True:
             await task.deferLater(self._clock, WRITE_SECONDS)
             if not self._duty.is_held():
@@ -171,43 +166,43 @@
             try:
                 await self._progress.write(changes, self._duty)
             except store_module.StoreConflict:
-                log.info('Texts not kept: the duty is lost.')
+                log.info('Texts not saved: the duty is lost.')
                 continue
             except (
                 store_module.StoreRefused,
                 store_module.StoreUnclear,
             ) as error:
-                log.info('Texts not kept.', cause=str(error))
+                log.info('Saving texts in the store failed.', cause=str(error))
                 await self._pause(WRITE_SECONDS)
                 continue
-            self._note(changes)
+            self._record(changes)
 
     def _changes(self) -> tuple[text_copies.TextChange, ...]:
         texts = [t for t in self._open_texts() if len(t.parts) >= MIN_EVENTS]
         number = self._progress.number
-        for item, begun in list(self._begun_by_item.items()):
-            if number + 1 - begun >= SLOTS:
-                self._copied.forget(item)
+        for item, first_record in list(self._first_record_by_item.items()):
+            if number + 1 - first_record >= SLOTS:
+                self._written.forget(item)
         texts.sort(key=lambda text: len(text.parts), reverse=True)
-        return text_copies.limit_size(self._copied.changes(texts), MAX_SIZE)
+        return text_copies.limit_size(self._written.changes(texts), MAX_SIZE)
 
-    def _note(self, changes: tuple[text_copies.TextChange, ...]) -> None:
+    def _record(self, changes: tuple[text_copies.TextChange, ...]) -> None:
         for change in changes:
-            self._copied.record_change(change)
+            self._written.record_change(change)
             if not change.first:
                 item = change.text.item
-                self._begun_by_item[item] = self._progress.number
+                self._first_record_by_item[item] = self._progress.number
         oldest = self._progress.number - SLOTS
-        for item, begun in list(self._begun_by_item.items()):
-            if begun <= oldest:
-                del self._begun_by_item[item]
+        for item, first_record in list(self._first_record_by_item.items()):
+            if first_record <= oldest:
+                del self._first_record_by_item[item]
 
-    def _failed(self, failure: Any) -> None:
+    def _log_failure(self, failure: Any) -> None:
         if not failure.check(defer.CancelledError):
-            log.error('Writer failed.', cause=failure.getTraceback())
+            log.error('Text writer failed.', cause=failure.getTraceback())
 
 
-def _put_together(records: list[ProgressRecord]) -> list[PartialText]:
+def _merge_records(records: list[ProgressRecord]) -> list[PartialText]:
     texts_by_item: dict[ItemId, PartialText] = {}
     for record in sorted(records, key=lambda each: (each.epoch, each.number)):
         for change in record.changes:
@@ -218,9 +213,9 @@
     return list(texts_by_item.values())
 
 
-def _decoded(entry: store_module.Entry) -> list[ProgressRecord]:
+def _decode(entry: store_module.Entry) -> list[ProgressRecord]:
     try:
         return [msgspec.msgpack.decode(entry.value, type=ProgressRecord)]
     except msgspec.MsgspecError as error:
-        log.error('Record left out.', key=entry.key, cause=str(error))
+        log.error('Record is unreadable.', key=entry.key, cause=str(error))
         return []
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/result_page.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/result_page.py
@@ -1,4 +1,4 @@
-"""Cut results into pages for those who read them."""
+"""Split results into pages for readers."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 if TYPE_CHECKING:
     from yuccarill.core.jobs.job import ItemResult
 
-# Bytes of results in one answer, under the megabyte that readers take.
+# Maximum text of one page; readers accept a megabyte.
 PAGE_BYTES = 800 * 1024
 
 
 def page(total: int, results: list[ItemResult], first: int) -> bytes:
     """Return one page of results from a position on."""
-    taken = 0
+    size = 0
     following = first
     for result in results[first:]:
-        taken += len(result.text)
-        if following > first and taken > PAGE_BYTES:
+        size += len(result.text)
+        if following > first and size > PAGE_BYTES:
             break
         following += 1
     found = tuple(results[first:following])
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/run_moves.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/run_moves.py
@@ -1,4 +1,4 @@
-"""Move runs off engines that hold them up."""
+"""Move runs from slow or stalled engines to better ones."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from twisted.internet import defer
 
 from yuccarill.core.ids import Instant
-from yuccarill.core.jobs import engine_assignment as placing_module
+from yuccarill.core.jobs import engine_assignment
 from yuccarill.core.jobs import engines as engines_module
-from yuccarill.core.jobs import job_queue as board_module
+from yuccarill.core.jobs import job_queue
 from yuccarill.core.jobs import planning
 from yuccarill.core.speeds import pace_estimator
 from yuccarill.daemon.gateway.jobs import generation
@@ -19,7 +19,7 @@
 log = logs.for_part('runner')
 
 
-class Generating:
+class ActiveRun:
     """Track one run of an item at an engine."""
 
     def __init__(
@@ -36,18 +36,18 @@
         self.is_moved = False
         self.work: defer.Deferred[generation.Outcome] = defer.Deferred()
 
-    def progress(self, now: Instant) -> None:
-        """Note that an event came."""
-        # The first comes after a connection and the reading of the text.
+    def record_event(self, now: Instant) -> None:
+        """Record the arrival of an event."""
+        # The first event also waits for the connection and the prompt.
         if self._has_event and self._speeds is not None:
-            self._learn(self._speeds, now)
+            self._record_gap(self._speeds, now)
         self._has_event = True
         self.last_at = now
 
-    def _learn(
+    def _record_gap(
         self, speeds: pace_estimator.PaceEstimator, now: Instant
     ) -> None:
-        # An engine that takes new weights stands still for a while.
+        # An engine that loads new weights pauses its runs.
         if not self.engine.switching_models:
             beside = max(0, self.engine.running - 1)
             gap = now - self.last_at
@@ -55,92 +55,91 @@
 
 
 class RunMoves:
-    """Look after the runs of a service that are under way."""
+    """Track the active runs of a service, and move them to better engines."""
 
     def __init__(
         self,
-        board: board_module.JobQueue,
+        queue: job_queue.JobQueue,
         fleet: engines_module.EngineFleet,
         plan: planning.FinishPlan | None,
         clock: Any,
     ) -> None:
-        self._board = board
+        self._queue = queue
         self._fleet = fleet
         self._plan = plan
         self._clock = clock
-        self.generating_by_run: dict[board_module.ItemRun, Generating] = {}
+        self.active_runs_by_item: dict[job_queue.ItemRun, ActiveRun] = {}
 
-    def note_hurry(self) -> None:
-        """Mark the engines whose texts have no time to spare."""
+    def mark_urgent_models(self) -> None:
+        """Mark the engines that run items without slack to their deadline."""
         now = self._now()
-        pace = self._fleet.usual_pace(now) or board_module.DEFAULT_PACE
+        pace = self._fleet.usual_pace(now) or job_queue.DEFAULT_PACE
         for engine in self._fleet.engines_by_id.values():
             engine.urgent_models.clear()
-        for run, generating in self.generating_by_run.items():
+        for run, active_run in self.active_runs_by_item.items():
             model = run.job.model
-            if model is not None and self._board.is_urgent(run, pace, now):
-                generating.engine.urgent_models.add(model)
+            if model is not None and self._queue.is_urgent(run, pace, now):
+                active_run.engine.urgent_models.add(model)
 
     def move(self) -> None:
-        """Move runs off engines that hold them up."""
+        """Cancel the runs that are better off at another engine."""
         now = self._now()
-        # Free places go to waiting items first. Moving all runs of a slow
-        # engine for each place that came free moved 85 runs in a second,
-        # most of them back to where they were.
-        waiting = self._board.count_waiting()
-        placing = placing_module.EngineAssigner(self._fleet, now)
-        for run, generating in list(self.generating_by_run.items()):
-            engine = generating.engine
-            reason = self._reason(run, generating, placing, now)
+        # Free slots go to waiting items first, and a run moves only into a
+        # remaining slot; otherwise runs move back and forth.
+        waiting = self._queue.count_waiting()
+        assigner = engine_assignment.EngineAssigner(self._fleet, now)
+        for run, active_run in list(self.active_runs_by_item.items()):
+            engine = active_run.engine
+            reason = self._move_reason(run, active_run, assigner, now)
             if reason is None:
                 continue
-            if placing.free_slots(run.job, engine) <= waiting:
+            if assigner.free_slots(run.job, engine) <= waiting:
                 continue
             waiting += 1
-            placing.reserve_slot(run.job)
-            self._log_move(run, generating, reason, now)
-            if self._fleet.is_silent(generating.last_at, now):
-                # Otherwise the next item would wait there as long.
+            assigner.reserve_slot(run.job)
+            self._log_move(run, active_run, reason, now)
+            if self._fleet.is_silent(active_run.last_at, now):
+                # Keeps the next item from waiting at the silent engine.
                 engine.fail(now)
-                placing.exclude_engine(engine)
-            generating.is_moved = True
-            generating.work.cancel()
+                assigner.exclude_engine(engine)
+            active_run.is_moved = True
+            active_run.work.cancel()
 
-    def _reason(
+    def _move_reason(
         self,
-        run: board_module.ItemRun,
-        generating: Generating,
-        placing: placing_module.EngineAssigner,
+        run: job_queue.ItemRun,
+        active_run: ActiveRun,
+        assigner: engine_assignment.EngineAssigner,
         now: Instant,
     ) -> str | None:
-        """Return why a run is better off elsewhere, none if it is not."""
-        engine = generating.engine
+        """Return why a run has to move, or None if it stays."""
+        engine = active_run.engine
         if self._plan is None:
             is_held_up = self._fleet.should_move(
                 engine,
                 run.job,
-                generating.started_at,
-                generating.last_at,
+                active_run.started_at,
+                active_run.last_at,
                 now,
             )
             return 'held up' if is_held_up else None
-        if self._fleet.is_stalled(engine, run.job, generating.last_at, now):
+        if self._fleet.is_stalled(engine, run.job, active_run.last_at, now):
             return 'stopped'
-        if now - generating.started_at < engines_module.MIN_STAY_SECONDS:
+        if now - active_run.started_at < engines_module.MIN_STAY_SECONDS:
             return None
-        if self._plan.is_better_off(run, engine, placing, now):
+        if self._plan.is_better_off(run, engine, assigner, now):
             return 'ends sooner elsewhere'
         return None
 
     def _log_move(
         self,
-        run: board_module.ItemRun,
-        generating: Generating,
+        run: job_queue.ItemRun,
+        active_run: ActiveRun,
         reason: str,
         now: Instant,
     ) -> None:
         meters.RUN_MOVES.labels(reason).inc()
-        engine = generating.engine
+        engine = active_run.engine
         beside = max(0, engine.running - 1)
         estimate = self._fleet.estimate(engine, beside, now)
         log.info(
@@ -152,7 +151,7 @@
             estimate=round(estimate.pace, 4),
             deviation=round(estimate.deviation, 3),
             usual=self._fleet.usual_pace(now),
-            silent=round(now - generating.last_at, 3),
+            silent=round(now - active_run.last_at, 3),
         )
 
     def _now(self) -> Instant:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/runner.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/runner.py
@@ -13,7 +13,7 @@
 
 from yuccarill.core.ids import Instant
 from yuccarill.core.jobs import engines as engines_module
-from yuccarill.core.jobs import job_queue as board_module
+from yuccarill.core.jobs import job_queue
 from yuccarill.daemon.gateway.jobs import cleaner
 from yuccarill.daemon.gateway.jobs import item_runs
 from yuccarill.daemon.gateway.jobs import job_reader
@@ -55,11 +55,10 @@
 
 log = logs.for_part('runner')
 
-# Seconds between looks at what has no event of its own: engines that come
-# back, items whose time is over.
+# Interval of checks for returned engines, expired items and jobs to remove.
 TICK_SECONDS = 0.1
-# Seconds before the watch for jobs is sent again after a change. Most jobs
-# and ends come here first; the watch tells of the others.
+# Pause of the watch for jobs after a change, which collects further changes.
+# Most jobs and ends reach this instance directly, without the watch.
 WORK_SETTLE_SECONDS = 0.2
 
 
@@ -77,7 +76,7 @@
         scorer: Scorer,
         engines: Engines,
         clock: Any,
-        handed: defer.Deferred[list[PartialText]],
+        handed_texts: defer.Deferred[list[PartialText]],
         known_speeds: Callable[[], Iterable[SpeedRecord]] = tuple,
     ) -> None:
         self._state = state
@@ -86,17 +85,17 @@
         self._store = store
         self._reader = job_reader.JobReader(jobs, clock)
         self._clock = clock
-        self._board = board_module.JobQueue()
+        self._queue = job_queue.JobQueue()
         self._speeds = item_runs.speed_book(state.placement)
         self._fleet = engines_module.EngineFleet(self._speeds)
-        self._surveys = paced_work.PacedWork(self._survey, clock)
+        self._paced_survey = paced_work.PacedWork(self._run_survey, clock)
         self._requests = engine_requests.EngineRequests(
             store, self.survey, clock
         )
         self._switcher = weight_switcher.WeightSwitcher(
             state,
             duty,
-            self._board,
+            self._queue,
             self._fleet,
             engines,
             self._requests,
@@ -104,13 +103,12 @@
             clock,
         )
         self._listings_by_job: dict[JobId, listing.Listing] = {}
-        self._works_by_job: dict[JobId, set[defer.Deferred[None]]] = {}
-        # What readers are answered from.
-        self.shelf = shelf.Shelf(duty, clock)
+        self._tasks_by_job: dict[JobId, set[defer.Deferred[None]]] = {}
+        self.job_cache = shelf.JobCache(duty, clock)
         self._runs = item_runs.ItemRuns(
             duty.service,
             state,
-            self._board,
+            self._queue,
             self._fleet,
             generator,
             guard,
@@ -121,7 +119,7 @@
         self._follower = follower.PrefixFollower(
             store,
             keys.work_of_service(duty.service),
-            self._work_change,
+            self._handle_work_change,
             clock,
             settle_seconds=WORK_SETTLE_SECONDS,
         )
@@ -130,27 +128,27 @@
         )
         self._ticker = task.LoopingCall(self._tick)
         self._ticker.clock = clock
-        self._following: list[defer.Deferred[None]] = []
-        # What the holder before had made of the items.
-        self._handed = handed
+        self._background_tasks: list[defer.Deferred[None]] = []
+        # Unfinished texts of the previous holder.
+        self._handed_texts = handed_texts
         self._known_speeds = known_speeds
         self._is_stopped = False
 
     def start(self) -> None:
-        """Begin with the jobs that stand in the store."""
-        starting = defer.Deferred.fromCoroutine(self._start())
-        starting.addErrback(self._crashed)
-        self._following.append(starting)
-
-    async def _start(self) -> None:
-        # Before any job: an item that runs already is not looked up again.
-        self._board.keep_partial_texts(await self._handed)
+        """Start to run the jobs in the store."""
+        starting = defer.Deferred.fromCoroutine(self._start_following())
+        starting.addErrback(self._log_failure)
+        self._background_tasks.append(starting)
+
+    async def _start_following(self) -> None:
+        # Before the jobs: only items that do not run yet get these texts.
+        self._queue.keep_partial_texts(await self._handed_texts)
         self._restore_speeds()
         for work in (self._follower.follow(), *self._requests.following()):
             following = defer.ensureDeferred(work)
-            following.addErrback(self._crashed)
-            self._following.append(following)
-        self._ticker.start(TICK_SECONDS).addErrback(self._crashed)
+            following.addErrback(self._log_failure)
+            self._background_tasks.append(following)
+        self._ticker.start(TICK_SECONDS).addErrback(self._log_failure)
 
     def _restore_speeds(self) -> None:
         if self._speeds is None:
@@ -158,49 +156,49 @@
         records = list(self._known_speeds())
         for record in records:
             self._speeds.restore(record, self._now())
-        log.info('Speeds restored.', count=len(records))
+        log.info('Engine speeds restored.', count=len(records))
 
     def speed_records(self) -> list[SpeedRecord]:
-        """Return what another instance has to know of the engines."""
+        """Return the known engine speeds, for another instance."""
         if self._speeds is None:
             return []
         return self._speeds.records(self._now())
 
     def stop(self) -> None:
-        """Give up everything; another instance goes on from the store."""
+        """Cancel all work; another instance continues from the store."""
         self._is_stopped = True
         self._runs.stop()
-        self._surveys.stop()
+        self._paced_survey.stop()
         if self._ticker.running:
             self._ticker.stop()
-        for following in self._following:
+        for following in self._background_tasks:
             following.cancel()
         self._switcher.stop()
-        for job in list(self._works_by_job):
-            self._forget(job)
+        for job in list(self._tasks_by_job):
+            self._drop_job(job)
 
     def resume(self) -> None:
-        """Read anew what may have changed without being heard."""
+        """Read jobs and requests again after a gap in the watches."""
         self._follower.refresh()
         self._requests.refresh()
         self.survey()
 
     def work(self) -> tuple[int, int]:
-        """Return the places in use, and the items that wait for one."""
-        return self._fleet.running, self._board.count_waiting()
+        """Return the number of used slots and of waiting items."""
+        return self._fleet.running, self._queue.count_waiting()
 
     def left_texts(self) -> list[PartialText]:
-        """Return the texts that another instance would go on with."""
-        return self._board.partial_texts(self._listed_items())
+        """Return the unlisted texts that another instance can continue."""
+        return self._queue.partial_texts(self._listed_items())
 
     def open_texts(self) -> list[PartialText]:
-        """Return those of open jobs only."""
-        return self._board.unlisted(self._listed_items())
+        """Return the unlisted texts of open jobs."""
+        return self._queue.unlisted(self._listed_items())
 
     def open_jobs(self) -> list[tuple[Job, frozenset[ItemId]]]:
-        """Return the open jobs, each with its items that are listed."""
+        """Return the open jobs, each with the ids of its listed items."""
         found = []
-        for job_id, state in self._board.jobs_by_id.items():
+        for job_id, state in self._queue.jobs_by_id.items():
             listed = self._listings_by_job.get(job_id)
             ids = [] if listed is None else [r.id for r in listed.results]
             found.append((state.job, frozenset(ids)))
@@ -214,65 +212,64 @@
         }
 
     def knows(self, job: JobId) -> bool:
-        """Tell whether a job is one of this service."""
-        return job in self.shelf
+        """Return whether this runner has or had a job."""
+        return job in self.job_cache
 
     @property
     def service(self) -> ServiceName:
         return self._duty.service
 
     def offer(self, job: Job) -> None:
-        """Take a job that was accepted here."""
-        if job.id not in self._works_by_job and job.id not in self.shelf:
-            self._works_by_job[job.id] = set()
-            self.track(job.id, self._begin(job, []))
+        """Run a job that this instance accepted, unless it is known."""
+        if job.id not in self._tasks_by_job and job.id not in self.job_cache:
+            self._tasks_by_job[job.id] = set()
+            self.track(job.id, self._add_job(job, []))
 
     def survey(self) -> None:
-        """Look at engines, weights and runs anew, and start what can be.
+        """Check engines, weights and runs soon, and start waiting items.
 
-        Looks at each run and each engine, so what changes meanwhile is
-        looked at together.
+        Each check reads all runs and engines, so calls are combined.
         """
-        self._surveys.ask()
+        self._paced_survey.request()
 
-    def _survey(self) -> None:
+    def _run_survey(self) -> None:
         if self._is_stopped:
             return
         self._fleet.update(self._state.engines(self._duty.service))
-        self._runs.moves.note_hurry()
+        self._runs.moves.mark_urgent_models()
         self._switcher.update()
         self._runs.moves.move()
         self._runs.pump()
 
     def _tick(self) -> None:
         self.survey()
-        for run in self._board.expired(self._now()):
-            self.finish(run, run.failed_result(), 'time is over')
+        for run in self._queue.expired(self._now()):
+            self.finish(run, run.failed_result(), 'its job expired')
         self._cleaner.update()
 
-    def _work_change(self, change: Entry | Removal) -> None:
+    def _handle_work_change(self, change: Entry | Removal) -> None:
         if isinstance(change, store_module.Removal):
             return
         job = keys.job_of_work(change.key)
         try:
             record = job_store_module.decode_work(change.value)
         except msgspec.MsgspecError as error:
-            log.error('Entry left out.', key=change.key, cause=str(error))
+            log.error('Entry is unreadable.', key=change.key, cause=str(error))
             return
         if record.is_ended:
-            self._cleaner.ended(job)
-            self._end(job)
-        elif job not in self._works_by_job and job not in self.shelf:
-            self._works_by_job[job] = set()
-            self.track(job, self._take(job))
-
-    async def _take(self, job_id: JobId) -> None:
-        job = await self._reader.job(job_id)
-        if job is None or job_id not in self._works_by_job:
+            self._cleaner.schedule_removal(job)
+            self._end_job(job)
+        elif job not in self._tasks_by_job and job not in self.job_cache:
+            self._tasks_by_job[job] = set()
+            self.track(job, self._load_job(job))
+
+    async def _load_job(self, job_id: JobId) -> None:
+        job = await self._reader.read_job(job_id)
+        if job is None or job_id not in self._tasks_by_job:
             return
-        await self._begin(job, await self._reader.listed(job))
+        await self._add_job(job, await self._reader.read_results(job))
 
-    async def _begin(self, job: Job, known: list[ItemResult]) -> None:
+    async def _add_job(self, job: Job, known: list[ItemResult]) -> None:
         found = listing.Listing(
             job.id,
             len(job.items),
@@ -280,27 +277,27 @@
             shared_results.writer(self._jobs, self._store, job, self._clock),
             self._duty,
             self._clock,
-            functools.partial(self._take_again, job.id),
+            functools.partial(self._reload_job, job.id),
         )
-        # By the clocks of two machines, of which either may have been set
-        # anew: it may put jobs in another order, but gives nothing up.
+        # Compares clocks of two machines, which can differ: this affects the
+        # order of jobs, but never expires an item.
         age = max(0.0, time.time() - job.submitted_at)
         submitted = self._now() - age
         due = job.due_at - job.submitted_at
         retained = job.retained_until - job.submitted_at
-        state = board_module.JobState(
+        state = job_queue.JobState(
             job,
             Instant(submitted),
             Instant(submitted + due),
-            # Counted from here: a clock that is ahead would give items up
-            # that a trainer still waits for, and a later end costs nothing.
+            # Counts from now, so that a clock that is ahead expires no item
+            # for which a trainer still waits.
             Instant(self._now() + retained),
         )
-        reused = self._board.add(state, known)
+        reused = self._queue.add(state, known)
         self._listings_by_job[job.id] = found
         if job.model is not None:
             self._switcher.items_by_model[job.model] = len(job.items)
-        self.shelf.keep(job, found)
+        self.job_cache.add(job, found)
         log.info(
             'Job taken.',
             job=job.id,
@@ -317,31 +314,31 @@
             self.track(job.id, self._runs.score(run))
         self._runs.pump()
 
-    def _end(self, job: JobId) -> None:
-        if self._board.remove(job) is not None:
+    def _end_job(self, job: JobId) -> None:
+        if self._queue.remove(job) is not None:
             log.info('Job ended.', job=job)
-        self._forget(job)
+        self._drop_job(job)
 
-    def _take_again(self, job: JobId) -> None:
-        # The texts that were made stay on the board.
-        self.shelf.drop(job)
-        self._board.remove(job)
-        self._forget(job)
-        self._works_by_job[job] = set()
-        self.track(job, self._take(job))
+    def _reload_job(self, job: JobId) -> None:
+        # The queue keeps the generated texts.
+        self.job_cache.remove(job)
+        self._queue.remove(job)
+        self._drop_job(job)
+        self._tasks_by_job[job] = set()
+        self.track(job, self._load_job(job))
 
-    def _forget(self, job: JobId) -> None:
+    def _drop_job(self, job: JobId) -> None:
         found = self._listings_by_job.pop(job, None)
         if found is not None:
             found.stop()
-        for work in list(self._works_by_job.pop(job, ())):
+        for work in list(self._tasks_by_job.pop(job, ())):
             work.cancel()
 
     def finish(
-        self, run: board_module.ItemRun, result: ItemResult, cause: str
+        self, run: job_queue.ItemRun, result: ItemResult, cause: str
     ) -> None:
-        """List an item's result."""
-        state = self._board.jobs_by_id.get(run.job.id)
+        """Record the result of an item and schedule its write."""
+        state = self._queue.jobs_by_id.get(run.job.id)
         found = self._listings_by_job.get(run.job.id)
         if state is None or found is None:
             return
@@ -367,20 +364,20 @@
     def track(
         self, job: JobId, work: Coroutine[Any, Any, None]
     ) -> defer.Deferred[None]:
-        """Start work that ends with its job."""
+        """Start work that is cancelled when its job ends."""
         running = defer.Deferred.fromCoroutine(work)
-        works = self._works_by_job.setdefault(job, set())
+        works = self._tasks_by_job.setdefault(job, set())
         works.add(running)
 
         def ended(result: Any) -> None:
             works.discard(running)
             if hasattr(result, 'check'):
-                self._crashed(result)
+                self._log_failure(result)
 
         running.addBoth(ended)
         return running
 
-    def _crashed(self, failure: Any) -> None:
+    def _log_failure(self, failure: Any) -> None:
         if not failure.check(defer.CancelledError):
             log.error('Work failed.', cause=failure.getTraceback())
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/scoring.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/scoring.py
@@ -1,4 +1,4 @@
-"""Get the score of a finished text."""
+"""Request scores of finished texts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from yuccarill.core import errors
 from yuccarill.core.gateway import attempts
 from yuccarill.core.ids import Instant
-from yuccarill.daemon.gateway.capacity import requests as asking
+from yuccarill.daemon.gateway.capacity import requests as capacity_requests
 from yuccarill.daemon.gateway.requests import exchange
 from yuccarill.daemon import logs
 from yuccarill.platform import calls as calls_module
@@ -26,14 +26,14 @@
 
 log = logs.for_part('scoring')
 
-# Seconds between tries of a score that could not be had.
+# Interval of retries of a failed score request.
 RETRY_SECONDS = 0.2
-# Seconds between looks whether a call that ended its targets may be sent
-# again. Each is a log line of each item that waits for such a call.
-HELD_RETRY_SECONDS = 2.0
-# Part of a scoring target's places that scores may take, so that requests
-# of people find a free one.
-PLACES_PART = 0.7
+# Interval of retries of a score request whose content is quarantined. Longer,
+# because each retry writes a log line.
+QUARANTINE_RETRY_SECONDS = 2.0
+# Fraction of a scoring target's slots for scores of batch jobs; the rest stays
+# free for interactive requests.
+SLOTS_FRACTION = 0.7
 
 
 class Scorer:
@@ -49,7 +49,7 @@
         self._waiting: list[defer.Deferred[None]] = []
 
     async def score(self, run: ItemRun) -> str | None:
-        """Return a text's score, none if the scorer failed too often."""
+        """Return a text's score, or None if scoring failed too often."""
         request = run.item.score_request
         if request is None:
             return ''
@@ -57,13 +57,17 @@
             pause = RETRY_SECONDS
             route = self._route(request)
             if route is None:
-                log.warning('No route for a score.', item=run.item.id)
+                log.warning('No route for a score request.', item=run.item.id)
             else:
                 try:
-                    answer = await self._try(run, request, route)
+                    answer = await self._send_in_slot(run, request, route)
                 except errors.RequestQuarantined as error:
-                    log.info('Not scored.', item=run.item.id, cause=str(error))
-                    answer, pause = None, HELD_RETRY_SECONDS
+                    log.info(
+                        'Score request quarantined.',
+                        item=run.item.id,
+                        cause=str(error),
+                    )
+                    answer, pause = None, QUARANTINE_RETRY_SECONDS
                 if answer is not None and answer.is_success:
                     return answer.signature
                 if run.fail_scores(0, route.max_attempts):
@@ -75,14 +79,14 @@
         path = request.path.partition('?')[0]
         return table.find(request.host, path) if table else None
 
-    async def _try(
+    async def _send_in_slot(
         self, run: ItemRun, request: ScoreRequest, route: Route
     ) -> TargetAnswer | None:
-        await self._enter(route)
+        await self._acquire_slot(route)
         try:
             return await self._send(run, request, route)
         finally:
-            self._leave()
+            self._release_slot()
 
     async def _send(
         self, run: ItemRun, request: ScoreRequest, route: Route
@@ -109,7 +113,9 @@
         try:
             entry = await self._sender.capacity.enter(
                 service,
-                asking.of_score(route, request.id, Instant(now), deadline),
+                capacity_requests.of_score(
+                    route, request.id, Instant(now), deadline
+                ),
             )
             answer = await self._sender.send(
                 service, call, plan, record, entry
@@ -117,8 +123,8 @@
         except errors.RequestQuarantined:
             raise
         except errors.Overloaded as error:
-            # Its place is kept meanwhile: those that wait for it would be
-            # refused one after the other.
+            # Keeps the slot during the pause: the next waiting requests would
+            # be refused as well.
             await task.deferLater(self._clock, error.retry_after or 0.0)
             answer, record.last_cause = None, error.message
         except errors.YuccarillError as error:
@@ -127,7 +133,7 @@
         run.fail_scores(record.failed_runs, route.max_attempts)
         if answer is None or not answer.is_success:
             log.info(
-                'Not scored.',
+                'Score request failed.',
                 request=request.id,
                 item=run.item.id,
                 attempts=record.attempts,
@@ -137,14 +143,14 @@
             )
         return answer
 
-    async def _enter(self, route: Route) -> None:
-        while self._running >= self._places(route):
+    async def _acquire_slot(self, route: Route) -> None:
+        while self._running >= self._slot_limit(route):
             waiting: defer.Deferred[None] = defer.Deferred()
             self._waiting.append(waiting)
             await waiting
         self._running += 1
 
-    def _leave(self) -> None:
+    def _release_slot(self) -> None:
         self._running -= 1
         while self._waiting:
             waiting = self._waiting.pop(0)
@@ -152,13 +158,13 @@
                 waiting.callback(None)
                 return
 
-    def _places(self, route: Route) -> int:
-        places = sum(
+    def _slot_limit(self, route: Route) -> int:
+        slots = sum(
             target.slots
             for service in route.services
             for target in self._state.targets.ready(service).values()
         )
-        # Each of several holders takes its own part of them.
+        # The holders of a service's partitions divide the slots.
         divisions = self._state.divisions_by_service.values()
         holders = max((each.parts for each in divisions), default=1)
-        return max(1, int(PLACES_PART * places / holders))
+        return max(1, int(SLOTS_FRACTION * slots / holders))
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/service_work.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/service_work.py
@@ -1,4 +1,4 @@
-"""Contend for each service's duty, and run its jobs while it is held."""
+"""Compete for the duty of each service, and run its jobs while held."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class ServiceWork:
-    """Hold what this instance does for services of engines."""
+    """Manage duties, runners and copies for the services of engines."""
 
     def __init__(
         self,
@@ -79,17 +79,17 @@
         self._division = division.Division(state, store, self.update, clock)
         self.duties_by_service: dict[ServiceName, duties.Duty] = {}
         self.runners_by_service: dict[ServiceName, runner.Runner] = {}
-        self._copies_by_service: dict[
+        self._text_copies_by_service: dict[
             ServiceName, text_copier.StandbyCopy
         ] = {}
-        self._copiers_by_service: dict[ServiceName, copier.JobCopier] = {}
+        self._job_copiers_by_service: dict[ServiceName, copier.JobCopier] = {}
         self._writers_by_service: dict[
             ServiceName, progress.ProgressWriter
         ] = {}
         self._scalers_by_service: dict[ServiceName, Scaler] = {}
 
     def update(self) -> None:
-        """Compare what is held with what is known."""
+        """Update duties and runners after a change of the known state."""
         table = self._state.table
         services = {} if table is None else table.services_by_name
         for service in services.values():
@@ -111,7 +111,7 @@
                 running.survey()
 
     def resume(self) -> None:
-        """Read anew what may have changed without being heard."""
+        """Let all runners read again after a gap in the watches."""
         for running in list(self.runners_by_service.values()):
             running.resume()
 
@@ -127,24 +127,24 @@
 
     def _duty_changed(self, service: ServiceName) -> None:
         duty = self.duties_by_service[service]
-        known = self.runners_by_service.get(service)
+        old_runner = self.runners_by_service.get(service)
         if duty.tenure is None:
-            # A lease that lapsed while the store was away usually comes
-            # back here: what is under way goes on meanwhile.
-            if known is not None and self._state.is_leaving:
+            # Runs continue: a lease that expired while the store was
+            # unavailable usually returns to this instance.
+            if old_runner is not None and self._state.is_leaving:
                 self._stop_runner(service)
             return
-        if known is not None and duty.is_continued:
-            known.resume()
+        if old_runner is not None and duty.is_continued:
+            old_runner.resume()
             return
         self._stop_runner(service)
         self._start_runner(service, duty)
 
     def _start_runner(self, service: ServiceName, duty: duties.Duty) -> None:
-        # What it has made goes to the depot first.
+        # Stopping the standby puts the standby's texts into the depot.
         self._standbys.stop(service)
-        kept = progress.ProgressStore(service, self._store)
-        started = runner.Runner(
+        records = progress.ProgressStore(service, self._store)
+        new_runner = runner.Runner(
             self._state,
             duty,
             self._store,
@@ -154,33 +154,37 @@
             scoring.Scorer(self._state, self._sender, self._clock),
             self._engines,
             self._clock,
-            defer.Deferred.fromCoroutine(self._left_texts(duty, kept)),
+            defer.Deferred.fromCoroutine(self._previous_texts(duty, records)),
             functools.partial(self._depot.take_speeds, service),
         )
-        self.runners_by_service[service] = started
-        started.start()
-        copying = text_copier.StandbyCopy(
-            service, started.open_texts, self._text_sender, self._clock
+        self.runners_by_service[service] = new_runner
+        new_runner.start()
+        text_copy = text_copier.StandbyCopy(
+            service, new_runner.open_texts, self._text_sender, self._clock
         )
-        self._copies_by_service[service] = copying
-        copying.start()
-        telling = copier.JobCopier(
+        self._text_copies_by_service[service] = text_copy
+        text_copy.start()
+        job_copier = copier.JobCopier(
             service,
             self._state,
-            started.open_jobs,
+            new_runner.open_jobs,
             self._text_sender,
             self._peers,
             duty.name_standby,
             self._clock,
         )
-        self._copiers_by_service[service] = telling
-        telling.start()
-        writing = progress.ProgressWriter(
-            duty, kept, started.open_texts, self._store.pause, self._clock
+        self._job_copiers_by_service[service] = job_copier
+        job_copier.start()
+        writer = progress.ProgressWriter(
+            duty,
+            records,
+            new_runner.open_texts,
+            self._store.pause,
+            self._clock,
         )
-        self._writers_by_service[service] = writing
-        writing.start()
-        scaler = self._scaling.scaler(duty, started.work)
+        self._writers_by_service[service] = writer
+        writer.start()
+        scaler = self._scaling.scaler(duty, new_runner.work)
         if scaler is not None:
             self._scalers_by_service[service] = scaler
             scaler.start()
@@ -189,22 +193,22 @@
         running = self.runners_by_service.get(service)
         return [] if running is None else running.speed_records()
 
-    async def _left_texts(
-        self, duty: duties.Duty, kept: progress.ProgressStore
+    async def _previous_texts(
+        self, duty: duties.Duty, records: progress.ProgressStore
     ) -> list[PartialText]:
         found = self._depot.take(duty.service)
         if found:
             return found
         return await self._text_fetcher.newest(
-            duty.service, duty.last_standby, kept.read
+            duty.service, duty.last_standby, records.read
         )
 
     def _stop_runner(self, service: ServiceName) -> None:
-        known = self.runners_by_service.pop(service, None)
-        if known is not None:
-            known.stop()
-            self._copies_by_service.pop(service).stop()
-            self._copiers_by_service.pop(service).stop()
+        old_runner = self.runners_by_service.pop(service, None)
+        if old_runner is not None:
+            old_runner.stop()
+            self._text_copies_by_service.pop(service).stop()
+            self._job_copiers_by_service.pop(service).stop()
             self._writers_by_service.pop(service).stop()
             scaler = self._scalers_by_service.pop(service, None)
             if scaler is not None:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/shared_results.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/shared_results.py
@@ -1,4 +1,4 @@
-"""List one holder's results of a job that several holders share."""
+"""Write one holder's results of a job that several holders share."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 def writer(jobs: JobStore, store: Store, job: Job, clock: Any) -> ResultWriter:
-    """Return what lists the results of a job, or of a share of one."""
+    """Return the writer for the results of a job, or of a share of one."""
     if job.share is None:
         return jobs
     return SharedResults(store, job.share, clock)
 
 
 class Listed(msgspec.Struct, frozen=True, kw_only=True):
-    """Say how many results of a job are listed, in all and by share."""
+    """Count the listed results of a job, in total and by share."""
 
     total: int = 0
     counts_by_number: dict[int, int] = {}
@@ -49,10 +49,10 @@
 
 
 class SharedResults:
-    """Write a share's results behind those of all shares.
+    """Append the results of a share to the results of the whole job.
 
-    Positions are those of the whole job. Each write names the count it
-    follows, so holders that write at the same time go one after the other.
+    Each write is conditional on the revision of the job's counts, which
+    serializes the writes of several holders.
     """
 
     def __init__(self, store: Store, share: JobShare, clock: Any) -> None:
@@ -60,7 +60,7 @@
         self._share = share
         self._clock = clock
         self._key = keys.listed(share.job)
-        # As it was last seen, which others may have changed since.
+        # Last known counts; other holders can have changed them since.
         self._listed = Listed()
         self._revision = store_module.ABSENT
 
@@ -72,17 +72,17 @@
         service: ServiceName,
         duty: Revision,
     ) -> None:
-        """Write results, `first` of the share's being listed already.
+        """Write results after the first `first` results of the share.
 
-        Retries until the outcome is known. Raises DutyLost or PositionTaken
-        as those of a whole job do.
+        Retries until the outcome is known. Raises DutyLost if another
+        instance holds the duty, PositionTaken if the share has more results.
         """
         number = self._share.number
         is_unclear = False
         while True:
             listed = self._listed.count(number)
             if is_unclear and listed == first + len(results):
-                # A try without an answer was carried out after all.
+                # An earlier attempt without a reply succeeded.
                 return
             if listed > first:
                 raise job_store_module.PositionTaken
@@ -90,13 +90,15 @@
                 await self._write(results, service, duty)
                 return
             except store_module.StoreConflict as conflict:
-                self._learn(conflict)
-                is_carried_out = is_unclear and self._listed.count(
+                self._update_counts(conflict)
+                is_written = is_unclear and self._listed.count(
                     number
                 ) == first + len(results)
-                holding = conflict.entries_by_key.get(keys.duty(service))
-                is_held = holding is not None and holding.revision == duty
-                if not is_held and not is_carried_out:
+                duty_entry = conflict.entries_by_key.get(keys.duty(service))
+                is_held = (
+                    duty_entry is not None and duty_entry.revision == duty
+                )
+                if not is_held and not is_written:
                     raise job_store_module.DutyLost from conflict
             except store_module.StoreRefused:
                 await self._pause()
@@ -133,7 +135,7 @@
         )
         self._listed, self._revision = after, revision
 
-    def _learn(self, conflict: store_module.StoreConflict) -> None:
+    def _update_counts(self, conflict: store_module.StoreConflict) -> None:
         entry = conflict.entries_by_key.get(self._key)
         if entry is None:
             self._listed, self._revision = Listed(), store_module.ABSENT
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/shelf.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/shelf.py
@@ -1,4 +1,4 @@
-"""Keep jobs and their results in memory for those who read them."""
+"""Cache jobs and their results in memory for readers."""
 
 from __future__ import annotations
 
@@ -18,71 +18,71 @@
     from yuccarill.daemon.gateway.jobs.listing import Listing
     from yuccarill.platform.ports import ResultsQuery
 
-# Seconds within which the store has to have known the duty for readers to
-# be answered from memory. What was read once may not be missing elsewhere a
-# second later; a read of the key for several readers is one call.
-READ_AGE = 0.6
-# Jobs kept for readers: about 0.6 MB each.
-MAX_KEPT = 30
+# Maximum age of the store's last confirmation of the duty, and of a running
+# write, for an answer from memory. Guards against answers that lack results
+# which another instance has already shown.
+MAX_CONFIRMATION_AGE_SECONDS = 0.6
+# Maximum cached jobs, unless more are open.
+MAX_JOBS = 30
 
 
-class _KeptJob(NamedTuple):
-    """Keep a job and its results."""
+class _CachedJob(NamedTuple):
+    """Hold a job and its results."""
 
     job: Job
     listing: Listing
 
 
-class Shelf:
-    """Answer readers of the jobs that ran here, open or ended."""
+class JobCache:
+    """Answer readers of the open and ended jobs of one runner."""
 
     def __init__(self, duty: Duty, clock: Any) -> None:
         self._duty = duty
         self._clock = clock
-        # The oldest first.
-        self._kept_by_id: dict[JobId, _KeptJob] = {}
+        # Ordered by insertion, oldest first.
+        self._cached_by_id: dict[JobId, _CachedJob] = {}
 
     def __contains__(self, job: JobId) -> bool:
-        return job in self._kept_by_id
+        return job in self._cached_by_id
 
-    def keep(self, job: Job, listing: Listing) -> None:
-        """Keep a job, and forget the oldest one that has ended."""
-        self._kept_by_id[job.id] = _KeptJob(job, listing)
-        if len(self._kept_by_id) <= MAX_KEPT:
+    def add(self, job: Job, listing: Listing) -> None:
+        """Add a job; if the cache is full, evict the oldest ended one."""
+        self._cached_by_id[job.id] = _CachedJob(job, listing)
+        if len(self._cached_by_id) <= MAX_JOBS:
             return
-        for job_id, kept in self._kept_by_id.items():
-            if kept.listing.is_stopped:
-                del self._kept_by_id[job_id]
+        for job_id, cached in self._cached_by_id.items():
+            if cached.listing.is_stopped:
+                del self._cached_by_id[job_id]
                 return
 
-    def drop(self, job: JobId) -> None:
-        """Answer no more readers of a job from here."""
-        self._kept_by_id.pop(job, None)
+    def remove(self, job: JobId) -> None:
+        """Remove a job from the cache."""
+        self._cached_by_id.pop(job, None)
 
     async def read_results(
         self, query: ResultsQuery, account: AccountName | None = None
     ) -> bytes | None:
-        """Return a job's results, none if the store has to be asked."""
-        kept = self._kept(query.job, account)
-        if kept is None:
+        """Return a page of results, or None if the store must be read."""
+        cached = self._find(query.job, account)
+        if cached is None:
             return None
-        found = kept.listing
+        found = cached.listing
         deadline = self._now() + query.wait
         while query.first >= len(found.results) < found.total:
-            left = deadline - self._now()
-            if left <= 0.0 or found.is_stopped:
+            remaining = deadline - self._now()
+            if remaining <= 0.0 or found.is_stopped:
                 break
-            await found.wait(left)
-        if self._kept_by_id.get(query.job) is not kept:
-            # More was listed than was known here.
+            await found.wait(remaining)
+        if self._cached_by_id.get(query.job) is not cached:
+            # The store had more results than this instance knew.
             return None
-        # Without the duty, another instance may have listed more, which a
-        # reader may have seen there.
-        if not await self._duty.confirm(READ_AGE):
+        # Without the duty, another instance can have listed, and shown to the
+        # reader, more results.
+        if not await self._duty.confirm(MAX_CONFIRMATION_AGE_SECONDS):
             return None
-        # A chunk whose write is under way may stand already, and a reader
-        # may have had it elsewhere.
-        if found.write_age() > READ_AGE:
+        # A chunk without a reply from the store can be stored already, and
+        # another instance can have shown the chunk to the reader.
+        if found.write_age() > MAX_CONFIRMATION_AGE_SECONDS:
             return None
         return result_page.page(found.total, found.results, query.first)
 
@@ -92,26 +92,26 @@
         item_id: ItemId,
         account: AccountName | None = None,
     ) -> bytes | None:
-        """Return an item's body, none if the store has to be asked."""
-        kept = self._kept(job_id, account)
-        if kept is None:
+        """Return an item's body, or None if the store must be read."""
+        cached = self._find(job_id, account)
+        if cached is None:
             return None
-        for item in kept.job.items:
+        for item in cached.job.items:
             if item.id == item_id:
                 return item.body
         return None
 
     def is_of(self, job: JobId, account: AccountName | None) -> bool:
-        """Tell whether a kept job belongs to an account."""
-        return self._kept(job, account) is not None
+        """Return whether a cached job is readable by an account."""
+        return self._find(job, account) is not None
 
-    def _kept(
+    def _find(
         self, job: JobId, account: AccountName | None
-    ) -> _KeptJob | None:
-        kept = self._kept_by_id.get(job)
-        if kept is None or kept.job.account not in (None, account):
+    ) -> _CachedJob | None:
+        cached = self._cached_by_id.get(job)
+        if cached is None or cached.job.account not in (None, account):
             return None
-        return kept
+        return cached
 
     def _now(self) -> Instant:
         return Instant(self._clock.seconds())
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/text_copier.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/text_copier.py
@@ -1,4 +1,4 @@
-"""Keep a copy of texts under way where they would go on."""
+"""Copy unfinished texts to the instance that would take over the duty."""
 
 from __future__ import annotations
 
@@ -22,16 +22,14 @@
 
 log = logs.for_part('standby')
 
-# Seconds between two copies. A machine that loses power takes the texts of
-# its runs along, up to 5 s of each; with a copy at most this much.
+# Interval of copies, and so the generation time that a power loss costs.
 COPY_SECONDS = 0.5
 
 
 class StandbyCopy:
-    """Send what is new of a runner's texts to the next candidate.
+    """Periodically send the changes of a runner's texts to the next candidate.
 
-    A copy is of use once, and is not needed for any promise: without it the
-    texts are generated anew.
+    Copies are best effort: without a copy, texts are generated again.
     """
 
     def __init__(
@@ -45,18 +43,18 @@
         self._open_texts = open_texts
         self._sender = sender
         self._peer = ''
-        # What the peer has, by its answers.
-        self._copied = text_copies.CopiedTexts()
+        # The text changes that the peer has acknowledged.
+        self._acknowledged = text_copies.CopiedTexts()
         self._copying: defer.Deferred[None] | None = None
         self._ticker = task.LoopingCall(self._tick)
         self._ticker.clock = clock
 
     def start(self) -> None:
-        """Begin to send copies."""
+        """Start the periodic copies."""
         self._ticker.start(COPY_SECONDS, now=False)
 
     def stop(self) -> None:
-        """Send nothing more."""
+        """Cancel the periodic copies."""
         if self._ticker.running:
             self._ticker.stop()
         if self._copying is not None:
@@ -66,8 +64,8 @@
         if self._copying is not None:
             return
         self._copying = defer.Deferred.fromCoroutine(self._copy())
-        self._copying.addErrback(self._failed)
-        self._copying.addBoth(self._ended)
+        self._copying.addErrback(self._log_failure)
+        self._copying.addBoth(self._finish_copy)
 
     async def _copy(self) -> None:
         peers = self._sender.receivers(self._service)
@@ -76,23 +74,23 @@
         peer = peers[0]
         if peer.instance != self._peer:
             self._peer = peer.instance
-            self._copied.clear()
-        new = self._copied.changes(self._open_texts())
-        if not new:
+            self._acknowledged.clear()
+        changes = self._acknowledged.changes(self._open_texts())
+        if not changes:
             return
         try:
-            sent = await self._sender.send(peer, self._service, new)
-        except texts.NotTaken as error:
-            # It may have some of them: all are sent as a whole again.
-            self._copied.clear()
-            log.info('Texts not copied.', peer=self._peer, cause=str(error))
+            sent = await self._sender.send(peer, self._service, changes)
+        except texts.SendFailed as error:
+            # The peer's state is unknown, so all texts are sent in full again.
+            self._acknowledged.clear()
+            log.info('Text copying failed.', peer=self._peer, cause=str(error))
             return
         for change in sent:
-            self._copied.record_change(change)
+            self._acknowledged.record_change(change)
 
-    def _failed(self, failure: Any) -> None:
+    def _log_failure(self, failure: Any) -> None:
         if not failure.check(defer.CancelledError):
-            log.error('Copy failed.', cause=failure.getTraceback())
+            log.error('Text copier failed.', cause=failure.getTraceback())
 
-    def _ended(self, _: object) -> None:
+    def _finish_copy(self, _: object) -> None:
         self._copying = None
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/text_fetch.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/text_fetch.py
@@ -1,4 +1,4 @@
-"""Fetch the copies of a lost holder's texts from those that keep them."""
+"""Fetch copies of a lost holder's unfinished texts from other instances."""
 
 from __future__ import annotations
 
@@ -27,28 +27,27 @@
 
 log = logs.for_part('texts')
 
-# Bytes of the first part of a copy, and seconds that a new holder waits for
-# it: it shows whether its keeper is there, and nothing runs meanwhile.
+# Size and deadline of the first part of a copy. Both are small, because no
+# item runs until a missing peer is detected.
 FIRST_BYTES = 100_000
 FETCH_SECONDS = 0.3
-# Bytes of each further part, and seconds for it. Ways between regions take a
-# tenth of a second for each question, and the link may carry other answers.
+# Size and deadline of each further part. Large parts save round trips between
+# regions; the deadline allows for other traffic on the link.
 PART_BYTES = 800_000
 PART_SECONDS = 1.5
-# Parts of one copy at most.
 MAX_PARTS = 20
 
 
 class FetchedTexts(NamedTuple):
-    """Hold texts that other instances kept."""
+    """Hold copies of texts from other instances."""
 
     texts: list[PartialText]
-    # The holder's standby gave all that it had.
+    # Whether all parts of the copy were received.
     is_whole: bool = False
 
 
 class TextFetcher:
-    """Ask those that a lost holder sent its texts to."""
+    """Fetch texts from the instances to which a lost holder sent copies."""
 
     def __init__(
         self, state: GatewayState, links: Connections, clock: Any
@@ -62,10 +61,10 @@
         standby: str,
         read: Callable[[], Coroutine[Any, Any, list[PartialText]]],
     ) -> list[PartialText]:
-        """Return each text by its newest copy, here or in the store.
+        """Return the longest copy of each text, from peers and the store.
 
-        The store's are read unless the standby gives its own, which are
-        newer: both are megabytes for one link.
+        The store is not read if the standby has a whole copy, which is newer;
+        this saves megabytes on the link.
         """
         if standby:
             fetched = await self.fetch(service, standby)
@@ -79,18 +78,17 @@
     async def fetch(
         self, service: ServiceName, standby: str = ''
     ) -> FetchedTexts:
-        """Return what is kept of a service's texts.
+        """Return the copies of a service's texts from other instances.
 
-        An instance that crashed and is back holds its duty again, and has
-        nothing of what it ran. Where the address of the last holder's
-        standby is known and it gives its copy, no other is waited for.
+        A whole copy of the last holder's standby, if its address is known,
+        is returned without waiting for the other instances.
         """
         if standby == self._state.settings.peer_address:
             standby = ''
         addresses = self._addresses(service)
         fetching = {
             address: defer.Deferred.fromCoroutine(
-                self._fetch(address, service)
+                self._fetch_from(address, service)
             )
             for address in dict.fromkeys((standby, *addresses))
             if address
@@ -98,17 +96,17 @@
         found: list[FetchedTexts] = []
         if standby:
             copy = await fetching.pop(standby)
-            # A standby that has started again has no texts.
+            # A restarted standby has no texts.
             if copy.is_whole and copy.texts:
                 for each in fetching.values():
                     each.addErrback(lambda f: f.trap(defer.CancelledError))
                     each.cancel()
-                return self._found(service, [copy], is_whole=True)
+                return self._merge_copies(service, [copy], is_whole=True)
             found.append(copy)
         found += await defer.gatherResults(list(fetching.values()))
-        return self._found(service, found, is_whole=False)
+        return self._merge_copies(service, found, is_whole=False)
 
-    def _found(
+    def _merge_copies(
         self,
         service: ServiceName,
         copies: list[FetchedTexts],
@@ -117,7 +115,7 @@
         found = text_copies.longest(*(copy.texts for copy in copies))
         if found:
             log.info(
-                'Texts fetched.',
+                'Texts fetched from peers.',
                 service=service,
                 count=len(found),
                 is_whole=is_whole,
@@ -125,15 +123,15 @@
         return FetchedTexts(found, is_whole)
 
     def _addresses(self, service: ServiceName) -> list[str]:
-        """Return where a holder sends its texts, or would.
+        """Return the addresses to which a holder sends its texts.
 
-        Among them may be the holder itself, which answers nothing.
+        The lost holder itself can be among them.
         """
-        me = self._state.settings.instance
+        own_name = self._state.settings.instance
         records_by_name = {
             record.instance: record
             for record in self._state.remembered_instances()
-            if record.instance != me
+            if record.instance != own_name
         }
         cores_by_name = {n: r.cores for n, r in records_by_name.items()}
         ordered = self._state.candidates(service, cores_by_name)
@@ -142,21 +140,23 @@
             for name in ordered[: texts.RECEIVERS]
         ]
 
-    async def _fetch(self, address: str, service: ServiceName) -> FetchedTexts:
+    async def _fetch_from(
+        self, address: str, service: ServiceName
+    ) -> FetchedTexts:
         texts_by_item: dict[ItemId, PartialText] = {}
         first: int | None = 0
         try:
             for _ in range(MAX_PARTS):
-                part = await self._part(address, service, first)
+                part = await self._fetch_part(address, service, first)
                 texts_by_item.update({each.item: each for each in part.texts})
                 first = part.following
                 if first is None:
                     break
         except peer_call.PeerFailed as error:
-            log.info('Texts not fetched.', peer=address, cause=str(error))
+            log.info('Fetching texts failed.', peer=address, cause=str(error))
         return FetchedTexts(list(texts_by_item.values()), first is None)
 
-    async def _part(
+    async def _fetch_part(
         self, address: str, service: ServiceName, first: int | None
     ) -> texts.KeptTexts:
         fields = {
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/texts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/texts.py
@@ -1,4 +1,4 @@
-"""Hand unfinished texts on to the instance that goes on with them."""
+"""Hand over unfinished texts to the instance that continues them."""
 
 from __future__ import annotations
 
@@ -35,54 +35,52 @@
 log = logs.for_part('texts')
 
 PATH = '/texts'
-# Bytes of text that are handed on: some 180 runs of one instance, half
-# done, are 0.9 MB. A link of 60 Mbit/s carries as much in 0.3 s.
+# Maximum text in one message; a slow link has to carry it before the deadline.
 MAX_BYTES = 2_000_000
-# Instances that get them: the one that is next in the order of candidates,
-# and the one after it in case that one leaves in the same moment.
+# Instances that receive copies: the next candidate, and the one after it in
+# case both this instance and the next candidate leave.
 RECEIVERS = 2
-# Seconds that one of them may take.
+# Deadline of one receiver.
 ANSWER_SECONDS = 0.8
-# Bytes of text in one part of a copy where its reader wants no other number.
+# Default size of one part of a fetched copy.
 PART_BYTES = 200_000
-# Seconds for which they are kept: a duty that was not given back changes
-# hands within its lease, and where the store is away some seconds later.
+# Retention time of copies; longer than a duty's lease plus a short outage of
+# the store.
 KEPT_SECONDS = 30.0
-# Seconds between two messages to one peer that tell of engines' speeds.
+# Interval of engine speeds sent to one peer.
 SPEEDS_SECONDS = 2.0
-# Texts kept of one service, as a board keeps them.
-MAX_KEPT = 500
+# Maximum texts per service, the same limit as in a job queue.
+MAX_TEXTS = 500
 
 
-class NotTaken(Exception):
-    """Report texts that a peer does not have."""
+class SendFailed(Exception):
+    """Signal texts that a peer did not acknowledge."""
 
 
 class HandedTexts(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold texts of one service that an instance hands on."""
+    """Hold texts of one service that an instance hands over."""
 
     service: ServiceName
-    # Who sends them, and how many messages it has sent. Two holders, of
-    # which one does not know yet that it was replaced, send other texts of
-    # the same items: the events of one must not follow those of the other.
+    # Sender and its sequence number. A replaced holder can still send texts of
+    # the same items; events of two senders must not be joined into one text.
     source: str
     number: int
-    # The most useful first.
+    # Ordered by usefulness, most useful first.
     texts: tuple[TextChange, ...]
-    # What is known of the service's engines, with some messages.
+    # Speeds of the service's engines; empty in most messages.
     speeds: tuple[SpeedRecord, ...] = ()
 
 
 class KeptTexts(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold a part of the texts that are kept of one service."""
+    """Hold one part of the stored texts of a service."""
 
     texts: tuple[PartialText, ...]
-    # Where the next part begins; none after the last one.
+    # Position of the next part; None after the last one.
     following: int | None = None
 
 
 class _KeptText(NamedTuple):
-    """Keep a text, and by which message it came."""
+    """Hold a text, the message it came from, and its expiry."""
 
     text: PartialText
     source: str
@@ -91,47 +89,49 @@
 
 
 class _KeptSpeeds(NamedTuple):
-    """Keep what a holder knew of its engines, and since when."""
+    """Hold the engine speeds from a holder, and when they arrived."""
 
     records: tuple[SpeedRecord, ...]
     at: Instant
 
 
 class TextDepot:
-    """Keep the texts that were handed to this instance."""
+    """Store the texts that other instances hand over to this one."""
 
     def __init__(self, clock: Any) -> None:
         self._clock = clock
-        # Called before a service's texts are shown to who asks for them.
+        # Called before a service's texts are returned to a peer.
         self.on_show: Callable[[ServiceName], None] = lambda service: None
         self._texts_by_service: dict[ServiceName, dict[ItemId, _KeptText]] = {}
         self._speeds_by_service: dict[ServiceName, _KeptSpeeds] = {}
 
     async def handle(self, request: SmallRequest) -> Page:
-        """Take texts that are handed on, or show those that are kept."""
+        """Receive texts from a peer, or return the stored ones."""
         if request.method == 'GET':
-            return self._show(request)
+            return self._send_part(request)
         return self._receive(request)
 
-    def _show(self, request: SmallRequest) -> Page:
+    def _send_part(self, request: SmallRequest) -> Page:
         query = urllib.parse.parse_qs(request.query)
         service = ServiceName(query.get('service', [''])[0])
         first = query.get('first', ['0'])[0]
-        most = query.get('bytes', [str(PART_BYTES)])[0]
-        if not first.isdecimal() or not most.isdecimal():
+        max_bytes = query.get('bytes', [str(PART_BYTES)])[0]
+        if not first.isdecimal() or not max_bytes.isdecimal():
             return Page(status=400)
         self.on_show(service)
-        part = self._part(service, int(first), int(most))
+        part = self._part(service, int(first), int(max_bytes))
         body = msgspec.msgpack.encode(part)
         return Page(status=200, content_type='application/msgpack', body=body)
 
-    def _part(self, service: ServiceName, first: int, most: int) -> KeptTexts:
+    def _part(
+        self, service: ServiceName, first: int, max_bytes: int
+    ) -> KeptTexts:
         kept = [
             each.text
             for each in self._texts_by_service.get(service, {}).values()
         ]
         chosen = []
-        left = most
+        left = max_bytes
         for text in kept[first:]:
             chosen.append(text)
             left -= sum(len(part) for part in text.parts)
@@ -147,33 +147,33 @@
         try:
             handed = msgspec.msgpack.decode(request.body, type=HandedTexts)
         except msgspec.MsgspecError as error:
-            log.warning('Texts not taken.', cause=str(error))
+            log.warning('Received texts are unreadable.', cause=str(error))
             return Page(status=400)
-        self._clock.callLater(KEPT_SECONDS, self._drop_old)
+        self._clock.callLater(KEPT_SECONDS, self._drop_expired)
         if handed.speeds:
             self._speeds_by_service[handed.service] = _KeptSpeeds(
                 handed.speeds, Instant(self._clock.seconds())
             )
-        are_taken = [self._keep(handed, each) for each in handed.texts]
+        are_taken = [self._store(handed, each) for each in handed.texts]
         kept = self._texts_by_service.get(handed.service, {})
-        while len(kept) > MAX_KEPT:
+        while len(kept) > MAX_TEXTS:
             del kept[next(iter(kept))]
         return Page(status=200 if all(are_taken) else 409)
 
-    def _keep(self, message: HandedTexts, handed: TextChange) -> bool:
-        """Tell whether a text is kept with all events before it."""
+    def _store(self, message: HandedTexts, handed: TextChange) -> bool:
+        """Store a text; return False if earlier events are missing."""
         kept = self._texts_by_service.setdefault(message.service, {})
         text = handed.text
         known = kept.get(text.item)
         is_same = known is not None and known.source == message.source
         if known is not None and is_same and known.number > message.number:
-            # Overtaken by a later message.
+            # A later message arrived first.
             return False
         before = known.text if known is not None and is_same else None
         whole = text_copies.apply_change(before, handed)
         if whole is None:
             return False
-        # Put last: the first ones are dropped where there are too many.
+        # Moves the text to the end: eviction starts at the front.
         kept.pop(text.item, None)
         kept[text.item] = _KeptText(
             whole,
@@ -184,7 +184,7 @@
         return True
 
     def take(self, service: ServiceName) -> list[PartialText]:
-        """Return a service's texts, which are then no longer kept."""
+        """Remove and return a service's texts."""
         now = self._clock.seconds()
         kept = self._texts_by_service.pop(service, {})
         found = [each.text for each in kept.values() if now < each.until]
@@ -193,7 +193,7 @@
         return found
 
     def take_speeds(self, service: ServiceName) -> list[SpeedRecord]:
-        """Return what a service's holder before knew of its engines."""
+        """Remove and return the engine speeds from the previous holder."""
         kept = self._speeds_by_service.pop(service, None)
         if kept is None:
             return []
@@ -204,27 +204,27 @@
         ]
 
     def kept(self, service: ServiceName) -> list[PartialText]:
-        """Return a service's texts, which go on being kept."""
+        """Return a service's texts without removing them."""
         now = self._clock.seconds()
         kept = self._texts_by_service.get(service, {})
         return [each.text for each in kept.values() if now < each.until]
 
     def put(self, service: ServiceName, texts: Iterable[PartialText]) -> None:
-        """Keep texts that were made here, in place of older copies."""
+        """Store texts generated here, replacing older copies."""
         until = Instant(self._clock.seconds() + KEPT_SECONDS)
         kept = self._texts_by_service.setdefault(service, {})
         for text in texts:
-            # Under a source of its own, so that no holder's events follow.
+            # The empty source prevents a holder's events from being appended.
             kept[text.item] = _KeptText(text, '', 0, until)
-        self._clock.callLater(KEPT_SECONDS, self._drop_old)
+        self._clock.callLater(KEPT_SECONDS, self._drop_expired)
 
     def drop(self, service: ServiceName, items: Iterable[ItemId]) -> None:
-        """Keep texts no longer whose results are listed."""
+        """Remove the texts of items whose results are listed."""
         kept = self._texts_by_service.get(service, {})
         for item in items:
             kept.pop(item, None)
 
-    def _drop_old(self) -> None:
+    def _drop_expired(self) -> None:
         now = self._clock.seconds()
         for kept in self._texts_by_service.values():
             for item, each in list(kept.items()):
@@ -233,7 +233,7 @@
 
 
 class TextSender:
-    """Send texts to those that may go on with them."""
+    """Send texts to the instances that can continue them."""
 
     def __init__(
         self, state: GatewayState, links: Connections, clock: Any
@@ -243,7 +243,7 @@
         self._source = uuid.uuid4().hex
         self._number = 0
         self._clock = clock
-        # What this instance knows of a service's engines.
+        # Returns the known speeds of a service's engines.
         self.speeds_of: Callable[[ServiceName], Iterable[SpeedRecord]]
         self.speeds_of = lambda service: ()
         self._speeds_at: dict[tuple[str, ServiceName], float] = {}
@@ -258,7 +258,7 @@
         await defer.gatherResults(
             [
                 defer.Deferred.fromCoroutine(
-                    self._hand_on(peer, service, handed)
+                    self._hand_over_to(peer, service, handed)
                 )
                 for peer in self.receivers(service)
             ]
@@ -286,9 +286,9 @@
         service: ServiceName,
         handed: Iterable[TextChange],
     ) -> tuple[TextChange, ...]:
-        """Send as many texts as may go at once, and return them.
+        """Send as many texts as fit one message, and return them.
 
-        Raises NotTaken.
+        Raises SendFailed.
         """
         chosen = text_copies.limit_size(handed, MAX_BYTES)
         self._number += 1
@@ -308,21 +308,21 @@
                 msgspec.msgpack.encode(message),
             )
         except peer_call.PeerFailed as error:
-            raise NotTaken(str(error)) from error
+            raise SendFailed(str(error)) from error
         return chosen
 
     def _speeds(
         self, peer: str, service: ServiceName
     ) -> tuple[SpeedRecord, ...]:
-        """Return what a peer is told of the engines now, from time to time."""
+        """Return the engine speeds if they are due for a peer, or nothing."""
         now = self._clock.seconds()
-        told_at = self._speeds_at.get((peer, service), -math.inf)
-        if now < told_at + SPEEDS_SECONDS:
+        sent_at = self._speeds_at.get((peer, service), -math.inf)
+        if now < sent_at + SPEEDS_SECONDS:
             return ()
         self._speeds_at[peer, service] = now
         return tuple(self.speeds_of(service))
 
-    async def _hand_on(
+    async def _hand_over_to(
         self,
         peer: InstanceRecord,
         service: ServiceName,
@@ -331,11 +331,11 @@
         count, cause = 0, ''
         try:
             count = len(await self.send(peer, service, handed))
-        except NotTaken as error:
-            # The texts are generated anew, at the cost of engines' time.
+        except SendFailed as error:
+            # The next holder then generates the texts from the start.
             cause = str(error)
         log.info(
-            'Texts handed on.',
+            'Text handover ended.',
             service=service,
             peer=peer.instance,
             count=count,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/trainers.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/trainers.py
@@ -1,4 +1,4 @@
-"""Answer trainers' calls, by the instance that runs the job if it can be."""
+"""Answer trainers' calls, preferably on the instance that runs the job."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class TrainerDesk:
-    """Choose who answers a call: a runner here, its holder, the store."""
+    """Answer a call from the job's holder, a local runner or the store."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
     ) -> TargetAnswer:
         """Answer one call.
 
-        Raises YuccarillError for what is refused or failed.
+        Raises YuccarillError if the call is refused or fails.
         """
         if not relay_module.is_relayed(request):
             answer = await self._ask_holder(call, request)
@@ -50,16 +50,16 @@
                 return answer
         match call:
             case ports.ResultsQuery():
-                return await self._results(call, request.account)
+                return await self._read_results(call, request.account)
             case ports.ItemQuery():
-                return await self._item(call, request.account)
+                return await self._read_item(call, request.account)
             case ports.JobEnd():
-                return await self._end(call, request)
+                return await self._end_job(call, request)
 
     async def _ask_holder(
         self, call: TrainerCall, request: ClientRequest
     ) -> TargetAnswer | None:
-        """Return the answer of the instance that runs the job, if any."""
+        """Return the answer of the instance that runs the job, or None."""
         holder = self._relay.holder(request.host, call.job)
         if holder is None:
             return None
@@ -71,33 +71,33 @@
             return None
         return answer
 
-    async def _results(
+    async def _read_results(
         self, query: ports.ResultsQuery, account: AccountName | None
     ) -> TargetAnswer:
-        # A duty may change hands while a reader waits.
+        # Iterates over a copy: runners can change while a reader waits.
         for runner in list(self._runners()):
-            body = await runner.shelf.read_results(query, account)
+            body = await runner.job_cache.read_results(query, account)
             if body is not None:
                 return _answer(_JSON, body)
         return _answer(_JSON, await self._intake.read_results(query, account))
 
-    async def _item(
+    async def _read_item(
         self, query: ports.ItemQuery, account: AccountName | None
     ) -> TargetAnswer:
         for runner in list(self._runners()):
-            body = runner.shelf.read_item(query.job, query.item, account)
+            body = runner.job_cache.read_item(query.job, query.item, account)
             if body is not None:
                 return _answer((), body)
         return _answer(
             (), await self._intake.read_item(query.job, query.item, account)
         )
 
-    async def _end(
+    async def _end_job(
         self, call: ports.JobEnd, request: ClientRequest
     ) -> TargetAnswer:
         service = None
         for runner in list(self._runners()):
-            if runner.shelf.is_of(call.job, request.account):
+            if runner.job_cache.is_of(call.job, request.account):
                 service = runner.service
         try:
             await self._intake.end_job(call.job, service, request.account)
--- a/packages/yuccarill-daemon/tests/gateway/test_crash_items.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_crash_items.py
@@ -15,7 +15,7 @@
 from nose2.tools import params
 
 from yuccarill.core.jobs.job import ResultState
-from yuccarill.core.jobs import job_queue as board_module
+from yuccarill.core.jobs import job_queue
 from yuccarill.daemon.gateway.jobs import runner as runner_module
 
 from . import runner_world
@@ -101,13 +101,13 @@
     def count_held(
         self, found: runner_module.Runner, guilty: set[str]
     ) -> None:
-        for state in found._board.jobs_by_id.values():
+        for state in found._queue.jobs_by_id.values():
             for run in state.waiting():
                 if run.item.id not in guilty and self.has_place(found, run):
                     self.steps_held[run.item.id] += 1
 
     def has_place(
-        self, found: runner_module.Runner, run: board_module.ItemRun
+        self, found: runner_module.Runner, run: job_queue.ItemRun
     ) -> bool:
         now = self.clock.seconds()
         return any(
@@ -119,7 +119,7 @@
     def check(self, found: runner_module.Runner, guilty: set[str]) -> None:
         holds = found._runs._holds
         ledger = holds._guard.ledger
-        held = {run.item.id for run in holds.runs}
+        held = {run.item.id for run in holds.quarantined_runs}
         self.assertEqual(guilty, held)
         self.assertEqual(len(guilty), len(ledger.quarantined()))
         ends = sum(e.ends for e in self.engines.engines_by_id.values())
--- a/packages/yuccarill-daemon/tests/gateway/test_paced_work.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_paced_work.py
@@ -23,7 +23,7 @@
 
     def test_quick_work_is_done_at_once(self) -> None:
         for _ in range(5):
-            self.paced.ask()
+            self.paced.request()
         self.assertEqual(5, len(self.done))
 
     def test_slow_work_has_a_part_of_the_time(self) -> None:
@@ -34,24 +34,24 @@
         """
         self.seconds = 0.04
         while self.clock.seconds() < 10.0:
-            self.paced.ask()
+            self.paced.request()
             self.clock.advance(0.01)
         spent = len(self.done) * self.seconds
-        self.assertLessEqual(spent, 1.1 * paced_work.TIME_PART * 10.0)
+        self.assertLessEqual(spent, 1.1 * paced_work.TIME_FRACTION * 10.0)
         self.assertGreater(len(self.done), 20)
 
     def test_what_is_asked_for_last_is_done(self) -> None:
         self.seconds = 0.04
-        self.paced.ask()
-        self.paced.ask()
+        self.paced.request()
+        self.paced.request()
         self.assertEqual(1, len(self.done))
         self.clock.advance(1.0)
         self.assertEqual(2, len(self.done))
 
     def test_nothing_is_done_after_the_stop(self) -> None:
         self.seconds = 0.04
-        self.paced.ask()
-        self.paced.ask()
+        self.paced.request()
+        self.paced.request()
         self.paced.stop()
         self.clock.advance(1.0)
         self.assertEqual(1, len(self.done))
--- a/packages/yuccarill-daemon/tests/gateway/test_runner.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_runner.py
@@ -482,7 +482,7 @@
         runner = self.hold('a')
         job = self.submit()
         self.run_for(2.0)
-        body = runner.shelf.read_item(job.id, job.items[0].id)
+        body = runner.job_cache.read_item(job.id, job.items[0].id)
         self.assertEqual(b'prompt', body)
         self.assertTrue(runner.knows(job.id))
 
@@ -504,7 +504,7 @@
         self.assertEqual(4, len(self.results()))
         query = ports.ResultsQuery(job=job.id, first=0, wait=0.0)
         reading = defer.Deferred.fromCoroutine(
-            runner.shelf.read_results(query)
+            runner.job_cache.read_results(query)
         )
         self.assertIsNone(reading.result)
 
@@ -517,11 +517,11 @@
         self.run_for(2.0)
         query = ports.ResultsQuery(job=job.id, first=0, wait=0.0)
         reading = defer.Deferred.fromCoroutine(
-            runner.shelf.read_results(query)
+            runner.job_cache.read_results(query)
         )
         self.assertIsNotNone(reading.result)
         runner._duty.revision = None
         reading = defer.Deferred.fromCoroutine(
-            runner.shelf.read_results(query)
+            runner.job_cache.read_results(query)
         )
         self.assertIsNone(reading.result)
--- a/packages/yuccarill-daemon/tests/gateway/test_texts.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_texts.py
@@ -177,10 +177,10 @@
         self.assertEqual([], self.depot.take(world.SERVICE))
 
     def test_no_more_than_a_number_is_kept(self) -> None:
-        names = [f'i{n}' for n in range(texts.MAX_KEPT + 20)]
+        names = [f'i{n}' for n in range(texts.MAX_TEXTS + 20)]
         self.receive(*(text(name, 1) for name in names))
         found = self.depot.take(world.SERVICE)
-        self.assertEqual(texts.MAX_KEPT, len(found))
+        self.assertEqual(texts.MAX_TEXTS, len(found))
 
     def test_speeds_age_until_they_are_taken(self) -> None:
         body = msgspec.msgpack.encode(
--- a/packages/yuccarill-daemon/tests/gateway/test_trainers.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_trainers.py
@@ -38,7 +38,7 @@
 
     def __init__(self, body: bytes | None) -> None:
         self.body = body
-        self.shelf = self
+        self.job_cache = self
         self.waiting: defer.Deferred = defer.Deferred()
 
     async def read_results(
