--- a/packages/yuccarill-daemon/tests/gateway/crash_world.py
+++ b/packages/yuccarill-daemon/tests/gateway/crash_world.py
@@ -1,4 +1,4 @@
-"""Put instances before targets that end, at a clock set by hand."""
+"""Simulate clients, instances and crashing targets on a manual clock."""
 
 from __future__ import annotations
 
@@ -39,31 +39,31 @@
     from yuccarill.core.gateway.crash_ledger import CrashReport
 
 SERVICE = ServiceName('plain')
-# What a request begins with that ends the target which runs it.
+# Prefix of the bodies of crashing requests.
 CRASH = b'crash'
-# Seconds: one way between instances, of an ordinary run, until a target ends
-# under a request, until it is back under another id, until that is listed and
-# until the entry of the one before lapses. As on the users' platform.
+# Seconds of: one-way latency between instances; an ordinary run; the time to a
+# crash; the restart under a new id; the listing of the new process; the expiry
+# of the old entry.
 HOP = 0.002
 WORK = 0.04
 CRASH_AFTER = (0.05, 0.35)
 RESTART = 3.0
 LISTING = 0.5
 LAPSE = 3.6
-# Of a route: seconds, attempts, seconds until a second one beside the first.
+# Of a route: timeout in seconds, attempts, hedge delay in seconds.
 TIMEOUT = 2.0
 ATTEMPTS = 2
 HEDGE = 0.08
 STEP = 0.005
-# Seconds from an end until all know of the process that follows.
+# Seconds from a crash until all instances know the next process.
 LISTED_AGAIN = RESTART + LISTING + 0.5
-# Seconds from an instance's start until it is ready and callers know of it.
+# Seconds from the start of an instance until clients use it.
 READY = 0.5
 
 
 @dataclasses.dataclass
 class Target:
-    """Hold one process."""
+    """Hold one process of a target."""
 
     listed: ListedTarget
     is_alive: bool = True
@@ -80,27 +80,27 @@
     sender: sender.Sender
     reports: reports.EndReports
     ends: target_ends.TargetEnds
-    # When callers learn of it.
+    # When clients start to use the instance.
     listed_at: float
 
 
 @dataclasses.dataclass
 class Outcome:
-    """Count what became of the requests of one body."""
+    """Count the served and failed requests of one body."""
 
     served: int = 0
     failed: int = 0
 
 
 class NaiveGuard(guard.ContentGuard):
-    """Know requests by their ids alone, and hold none back."""
+    """Ignore crashes, and so quarantine nothing."""
 
     def target_ended(self, report: CrashReport) -> None:
         pass
 
 
 class CrashWorld:
-    """Run callers, instances and targets."""
+    """Simulate clients, instances and targets."""
 
     def __init__(
         self,
@@ -118,16 +118,16 @@
         self._seed = seed
         self.targets_by_id: dict[TargetId, Target] = {}
         self.instances_by_name: dict[str, Instance] = {}
-        # When each run of a body that ends targets began.
+        # Start times of the runs of each crashing body.
         self.crashing_runs: dict[bytes, list[float]] = collections.defaultdict(
             list
         )
         self.ends: list[tuple[float, TargetId]] = []
-        # By body and second of sending.
+        # Keyed by body and second of sending.
         self.outcomes: dict[tuple[bytes, int], Outcome] = (
             collections.defaultdict(Outcome)
         )
-        # What went wrong in the parts under test.
+        # Unexpected failures of client calls.
         self.errors: list[object] = []
         self._starts = 0
         self._count = 0
@@ -137,30 +137,30 @@
             self.add_instance(f'n{number}')
 
     def add_instance(self, name: str) -> Instance:
-        """Start an instance that knows nothing of before."""
+        """Start an instance without any crash history."""
         state = state_module.GatewayState(
             world.settings(name), random.Random(f'{self._seed} {name}')
         )
         for target in self.targets_by_id.values():
             state.targets.put(target.listed)
         plain = SimulatedCalls(self)
-        guarding = self._guard_class(state, self.clock)
-        ends = target_ends.TargetEnds(plain, guarding, self.clock)
-        watched = watched_calls.WatchedCalls(plain, ends, guarding)
+        content_guard = self._guard_class(state, self.clock)
+        ends = target_ends.TargetEnds(plain, content_guard, self.clock)
+        watched = watched_calls.WatchedCalls(plain, ends, content_guard)
         found = Instance(
             name=name,
             state=state,
-            guard=guarding,
+            guard=content_guard,
             sender=sender.Sender(
-                pools.Pools(state), watched, guarding, self.clock
+                pools.Pools(state), watched, content_guard, self.clock
             ),
             ends=ends,
             reports=reports.EndReports(
-                state, guarding, SimulatedPeers(self), self.clock
+                state, content_guard, SimulatedPeers(self), self.clock
             ),
             listed_at=self.clock.seconds() + READY,
         )
-        guarding.on_quarantined = found.reports.tell_quarantined
+        content_guard.on_quarantined = found.reports.tell_quarantined
         self.instances_by_name[name] = found
         for each in self.instances_by_name.values():
             world.list_instance(each.state, name)
@@ -169,7 +169,7 @@
         return found
 
     def run(self, until: float, *loads: Callable[[], None]) -> None:
-        """Let time pass; each load is called at each step."""
+        """Advance the clock, calling each load at each step."""
         while self.clock.seconds() < until:
             for load in loads if self.clock.seconds() >= READY else ():
                 load()
@@ -178,7 +178,7 @@
             raise AssertionError(self.errors[0])
 
     def often(self, rate: float, bodies: list[bytes]) -> Callable[[], None]:
-        """Return a load that sends one of some bodies at a rate."""
+        """Return a load that sends random bodies at a rate per second."""
 
         def load() -> None:
             if self.random.random() < rate * STEP:
@@ -191,7 +191,7 @@
     def every(
         self, seconds: float, action: Callable[[], None]
     ) -> Callable[[], None]:
-        """Return a load that does something once in some seconds."""
+        """Return a load that calls an action at an interval."""
         due = [seconds]
 
         def load() -> None:
@@ -202,7 +202,7 @@
         return load
 
     async def call(self, body: bytes, retries: int = 1) -> None:
-        """Be a caller that tries once more, at another instance."""
+        """Send a request as a client, with retries at any instance."""
         outcome = self.outcomes[body, int(self.clock.seconds())]
         for _ in range(retries + 1):
             now = self.clock.seconds()
@@ -224,7 +224,7 @@
         outcome.failed += 1
 
     def share_served(self, bodies: list[bytes], since: float) -> float:
-        """Return which part of the requests of some bodies was served."""
+        """Return the fraction of served requests of some bodies."""
         found = [
             outcome
             for (body, second), outcome in self.outcomes.items()
@@ -234,7 +234,7 @@
         return served / (served + sum(each.failed for each in found))
 
     def quarantined(self) -> set[bytes]:
-        """Return the bodies that any instance refuses."""
+        """Return the bodies that any instance has quarantined."""
         bodies = {body for body, _ in self.outcomes}
         return {
             body
@@ -244,7 +244,7 @@
         }
 
     def runs_too_late(self, body: bytes, seconds: float = 3.0) -> int:
-        """Count runs that began later than so after the third end."""
+        """Count the runs that started too late after the third crash."""
         runs = self.crashing_runs[body]
         if len(runs) < 3:
             return 0
@@ -254,7 +254,7 @@
         return self._target_call(body).content
 
     def end(self, target: Target) -> None:
-        """End a process, which another one replaces after a time."""
+        """Crash a process, and schedule its replacement."""
         if not target.is_alive:
             return
         target.is_alive = False
@@ -266,7 +266,7 @@
         self.clock.callLater(LAPSE, self._remove, target.listed.id)
 
     def cut(self, target: Target) -> None:
-        """Lose the connections of all that runs at a target."""
+        """Break the connections of all runs at a target."""
         for run in list(target.runs):
             if not run.called:
                 run.errback(
@@ -320,11 +320,11 @@
 
 
 class SimulatedCalls:
-    """Call the targets of a world."""
+    """Simulate calls to the targets of a crash world."""
 
-    def __init__(self, among: CrashWorld) -> None:
-        self._world = among
-        self._clock = among.clock
+    def __init__(self, crash_world: CrashWorld) -> None:
+        self._world = crash_world
+        self._clock = crash_world.clock
 
     def is_connected(self, target: ListedTarget) -> bool:
         return False
@@ -349,7 +349,7 @@
         found = self._world.targets_by_id.get(target.id)
         is_gone = found is None or not found.is_alive
         if is_gone and self._world.has_supervisors:
-            # The connection opens, and nobody answers.
+            # The connection opens, but no process answers.
             left = max(0.0, answer_by - self._clock.seconds())
             await task.deferLater(self._clock, left)
             raise calls.CallFailed(calls.CallEnd.BROKEN, 'silent')
@@ -380,10 +380,10 @@
 
 
 class SimulatedPeers:
-    """Carry messages between the instances of a world."""
+    """Simulate messages between the instances of a crash world."""
 
-    def __init__(self, among: CrashWorld) -> None:
-        self._world = among
+    def __init__(self, crash_world: CrashWorld) -> None:
+        self._world = crash_world
 
     async def call(
         self,
--- a/packages/yuccarill-daemon/tests/gateway/runner_world.py
+++ b/packages/yuccarill-daemon/tests/gateway/runner_world.py
@@ -1,4 +1,4 @@
-"""Run batch jobs on engines in memory, over two or more instances."""
+"""Simulate engines, a store and instances that run batch jobs."""
 
 from __future__ import annotations
 
@@ -50,46 +50,45 @@
 
 GAP = 0.04
 EVENTS = 10
-# Seconds until an engine ends under an item that crashes it, and until its
-# next process listens.
+# Time from the start of a crashing item to the crash, and until the restart.
 CRASH_SECONDS = 0.08
 AWAY_SECONDS = 3.0
 
 
 @dataclasses.dataclass
 class Engine:
-    """Hold one engine and the faults it has."""
+    """Hold the state of a simulated engine, and the faults to inject."""
 
     target: ListedTarget
     gap: float = GAP
     is_dark: bool = False
-    # Events after which each run breaks off; 0 for never.
+    # Number of events after which each run breaks off; 0 for never.
     breaks_after: int = 0
     status: int = 200
     version: int = 1
-    # When its process started, as it tells itself; none if it does not.
+    # Start time in the engine's reports; None if it reports none.
     born: int | None = None
-    # Orders that were accepted, and those that came.
+    # Counts of accepted and of received orders.
     orders: int = 0
     orders_received: int = 0
     order_epochs: list[int] = dataclasses.field(default_factory=list)
-    # Processes that ended under an item, and until when none listens.
+    # Number of crashes, and when the engine listens again.
     ends: int = 0
     away_until: float = 0.0
 
 
 @dataclasses.dataclass
 class Engines:
-    """Generate texts and take orders, at a clock set by hand."""
+    """Simulate engines that generate texts and receive version orders."""
 
     clock: task.Clock
     engines_by_id: dict[TargetId, Engine]
-    # Every run that began: the item and the event it began after.
+    # Started runs: the item and the event after which the run started.
     runs: list[tuple[str, int]] = dataclasses.field(default_factory=list)
     named_version: int = 99
-    # Items that end the engine which begins to run them.
+    # Items that crash their engine.
     crashing: set[str] = dataclasses.field(default_factory=set)
-    # Items that do so after an answer that can't be taken.
+    # Items that crash their engine after an invalid answer.
     refused: set[str] = dataclasses.field(default_factory=set)
 
     async def generate(
@@ -111,7 +110,7 @@
         if call.id in self.crashing:
             await self._sleep(CRASH_SECONDS)
             self._end(found)
-            raise _lost()
+            raise _connection_lost()
         if call.id in self.refused:
             self.clock.callLater(CRASH_SECONDS, self._end, found)
             raise calls.CallFailed(calls.CallEnd.BROKEN, 'not signed')
@@ -141,12 +140,12 @@
     ) -> None:
         version = engine.version
         ends = engine.ends
-        made = 0
+        sent = 0
         for number in range(first + 1, EVENTS + 1):
             await self._sleep(engine.gap)
             if engine.ends != ends:
-                raise _lost()
-            if engine.breaks_after and made >= engine.breaks_after:
+                raise _connection_lost()
+            if engine.breaks_after and sent >= engine.breaks_after:
                 raise http_exchange.SinkRefused('broke off')
             changed = engine.version != version
             version = engine.version
@@ -157,7 +156,7 @@
                     version=WeightVersion(version) if changed else None,
                 )
             )
-            made += 1
+            sent += 1
 
     async def has_ended(self, engine: ListedTarget) -> bool:
         away_until = self.engines_by_id[engine.id].away_until
@@ -198,19 +197,19 @@
         await task.deferLater(self.clock, seconds)
 
 
-def _lost() -> calls.CallFailed:
+def _connection_lost() -> calls.CallFailed:
     return calls.CallFailed(calls.CallEnd.BROKEN, 'lost', is_lost=True)
 
 
 class Scorer:
-    """Score each text at once."""
+    """Return scores immediately."""
 
     async def score(self, run: Any) -> str:
         return f'score of {run.item.id}'
 
 
 class HeldDuty(test_listing.HeldDuty):
-    """Stand in for a duty that is held and may order."""
+    """Simulate a held duty that permits version orders."""
 
     tenure: Any = None
 
@@ -228,15 +227,15 @@
 
 
 class RunnerTest(world.WorldTest):
-    """Hold the engines, the store and the instances that run jobs."""
+    """Set up engines, a store and instances that run jobs."""
 
     placement = Placement.LOAD
-    # Whose duty an instance gets.
+    # Service or partition whose duty an instance gets.
     part = world.SERVICE
 
     def setUp(self) -> None:
         super().setUp()
-        # Submission times are on the wall clock.
+        # Submission times use the wall clock.
         patch = mock.patch.object(time, 'time', self.clock.seconds)
         patch.start()
         self.addCleanup(patch.stop)
@@ -258,7 +257,7 @@
     def hold(
         self, name: str, handed: Iterable[PartialText] = ()
     ) -> runner_module.Runner:
-        """Give the duty to an instance, which begins to run jobs."""
+        """Start a runner in an instance that holds the duty."""
         self.holds += 1
         self.keys.put(keys.duty(self.part), b'%d' % self.holds)
         duty = self.duty()
@@ -269,11 +268,11 @@
         for engine in self.engines.engines_by_id.values():
             state.targets.put(engine.target)
         self.known = state
-        guarding = guard.ContentGuard(state, self.clock)
+        content_guard = guard.ContentGuard(state, self.clock)
         watched = watched_calls.WatchedCalls(
             self.engines,
-            target_ends.TargetEnds(self.engines, guarding, self.clock),
-            guarding,
+            target_ends.TargetEnds(self.engines, content_guard, self.clock),
+            content_guard,
         )
         memory = self.store()
         found = runner_module.Runner(
@@ -282,7 +281,7 @@
             memory,
             job_store.JobStore(memory, self.clock),
             generation.Generator(watched, self.clock),
-            guarding,
+            content_guard,
             Scorer(),
             self.engines,
             self.clock,
@@ -300,7 +299,7 @@
         min_version: int = 1,
         others: Collection[str] = (),
     ) -> Job:
-        """Submit a job; some items ask something else than the rest."""
+        """Submit a job; the items in `others` have a different body."""
         now = self.clock.seconds()
         job = Job(
             id=JobId(name),
@@ -339,11 +338,11 @@
             self.assertEqual(len(listed), position)
             listed += chunk.results
         ids = [result.id for result in listed]
-        self.assertEqual(len(set(ids)), len(ids), 'an item stands twice')
+        self.assertEqual(len(set(ids)), len(ids), 'an item is listed twice')
         return listed
 
     def runs_of(self, item: str) -> list[int]:
-        """Return the events after which an item's runs began."""
+        """Return the events after which the runs of an item started."""
         return [first for name, first in self.engines.runs if name == item]
 
     def busiest(self) -> collections.Counter[str]:
--- a/packages/yuccarill-daemon/tests/gateway/test_crash_items.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_crash_items.py
@@ -1,11 +1,9 @@
-"""Test loads of items that end engines, beside those that do not.
-
-The pattern: a trainer's job holds items that each end the engine which begins
-to run them, and its other jobs ask the same as the sound items beside them.
-Engines have four places, end 80 ms after such a run began, and are back 3 s
-later. A trainer's step has 7.5 s: an item that waits for more than 3 s beside
-a free place is late. Each end costs all runs of an engine, so the guilty item
-is to be held after six at most.
+"""Test jobs with items that crash engines beside items that do not.
+
+Engines have four slots, crash 80 ms after the start of a crashing item, and
+restart 3 s later. A job has 7.5 s, so a sound item must not wait for more than
+3 s beside a free slot. A crash ends all runs of an engine, so a crashing item
+has to be held back after at most six crashes.
 """
 
 from __future__ import annotations
@@ -21,15 +19,15 @@
 from . import runner_world
 from . import world
 
-MAX_ENDS = 6
+MAX_CRASHES = 6
 MAX_DELAY = 3.0
 STEP = 0.02
 SECONDS = 36.0
-# Seconds between two jobs.
+# Seconds between the submissions of two jobs.
 PAUSE = 4.0
 FIRST = 'a-0-0'
 SECOND = 'a-1-1'
-# Engines, groups of two items a job, jobs of sound items, guilty ones.
+# Engines, groups of two items per job, jobs of sound items, crashing items.
 LOADS = (
     (1, 2, 2, {FIRST}),
     (2, 4, 2, {FIRST}),
@@ -43,47 +41,49 @@
 
 
 class CrashingItemsTest(runner_world.RunnerTest):
-    """Items of one job end their engines; others ask what those do not."""
+    """Items of one job crash their engines; the other jobs are sound."""
 
     def setUp(self) -> None:
         super().setUp()
-        # Steps that sound items spent beside a free place.
-        self.steps_held: collections.Counter[str] = collections.Counter()
+        # Clock steps for which each sound item waited beside a free slot.
+        self.waiting_steps_by_item: collections.Counter[str] = (
+            collections.Counter()
+        )
 
     @params(*LOADS)
-    def test_the_guilty_are_held_and_no_others(
-        self, engines: int, groups: int, jobs: int, guilty: set[str]
+    def test_only_crashing_items_are_held_back(
+        self, engines: int, groups: int, jobs: int, crashing_items: set[str]
     ) -> None:
-        """A sound item was held for an hour in all jobs.
-
-        1. Items run beside one that ends each engine, again and again.
-        2. Each looks like the cause until it runs without the others.
-        """
-        self.engines.crashing = guilty
-        self.check(self.play(engines, groups, jobs, guilty), guilty)
+        """Guard against holding back items that ran beside a crashing one."""
+        self.engines.crashing = crashing_items
+        self.assert_held_back(
+            self.run_jobs(engines, groups, jobs, crashing_items),
+            crashing_items,
+        )
 
     @params(*LOADS)
-    def test_runs_that_were_given_up_count(
-        self, engines: int, groups: int, jobs: int, guilty: set[str]
+    def test_abandoned_runs_count_as_crashes(
+        self, engines: int, groups: int, jobs: int, crashing_items: set[str]
     ) -> None:
-        """An item ended 27 engines and was not at any of these ends.
+        """Guard against blaming other items for an abandoned run.
 
-        1. An engine's answer can't be taken, and the run is given up.
-        2. The engine goes on with it, and ends 80 ms later.
-        3. Meanwhile the item went to all others; its neighbours were blamed.
+        The engine's answer is invalid, and the engine crashes 80 ms later.
         """
-        self.engines.refused = guilty
-        self.check(self.play(engines, groups, jobs, guilty), guilty)
+        self.engines.refused = crashing_items
+        self.assert_held_back(
+            self.run_jobs(engines, groups, jobs, crashing_items),
+            crashing_items,
+        )
 
-    def play(
-        self, engines: int, groups: int, jobs: int, guilty: set[str]
+    def run_jobs(
+        self, engines: int, groups: int, jobs: int, crashing_items: set[str]
     ) -> runner_module.Runner:
         self.engines.engines_by_id.clear()
         for number in range(engines):
             target = world.engine(f'e{number + 1}')
             self.engines.engines_by_id[target.id] = runner_world.Engine(target)
         found = self.hold('n')
-        self.submit('a', groups, others=guilty)
+        self.submit('a', groups, others=crashing_items)
         names = [f'b{number}' for number in range(jobs)]
         began_at = self.clock.seconds()
         waiting = list(names)
@@ -92,21 +92,23 @@
             if waiting and self.clock.seconds() >= began_at + PAUSE * sent:
                 self.submit(waiting.pop(0), groups)
             self.run_for(STEP)
-            self.count_held(found, guilty)
+            self.count_waiting(found, crashing_items)
         for name in names:
             states = [each.state for each in self.results(name)]
             self.assertEqual([ResultState.COMPLETED] * 2 * groups, states)
         return found
 
-    def count_held(
-        self, found: runner_module.Runner, guilty: set[str]
+    def count_waiting(
+        self, found: runner_module.Runner, crashing_items: set[str]
     ) -> None:
         for state in found._queue.jobs_by_id.values():
             for run in state.waiting():
-                if run.item.id not in guilty and self.has_place(found, run):
-                    self.steps_held[run.item.id] += 1
+                if run.item.id not in crashing_items and self.has_free_slot(
+                    found, run
+                ):
+                    self.waiting_steps_by_item[run.item.id] += 1
 
-    def has_place(
+    def has_free_slot(
         self, found: runner_module.Runner, run: job_queue.ItemRun
     ) -> bool:
         now = self.clock.seconds()
@@ -116,13 +118,15 @@
             for name, engine in found._fleet.engines_by_id.items()
         )
 
-    def check(self, found: runner_module.Runner, guilty: set[str]) -> None:
+    def assert_held_back(
+        self, found: runner_module.Runner, crashing_items: set[str]
+    ) -> None:
         holds = found._runs._holds
         ledger = holds._guard.ledger
         held = {run.item.id for run in holds.quarantined_runs}
-        self.assertEqual(guilty, held)
-        self.assertEqual(len(guilty), len(ledger.quarantined()))
+        self.assertEqual(crashing_items, held)
+        self.assertEqual(len(crashing_items), len(ledger.quarantined()))
         ends = sum(e.ends for e in self.engines.engines_by_id.values())
-        self.assertLessEqual(ends, MAX_ENDS * len(guilty))
-        longest = max(self.steps_held.values(), default=0) * STEP
+        self.assertLessEqual(ends, MAX_CRASHES * len(crashing_items))
+        longest = max(self.waiting_steps_by_item.values(), default=0) * STEP
         self.assertLessEqual(longest, MAX_DELAY)
--- a/packages/yuccarill-daemon/tests/gateway/test_crash_loads.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_crash_loads.py
@@ -1,10 +1,9 @@
-"""Test loads of requests that end targets, beside those that do not.
+"""Test loads with requests that crash targets beside ordinary requests.
 
-The pattern: a caller repeats a request that ends each target which begins to
-run it, under a new id each time and at any instance, while others send theirs.
-The figures are those of the users' platform: a target ends 50 to 350 ms after
-it began, is back 3 s later and listed 0.5 s after that; a request may be sent
-to two targets, a caller comes again once; ordinary work takes 40 ms.
+A client repeats a crashing request with a new id each time, at any instance.
+A target crashes 50 to 350 ms after the start, restarts 3 s later and is listed
+0.5 s after that. A request has two attempts, a client retries once, and an
+ordinary request takes 40 ms.
 """
 
 from __future__ import annotations
@@ -18,17 +17,17 @@
 SECOND = b'crash 2'
 POPULAR = [b'popular']
 RARE = [b'rare %d' % number for number in range(400)]
-# Runs of one content that may begin once all know of its third end.
+# Maximum runs of a crashing content after all instances know its third crash.
 MAX_RUNS = 3
 SECONDS = 30.0
-# Seconds until the quarantine stands and targets are back.
-SETTLED = 15.0
+# Seconds until the quarantine is effective and targets have restarted.
+SETTLED_SECONDS = 15.0
 
 
 class CulpritTest(world.WorldTest):
-    """A caller's request ends whatever target runs it."""
+    """A client's request crashes each target that runs it."""
 
-    # Instances, targets, ordinary requests a second, what they are.
+    # Instances, targets, ordinary requests per second, their bodies.
     @params(
         (3, 3, 20.0, RARE),
         (3, 3, 20.0, POPULAR),
@@ -52,20 +51,16 @@
             )
             self.assertEqual({CULPRIT}, found.quarantined())
             self.assertLessEqual(found.runs_too_late(CULPRIT), MAX_RUNS)
-            self.assertEqual(1.0, found.share_served(others, SETTLED))
+            self.assertEqual(1.0, found.share_served(others, SETTLED_SECONDS))
 
-    # Instances, targets, ordinary requests a second.
+    # Instances, targets, ordinary requests per second.
     @params((3, 3, 20.0), (8, 6, 60.0), (8, 16, 100.0))
     def test_a_culprit_behind_ports_that_stay_open(
         self, instances: int, targets: int, rate: float
     ) -> None:
-        """A service was down for good behind supervisors that hold its ports.
+        """Guard against undetected crashes of targets behind supervisors.
 
-        1. A request ends the target that runs it; its port stays open.
-        2. Nobody refuses the next connection, so no end was counted: on our
-           stand-ins such a request reached 30 targets.
-        3. Another process is listed at the address 3.5 s later: that is the
-           end of the one before, with what it was at work on.
+        No connection is refused; only a new entry at the address shows it.
         """
         for seed in range(3):
             found = crash_world.CrashWorld(
@@ -77,7 +72,7 @@
                 found.often(rate, RARE),
             )
             self.assertEqual({CULPRIT}, found.quarantined())
-            # Its third end is known when its target is listed again.
+            # The third crash is known when the target is listed again.
             late = found.runs_too_late(CULPRIT, crash_world.LISTED_AGAIN)
             self.assertLessEqual(late, MAX_RUNS)
             self.assertEqual(1.0, found.share_served(RARE, 25.0))
@@ -96,7 +91,7 @@
                 self.assertLessEqual(found.runs_too_late(each), MAX_RUNS)
             self.assertEqual(1.0, found.share_served(RARE, 20.0))
 
-    def test_a_culprit_that_comes_seldom(self) -> None:
+    def test_a_rare_culprit(self) -> None:
         found = crash_world.CrashWorld(3, 3)
         found.run(
             60.0,
@@ -106,17 +101,11 @@
         self.assertEqual({CULPRIT}, found.quarantined())
         self.assertLessEqual(found.runs_too_late(CULPRIT), MAX_RUNS)
 
-    def test_an_instance_that_starts_later_knows(self) -> None:
-        """A restarted instance sent the request on once more, each time.
-
-        1. The quarantine stands.
-        2. An instance starts that knows nothing, and gets the request within
-           its first seconds.
-        3. It learns of it from a peer.
-        """
+    def test_a_new_instance_learns_the_quarantine(self) -> None:
+        """Guard against a new instance that forwards a quarantined request."""
         found = crash_world.CrashWorld(3, 3)
         loads = (found.often(2.5, [CULPRIT]), found.often(20.0, RARE))
-        found.run(SETTLED, *loads)
+        found.run(SETTLED_SECONDS, *loads)
         for number in range(3):
             found.add_instance(f'late{number}')
             found.run(found.clock.seconds() + 4.0, *loads)
@@ -124,9 +113,9 @@
 
 
 class OtherCauseTest(world.WorldTest):
-    """Targets end of something else; no request is the cause."""
+    """Targets crash for another reason than a request."""
 
-    # Targets, seconds between two ends, what is sent, least part served.
+    # Targets, seconds between crashes, bodies, least fraction served.
     @params(
         (3, 4.0, POPULAR, 1.0),
         (3, 4.0, RARE, 1.0),
@@ -134,14 +123,14 @@
         (6, 1.5, RARE, 1.0),
         (16, 0.5, RARE + POPULAR * 100, 1.0),
     )
-    def test_targets_end_in_turn(
+    def test_targets_crash_in_turn(
         self, targets: int, pause: float, bodies: list[bytes], least: float
     ) -> None:
         for seed in range(3):
             found = crash_world.CrashWorld(3, targets, seed)
 
-            def end_one(among: crash_world.CrashWorld = found) -> None:
-                among.end(among.random.choice(among.living()))
+            def end_one(simulation: crash_world.CrashWorld = found) -> None:
+                simulation.end(simulation.random.choice(simulation.living()))
 
             found.run(
                 SECONDS,
@@ -151,7 +140,7 @@
             self.assertEqual(set(), found.quarantined())
             self.assertGreaterEqual(found.share_served(bodies, 0.0), least)
 
-    def test_all_targets_end_at_once(self) -> None:
+    def test_all_targets_crash_at_once(self) -> None:
         found = crash_world.CrashWorld(3, 6)
 
         def end_all() -> None:
@@ -163,8 +152,8 @@
         )
         self.assertEqual(set(), found.quarantined())
 
-    def test_connections_are_cut_before_planned_ends(self) -> None:
-        """A network cuts connections while targets are replaced in turn."""
+    def test_connections_are_cut_before_planned_replacements(self) -> None:
+        """Guard against blaming requests for a fault of the network."""
         found = crash_world.CrashWorld(3, 6, has_supervisors=True)
 
         def cut_all() -> None:
@@ -184,7 +173,7 @@
 
     @params((POPULAR,), (RARE,))
     def test_connections_are_cut(self, bodies: list[bytes]) -> None:
-        """A network cuts connections, and the targets live."""
+        """Guard against counting a broken connection as a crash."""
         found = crash_world.CrashWorld(3, 3)
 
         def cut_all() -> None:
--- a/packages/yuccarill-daemon/tests/gateway/test_intake.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_intake.py
@@ -1,4 +1,4 @@
-"""Test how batch jobs are accepted once, and read."""
+"""Test that batch jobs are accepted once and can be read."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class NoPeers:
-    """Stand in for the way to other instances, of which there are none."""
+    """Simulate a relay without other instances."""
 
     answer: TargetAnswer | None = None
 
@@ -94,19 +94,19 @@
             keys.work(world.SERVICE, JobId('j')), self.keys.entries_by_key
         )
 
-    # Who asks, and whether there is such a job for them.
+    # Requesting account, and whether it can read the job.
     @params(('mine', True), ('other', False), (None, False))
     def test_a_job_belongs_to_its_account(
         self, name: str | None, is_known: bool
     ) -> None:
-        """Another account is told that there is no such job, not whose."""
+        """Guard against revealing a job to another account."""
         request = msgspec.structs.replace(
             self.request(), account=AccountName('mine')
         )
         self.finish(self.intake.submit(world.batch_route(), request))
         account = None if name is None else AccountName(name)
         query = ports.ResultsQuery(job=JobId('j'), first=0, wait=0.0)
-        # An instance that has read it for its owner, and one that has not.
+        # An instance that has cached the job, and one that has not.
         for found in (self.intake, self.intake_of(self.memory)):
             for work in (
                 lambda i=found: i.read_results(query, account),
@@ -119,7 +119,7 @@
                 with self.assertRaises(errors.UnknownStep):
                     self.finish(work())
 
-    def test_a_job_goes_to_the_part_that_runs_its_model(self) -> None:
+    def test_a_job_goes_to_the_partition_of_its_model(self) -> None:
         state = self.state('a')
         state.divisions_by_service[world.SERVICE] = partitions.Division(
             parts=3
@@ -131,13 +131,8 @@
         self.assertNotEqual(world.SERVICE, part)
         self.assertIn(keys.work(part, JobId('j')), self.keys.entries_by_key)
 
-    def test_a_job_waits_until_it_is_known_who_runs_it(self) -> None:
-        """A job accepted for a holder that there is not is never run.
-
-        1. All instances start; one knows its routes and not the division.
-        2. A trainer submits to it. It waits, and stores the job for the part
-           that its model belongs to.
-        """
+    def test_a_job_waits_until_its_partition_is_known(self) -> None:
+        """Guard against a job stored for a partition without a holder."""
         state = self.state('a')
         state.divisions_by_service.clear()
         jobs = job_store.JobStore(self.memory, self.clock)
@@ -151,7 +146,7 @@
         self.run_for(0.1)
         self.assertEqual(202, work.result.status)
 
-    def test_a_job_that_nobody_runs_is_refused_as_not_run(self) -> None:
+    def test_a_job_without_a_partition_is_refused_as_not_run(self) -> None:
         state = self.state('a')
         state.divisions_by_service.clear()
         jobs = job_store.JobStore(self.memory, self.clock)
@@ -161,20 +156,14 @@
         self.run_for(5.0)
         self.assertEqual({}, self.keys.entries_by_key)
 
-    def test_a_job_that_comes_again_is_accepted_once(self) -> None:
+    def test_a_resubmitted_job_is_accepted_once(self) -> None:
         self.submit()
         before = self.keys.revision
         self.assertEqual(202, self.submit().status)
         self.assertEqual(before, self.keys.revision)
 
-    def test_a_job_that_stood_before_is_not_offered_as_new(self) -> None:
-        """Thirty results that a trainer had read were gone.
-
-        1. The holder of a job loses power and is back with its duty.
-        2. The trainer, which saw its connection break, sends the job again
-           before the holder has read what stands of it.
-        3. Taken for new, the job would have no results yet.
-        """
+    def test_a_job_stored_earlier_is_not_offered_as_new(self) -> None:
+        """Guard against losing listed results when a job is resubmitted."""
         offered: list[JobId] = []
         runner = mock.Mock(offer=lambda job: offered.append(job.id))
         self.intake = intake.Intake(
@@ -188,8 +177,8 @@
             self.assertEqual(202, self.submit().status)
         self.assertEqual([JobId('j')], offered)
 
-    def test_a_job_of_an_unclear_try_is_not_offered_as_new(self) -> None:
-        # Another instance may have run it since: the store tells.
+    def test_a_job_of_an_unclear_write_is_not_offered_as_new(self) -> None:
+        # Another instance can have run the job since the unclear write.
         runner = mock.Mock()
         self.intake = intake.Intake(
             self.state('a'),
@@ -203,18 +192,16 @@
         self.assertEqual(202, self.submit().status)
         runner.offer.assert_not_called()
 
-    def test_a_store_that_did_nothing_is_a_refusal(self) -> None:
+    def test_a_refused_write_is_reported_as_not_run(self) -> None:
         self.memory.refuses = True
         with self.assertRaises(errors.NotRun) as caught:
             self.submit()
         self.assertIsNotNone(caught.exception.retry_after)
 
-    def test_a_write_without_an_answer_is_never_refused(self) -> None:
-        """A trainer that is told "not run" would see its job run.
+    def test_a_write_without_a_reply_is_an_unknown_outcome(self) -> None:
+        """Guard against reporting a stored job as not run.
 
-        1. The write of the job takes effect, and no answer comes.
-        2. From then on the store turns this instance away.
-        3. The trainer has to be told that the outcome is not known.
+        The write takes effect without a reply; later writes are refused.
         """
         self.memory.is_silent = True
         submitting = defer.Deferred.fromCoroutine(
@@ -228,7 +215,7 @@
         self.run_for(10.0)
         self.assertTrue(results[0].check(errors.OutcomeUnknown))
 
-    def test_a_lost_reply_is_settled_by_writing_again(self) -> None:
+    def test_a_lost_reply_is_resolved_by_a_retry(self) -> None:
         self.memory.loses_replies = True
         submitting = defer.Deferred.fromCoroutine(
             self.intake.submit(world.batch_route(), self.request())
@@ -238,7 +225,7 @@
         self.run_for(2.0)
         self.assertEqual(202, submitting.result.status)
 
-    def test_a_store_that_comes_back_in_time_is_waited_for(self) -> None:
+    def test_a_short_outage_of_the_store_is_waited_for(self) -> None:
         self.memory.refuses = True
         submitting = defer.Deferred.fromCoroutine(
             self.intake.submit(world.batch_route(), self.request())
@@ -248,7 +235,7 @@
         self.run_for(1.0)
         self.assertEqual(202, submitting.result.status)
 
-    def test_a_peer_accepts_where_this_instance_is_turned_away(self) -> None:
+    def test_a_peer_accepts_while_the_store_refuses(self) -> None:
         self.memory.refuses = True
         self.peers.answer = TargetAnswer(
             status=202, headers=(), body=b'', signature=None
@@ -323,7 +310,7 @@
         found = msgspec.json.decode(reading.result)
         self.assertEqual(['a'], [r['id'] for r in found['results']])
 
-    def test_a_reader_that_waits_in_vain_gets_nothing(self) -> None:
+    def test_a_reader_gets_no_results_after_its_wait(self) -> None:
         self.submit()
         self.assertEqual([], self.read(0, 1.0)['results'])
 
@@ -336,14 +323,14 @@
         with self.assertRaises(errors.UnknownStep):
             self.finish(self.intake.read_item(JobId('j'), 'i9'))
 
-    def test_a_store_that_is_away_is_no_missing_job(self) -> None:
-        # A trainer that is told 404 drops a job that stands.
+    def test_an_outage_of_the_store_is_not_a_missing_job(self) -> None:
+        # A trainer that gets 404 drops its job.
         self.submit()
         self.memory.refuses = True
         with self.assertRaises(errors.StoreUnavailable):
             self.read()
 
-    def test_an_end_may_come_twice(self) -> None:
+    def test_ending_a_job_is_idempotent(self) -> None:
         self.submit()
         for _ in range(2):
             self.finish(self.intake.end_job(JobId('j'), None))
--- a/packages/yuccarill-daemon/tests/gateway/test_listing.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_listing.py
@@ -1,4 +1,4 @@
-"""Test how results are listed once, at positions that never change."""
+"""Test that results are listed once, at fixed positions."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass
 class HeldDuty:
-    """Stand in for a duty that is held under a revision."""
+    """Simulate a duty that is held under a revision."""
 
     revision: Revision | None
     service: str = world.SERVICE
@@ -54,7 +54,7 @@
         self.memory = self.store()
         self.keys.put(keys.duty(world.SERVICE), b'holder')
         self.duty = HeldDuty(Revision(self.keys.revision))
-        self.taken: list[None] = []
+        self.conflicts: list[None] = []
         self.listing = self.listing_of(self.memory, self.duty)
 
     def listing_of(
@@ -62,7 +62,13 @@
     ) -> listing.Listing:
         jobs = job_store.JobStore(memory, self.clock)
         return listing.Listing(
-            JOB, 4, [], jobs, duty, self.clock, lambda: self.taken.append(None)
+            JOB,
+            4,
+            [],
+            jobs,
+            duty,
+            self.clock,
+            lambda: self.conflicts.append(None),
         )
 
     def listed(self) -> list[str]:
@@ -75,7 +81,7 @@
             ids += [r.id for r in chunk.results]
         return ids
 
-    def test_results_are_collected_until_a_group_is_whole(self) -> None:
+    def test_results_are_collected_until_one_is_awaited(self) -> None:
         self.listing.add(result('a'), False)
         self.run_for(0.1)
         self.assertEqual([], self.listed())
@@ -83,11 +89,8 @@
         self.run_for(0.1)
         self.assertEqual(['a', 'b'], self.listed())
 
-    def test_what_did_not_fit_a_write_goes_with_the_next(self) -> None:
-        """A trainer waited 1.3 s for results that were made before it asked.
-
-        A new holder lists what a standby has made, more than fits one write.
-        """
+    def test_results_that_exceed_a_chunk_are_written_next(self) -> None:
+        """Guard against a delay of due results that exceed one chunk."""
         for name in 'abcd':
             large = 'x' * (listing.CHUNK_BYTES // 3)
             found = msgspec.structs.replace(result(name), text=large)
@@ -102,7 +105,7 @@
         self.run_for(0.5)
         self.assertEqual(['a'], self.listed())
 
-    def test_readers_see_what_is_stored_only(self) -> None:
+    def test_readers_see_only_stored_results(self) -> None:
         self.memory.refuses = True
         self.listing.add(result('a'), True)
         self.run_for(2.0)
@@ -112,12 +115,7 @@
         self.assertEqual(1, len(self.listing.results))
 
     def test_a_lost_reply_lists_nothing_twice(self) -> None:
-        """A trainer would count a sample twice.
-
-        1. The write of a chunk takes effect, and its reply is lost.
-        2. The same chunk is written again, and the store refuses it.
-        3. The chunk stands as it was written: it counts as listed.
-        """
+        """Guard against duplicate results after a lost reply."""
         self.memory.loses_replies = True
         self.listing.add(result('a'), True)
         self.run_for(3.0)
@@ -128,19 +126,14 @@
         self.assertEqual(2, len(self.listing.results))
 
     def test_without_the_duty_nothing_is_listed(self) -> None:
-        """Two instances would list different results at one position.
-
-        1. The duty passes to another instance, unseen by the first one.
-        2. The first one writes its chunk under its own hold.
-        3. The store refuses it, since the hold is another one by now.
-        """
+        """Guard against two holders that list results at one position."""
         self.keys.put(keys.duty(world.SERVICE), b'another')
         self.listing.add(result('a'), True)
         self.run_for(1.0)
         self.assertEqual([], self.listed())
         self.assertEqual(1, len(self.duty.given_up))
 
-    def test_a_duty_that_came_back_lists_what_waited(self) -> None:
+    def test_pending_results_are_listed_after_the_duty_returns(self) -> None:
         self.duty.revision = None
         self.listing.add(result('a'), True)
         self.run_for(2.0)
@@ -150,8 +143,7 @@
         self.assertEqual(['a'], self.listed())
 
     def test_a_late_write_of_the_old_holder_changes_nothing(self) -> None:
-        # The old holder's write reaches the store after the new holder has
-        # listed at the same position.
+        # The new holder has already listed a result at the same position.
         self.keys.put(keys.duty(world.SERVICE), b'new')
         duty = HeldDuty(Revision(self.keys.revision))
         newer = self.listing_of(self.store(), duty)
@@ -161,12 +153,8 @@
         self.run_for(2.0)
         self.assertEqual(['b'], self.listed())
 
-    def test_a_large_step_costs_few_writes(self) -> None:
-        """A step of 224 items made 17 writes, of which one was awaited.
-
-        Texts end evenly over 5 s; the last one makes the group whole that
-        the trainer waits for, and is read a moment after.
-        """
+    def test_a_large_job_needs_few_writes(self) -> None:
+        """Guard against a write for each whole group, which is expensive."""
         for number in range(224):
             self.listing.add(result(f'{number}'), number == 223)
             self.run_for(5.0 / 224)
--- a/packages/yuccarill-daemon/tests/gateway/test_paced_work.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_paced_work.py
@@ -1,4 +1,4 @@
-"""Test that work that is asked for often leaves the loop to others."""
+"""Test that frequently requested work does not block the event loop."""
 
 from __future__ import annotations
 
@@ -13,7 +13,6 @@
     def setUp(self) -> None:
         self.clock = task.Clock()
         self.done: list[float] = []
-        # Seconds that the work takes.
         self.seconds = 0.0
         self.paced = paced_work.PacedWork(self.work, self.clock)
 
@@ -21,17 +20,13 @@
         self.done.append(self.clock.seconds())
         self.clock.rightNow += self.seconds
 
-    def test_quick_work_is_done_at_once(self) -> None:
+    def test_quick_work_runs_immediately(self) -> None:
         for _ in range(5):
             self.paced.request()
         self.assertEqual(5, len(self.done))
 
-    def test_slow_work_has_a_part_of_the_time(self) -> None:
-        """A holder of 888 engines did little but look at them.
-
-        Each change of an entry, and each end of a change of weights, asks for
-        a look at all engines; weights change at all of them within a second.
-        """
+    def test_slow_work_gets_a_fraction_of_the_time(self) -> None:
+        """Guard against surveys of many engines that use all loop time."""
         self.seconds = 0.04
         while self.clock.seconds() < 10.0:
             self.paced.request()
@@ -40,7 +35,7 @@
         self.assertLessEqual(spent, 1.1 * paced_work.TIME_FRACTION * 10.0)
         self.assertGreater(len(self.done), 20)
 
-    def test_what_is_asked_for_last_is_done(self) -> None:
+    def test_the_last_request_is_served(self) -> None:
         self.seconds = 0.04
         self.paced.request()
         self.paced.request()
@@ -48,7 +43,7 @@
         self.clock.advance(1.0)
         self.assertEqual(2, len(self.done))
 
-    def test_nothing_is_done_after_the_stop(self) -> None:
+    def test_no_work_runs_after_the_stop(self) -> None:
         self.seconds = 0.04
         self.paced.request()
         self.paced.request()
--- a/packages/yuccarill-daemon/tests/gateway/test_placement.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_placement.py
@@ -1,4 +1,4 @@
-"""Test runs of a holder that places items by finishing time."""
+"""Test runners that place items by expected finishing time."""
 
 from __future__ import annotations
 
@@ -13,12 +13,7 @@
     placement = Placement.FINISH
 
     def test_runs_leave_a_slow_engine(self) -> None:
-        """One slow engine of two held each group's last item up.
-
-        1. Both engines have been at work for a while.
-        2. One becomes four times as slow in the middle of its runs.
-        3. Its runs go on at the other one, from where they are.
-        """
+        """Guard against groups that wait for the runs of a slow engine."""
         running = self.hold('a')
         for name in ('j', 'k', 'l'):
             self.submit(name)
@@ -33,14 +28,14 @@
         known = {record.target for record in running.speed_records()}
         self.assertEqual({'e1', 'e2'}, known)
 
-    def test_runs_leave_a_dark_engine(self) -> None:
+    def test_runs_leave_a_silent_engine(self) -> None:
         self.engine('e1').is_dark = True
         self.hold('a')
         self.submit()
         self.run_for(2.0)
         self.assertEqual(4, len(self.results()))
 
-    def test_engines_paces_are_learnt_from_runs(self) -> None:
+    def test_engine_paces_are_estimated_from_runs(self) -> None:
         self.engine('e1').gap = 2 * runner_world.GAP
         running = self.hold('a')
         for name in ('j', 'k', 'l', 'm'):
--- a/packages/yuccarill-daemon/tests/gateway/test_progress.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_progress.py
@@ -1,4 +1,4 @@
-"""Test that long texts outlive the loss of all instances."""
+"""Test that long texts survive the loss of all instances."""
 
 from __future__ import annotations
 
@@ -57,51 +57,49 @@
         return found
 
     def read(self) -> dict[str, int]:
-        kept = progress.ProgressStore(world.SERVICE, self.store())
-        found = self.finish(kept.read())
+        saved = progress.ProgressStore(world.SERVICE, self.store())
+        found = self.finish(saved.read())
         return {each.item: len(each.parts) for each in found}
 
     def write(self, **events_by_item: int) -> None:
         self.texts = [text(i, events) for i, events in events_by_item.items()]
         self.run_for(progress.WRITE_SECONDS + 0.1)
 
-    def test_texts_are_read_as_they_grew(self) -> None:
+    def test_growing_texts_are_read_in_full(self) -> None:
         self.write(a=30, b=40)
         self.write(a=50, b=60, c=25)
         self.assertEqual({'a': 50, 'b': 60, 'c': 25}, self.read())
 
-    def test_short_texts_are_not_kept(self) -> None:
+    def test_short_texts_are_not_saved(self) -> None:
         self.write(a=progress.MIN_EVENTS - 1, b=progress.MIN_EVENTS)
         self.assertEqual(['b'], list(self.read()))
 
-    def test_nothing_new_costs_no_call(self) -> None:
+    def test_no_write_without_changes(self) -> None:
         self.write(a=30)
         before = self.keys.revision
         self.write(a=30)
         self.assertEqual(before, self.keys.revision)
 
-    def test_a_text_outlives_the_records_that_were_written_over(self) -> None:
-        # The oldest record is written over. A text that grows longer than
-        # all records last is written whole again before its start is gone.
+    def test_a_text_survives_overwritten_records(self) -> None:
+        # A text is rewritten in full before its first record is overwritten.
         for number in range(3 * progress.SLOTS):
             self.write(a=30 + number)
             self.assertEqual({'a': 30 + number}, self.read())
 
-    def test_the_longest_go_first_where_all_are_too_many(self) -> None:
+    def test_the_longest_texts_are_saved_first(self) -> None:
         with mock.patch.object(progress, 'MAX_SIZE', 150):
             self.write(a=30, b=50)
         self.assertEqual({'b': 50}, self.read())
 
-    def test_a_holder_that_was_replaced_keeps_nothing(self) -> None:
-        # A holder that does not know yet that it was replaced goes on with
-        # the same text on other weights. Its events must not be mixed with
-        # those of the next holder.
+    def test_a_replaced_holder_saves_nothing(self) -> None:
+        # The events of a replaced holder can be of other weights and must not
+        # be joined with the events of its successor.
         self.write(a=30)
         self.take_duty()
         self.write(a=60)
         self.assertEqual({'a': 30}, self.read())
 
-    def test_the_next_holder_counts_anew(self) -> None:
+    def test_records_of_the_next_holder_replace_older_ones(self) -> None:
         for number in range(5):
             self.write(a=30 + number)
         self.writer.stop()
@@ -110,7 +108,7 @@
         self.assertEqual({'a': 32}, self.read())
 
     @params(store_module.StoreRefused, store_module.StoreUnclear)
-    def test_a_write_that_failed_is_made_up_for(self, error) -> None:
+    def test_a_failed_write_is_repeated(self, error) -> None:
         self.write(a=30)
         with mock.patch.object(
             type(self.store()),
@@ -124,12 +122,12 @@
         self.assertEqual({'a': 51}, self.read())
 
     @params(b'', b'\xc1', msgspec.msgpack.encode({'number': 'x'}))
-    def test_what_is_no_record_is_left_out(self, value) -> None:
+    def test_an_invalid_record_is_ignored(self, value) -> None:
         self.write(a=30)
         self.keys.put(keys.progress(world.SERVICE, 9), value)
         self.assertEqual({'a': 30}, self.read())
 
-    def test_nothing_is_waited_for_where_the_store_is_away(self) -> None:
+    def test_an_outage_of_the_store_yields_no_texts(self) -> None:
         self.write(a=30)
         with mock.patch.object(
             type(self.store()),
@@ -141,13 +139,10 @@
 
 
 class LossOfAllTest(runner_world.RunnerTest):
-    """All instances lose power in the middle of a step.
+    """All instances lose power during a job."""
 
-    A trainer waited 12 s for a step of 8 s: each unfinished text began anew.
-    """
-
-    def hold_and_write(self, name: str, kept: list) -> runner_module.Runner:
-        found = self.hold(name, kept)
+    def hold_and_write(self, name: str, saved: list) -> runner_module.Runner:
+        found = self.hold(name, saved)
         duty = runner_world.HeldDuty(Revision(self.keys.revision))
         writer = progress.ProgressWriter(
             duty,
@@ -160,25 +155,22 @@
         self.addCleanup(writer.stop)
         return found
 
-    def test_texts_go_on_from_the_store(self) -> None:
-        # 1. The holder keeps its long texts in the store each second.
-        # 2. All instances are lost, and with them each copy in memory.
-        # 3. One comes back, takes the duty and reads what is kept.
-        # 4. Texts go on after the last kept event; none is listed twice.
+    def test_texts_continue_from_the_store(self) -> None:
+        # Guards against restarting long texts when no copy in memory is left.
         for engine in self.engines.engines_by_id.values():
             engine.gap = 0.3
         with mock.patch.object(progress, 'MIN_EVENTS', 2):
             first = self.hold_and_write('a', [])
             self.submit()
             self.run_for(2.5)
-            begun = len(self.engines.runs)
+            run_count = len(self.engines.runs)
             first.stop()
             self.run_for(1.0)
-            kept = progress.ProgressStore(world.SERVICE, self.store())
-            self.hold('a', self.finish(kept.read()))
+            saved = progress.ProgressStore(world.SERVICE, self.store())
+            self.hold('a', self.finish(saved.read()))
             self.run_for(5.0)
         self.assertEqual(4, len(self.results()))
         for result in self.results():
             self.assertEqual(runner_world.whole_text(), result.text)
-        resumed = [first for _, first in self.engines.runs[begun:]]
+        resumed = [first for _, first in self.engines.runs[run_count:]]
         self.assertGreaterEqual(min(resumed), 5)
--- a/packages/yuccarill-daemon/tests/gateway/test_runner.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_runner.py
@@ -1,4 +1,4 @@
-"""Test how batch jobs are run while engines and instances fail."""
+"""Test that batch jobs run despite failing engines and instances."""
 
 from __future__ import annotations
 
@@ -38,18 +38,14 @@
         self.assert_whole()
         self.assertEqual({1}, set(self.busiest().values()))
 
-    def test_a_job_that_stood_before_is_run(self) -> None:
+    def test_a_job_stored_before_the_start_is_run(self) -> None:
         self.submit()
         self.hold('a')
         self.run_for(2.0)
         self.assert_whole()
 
-    def test_a_run_that_breaks_off_goes_on(self) -> None:
-        """No event may be missing from a sample or stand in it twice.
-
-        1. An engine breaks off each run after three events.
-        2. The item goes on after the last whole event, at any engine.
-        """
+    def test_a_broken_run_is_continued(self) -> None:
+        """Guard against lost or duplicate events when a run breaks off."""
         self.engine('e1').breaks_after = 3
         self.engine('e2').breaks_after = 3
         self.hold('a')
@@ -58,13 +54,10 @@
         self.assert_whole(2)
         self.assertEqual([0, 3, 6, 9], self.runs_of('j-0-0'))
 
-    def test_an_item_that_ends_engines_is_held_back(self) -> None:
-        """Each engine in turn ended under one item, with all its other runs.
+    def test_an_item_that_crashes_engines_is_held_back(self) -> None:
+        """Guard against one item that crashes every engine in turn.
 
-        1. An item ends the engine that begins to run it, which is back 3 s
-           later.
-        2. After three ends it is held back, and the others are whole.
-        3. It is given up when its job's time is over, and not before.
+        After three crashes the item is held until its job expires.
         """
         self.engines.crashing = {'j-0-0'}
         self.hold('a')
@@ -79,11 +72,7 @@
         self.assertEqual({ResultState.COMPLETED}, set(states.values()))
 
     def test_runs_leave_a_slow_engine(self) -> None:
-        """One slow engine of two held each group's last item up.
-
-        1. An engine becomes four times as slow in the middle of its runs.
-        2. Its runs go on at the other one, from where they are.
-        """
+        """Guard against groups that wait for the runs of a slow engine."""
         self.hold('a')
         self.submit()
         self.run_for(0.15)
@@ -91,13 +80,8 @@
         self.run_for(1.1)
         self.assert_whole()
 
-    def test_runs_are_not_moved_to_and_fro(self) -> None:
-        """Runs were moved 85 times in a second, and each began anew.
-
-        1. One of two engines is slow, and all places of the other are used.
-        2. Whenever one comes free, an item that waits gets it, or one run
-           of the slow engine, and the others stay.
-        """
+    def test_runs_do_not_move_back_and_forth(self) -> None:
+        """Guard against moving all runs of a slow engine for one free slot."""
         self.engine('e1').gap = 4 * runner_world.GAP
         self.hold('a')
         self.submit(groups=10)
@@ -105,7 +89,7 @@
         self.assertEqual(20, len(self.results()))
         self.assertLess(len(self.engines.runs), 2 * 20)
 
-    def test_runs_leave_a_dark_engine(self) -> None:
+    def test_runs_leave_a_silent_engine(self) -> None:
         self.engine('e1').is_dark = True
         self.hold('a')
         self.submit()
@@ -124,7 +108,7 @@
         )
         self.assertEqual({3}, set(self.busiest().values()))
 
-    def test_an_impossible_item_is_not_tried_again(self) -> None:
+    def test_an_impossible_item_is_not_retried(self) -> None:
         self.engine('e1').status = 422
         self.engine('e2').status = 422
         self.hold('a')
@@ -132,13 +116,13 @@
         self.run_for(3.0)
         self.assertEqual({1}, set(self.busiest().values()))
 
-    def test_nothing_runs_on_weights_that_are_too_old(self) -> None:
+    def test_no_item_runs_on_weights_that_are_too_old(self) -> None:
         self.hold('a')
         self.submit(min_version=2)
         self.run_for(2.0)
         self.assertEqual([], self.engines.runs)
 
-    def test_an_ended_job_runs_no_further(self) -> None:
+    def test_an_ended_job_starts_no_more_runs(self) -> None:
         self.hold('a')
         self.submit()
         self.run_for(0.1)
@@ -150,12 +134,10 @@
         self.assertEqual(before, len(self.engines.runs))
         self.assertEqual([], self.results())
 
-    def test_a_group_that_comes_again_is_not_made_again(self) -> None:
-        """Half of each step was made a second time.
+    def test_texts_of_a_resubmitted_group_are_reused(self) -> None:
+        """Guard against generating the texts of an ended job again.
 
-        1. A trainer ends a step before its last group is whole.
-        2. It asks for the same items in its next step.
-        3. What their texts are is taken over, with the versions.
+        The trainer submits the same items in its next job.
         """
         self.engine('e1').gap = self.engine('e2').gap = 0.2
         runner = self.hold('a')
@@ -170,8 +152,8 @@
         self.assertEqual({'j-0-0', 'j-0-1', 'j-1-0', 'j-1-1'}, set(ids(self)))
         self.assertTrue(all(first > 0 for _, first in self.engines.runs))
 
-    def test_items_of_a_route_that_is_gone_are_given_up(self) -> None:
-        # An item must not reach a service after its route was taken away.
+    def test_items_of_a_removed_route_fail(self) -> None:
+        # An item must not reach a service after the removal of its route.
         self.engine('e1').gap = self.engine('e2').gap = 0.5
         runner = self.hold('a')
         self.submit(groups=8)
@@ -184,7 +166,7 @@
         self.assertEqual(before, len(self.engines.runs))
         self.assertEqual(16, len(self.results()))
 
-    def test_ended_jobs_are_removed_when_nobody_may_read_them(self) -> None:
+    def test_ended_jobs_are_removed_after_their_retention(self) -> None:
         self.hold('a')
         job = self.submit()
         self.run_for(2.0)
@@ -195,7 +177,7 @@
         self.run_for(70.0, step=0.1)
         self.assertFalse([k for k in self.keys.entries_by_key if 'j' in k])
 
-    def test_items_are_given_up_when_their_time_is_over(self) -> None:
+    def test_items_of_an_expired_job_fail(self) -> None:
         self.hold('a')
         self.submit(min_version=9)
         self.run_for(41.0, step=0.05)
@@ -212,13 +194,8 @@
 
 
 class ClockStepTest(runner_world.RunnerTest):
-    def test_a_step_of_the_clock_gives_nothing_up(self) -> None:
-        """Items failed that their trainer still waited for.
-
-        1. A job is accepted at an instance whose clock is right.
-        2. The holder's clock is an hour ahead when it takes the job.
-        3. By it the job's time is over; the engines are slow, not gone.
-        """
+    def test_a_clock_that_is_ahead_expires_nothing(self) -> None:
+        """Guard against items that fail since the holder's clock is ahead."""
         for engine in self.engines.engines_by_id.values():
             engine.gap = 0.5
         self.submit()
@@ -231,7 +208,7 @@
         states = [result.state for result in self.results()]
         self.assertEqual([ResultState.COMPLETED] * 4, states)
 
-    def test_a_clock_that_is_behind_holds_nothing_back(self) -> None:
+    def test_a_clock_that_is_behind_delays_nothing(self) -> None:
         self.submit()
         behind = mock.patch.object(
             time, 'time', lambda: self.clock.seconds() - 3600.0
@@ -243,37 +220,33 @@
 
 
 class RetirementTest(runner_world.RunnerTest):
-    """Operators ask for a disk instance to be emptied."""
+    """An operator requests the retirement of a storage instance."""
 
     def answer(self) -> bytes | None:
         entry = self.keys.entries_by_key.get(keys.retirement(InstanceId('s1')))
         return None if entry is None else entry.value
 
-    def ask(self) -> None:
+    def request_retirement(self) -> None:
         self.keys.put(keys.RETIRE_PREFIX + 's1', b'{}')
 
-    def test_the_holder_says_that_nothing_is_kept_there(self) -> None:
+    def test_the_holder_confirms_the_retirement(self) -> None:
         self.hold('a')
         self.run_for(0.2)
-        self.ask()
+        self.request_retirement()
         self.run_for(1.0)
         self.assertEqual(operators.retirement_done(), self.answer())
 
-    def test_a_request_from_before_the_holder_is_answered(self) -> None:
-        self.ask()
+    def test_a_request_from_before_the_start_is_answered(self) -> None:
+        self.request_retirement()
         self.hold('a')
         self.run_for(1.0)
         self.assertEqual(operators.retirement_done(), self.answer())
 
     def test_the_answer_is_written_once_the_store_is_back(self) -> None:
-        """An operator waited for ever to take the machine away.
-
-        1. The store turns the answer away.
-        2. It is back seconds later; the request is not written again.
-        """
+        """Guard against a retirement answer lost in an outage of the store."""
         self.hold('a')
         self.run_for(0.2)
-        self.ask()
+        self.request_retirement()
         self.run_for(0.005)
         self.memory.refuses = True
         self.run_for(3.0)
@@ -283,20 +256,14 @@
 
 
 class HandoverTest(runner_world.RunnerTest):
-    """The instance that runs a job dies, or is cut off from the store."""
+    """The instance that runs a job stops or is partitioned from the store."""
 
-    # After these many seconds the first instance's process is gone: before
-    # it reads the job, in the middle of the texts, when some results are
-    # listed, and when all are.
+    # Seconds until the first instance stops: before it reads the job, during
+    # generation, and after some or all results are listed.
     moments = (0.0, 0.05, 0.2, 0.45, 0.6, 1.0, 2.0)
 
     def test_another_instance_finishes_the_job(self) -> None:
-        """An accepted job must be whole, and each sample listed once.
-
-        1. The holder is killed at some moment of the job.
-        2. Another instance takes the duty and reads what stands.
-        3. It runs what is not listed, and lists it behind the rest.
-        """
+        """Guard against lost or duplicate results after a holder is killed."""
         for number, moment in enumerate(self.moments):
             with self.subTest(moment):
                 name = f'j{number}'
@@ -312,12 +279,10 @@
                 self.assertEqual(before, found[: len(before)])
                 second.stop()
 
-    def test_positions_that_were_taken_are_read_again(self) -> None:
-        """A job never ended: its next position was taken each time.
+    def test_a_job_is_reloaded_after_a_position_conflict(self) -> None:
+        """Guard against a job that never ends after a position conflict.
 
-        1. A job is taken for new although results of it are listed.
-        2. The first of its own results meets a position that is taken.
-        3. What stands is read again, and the rest goes behind it.
+        The second holder takes the job for new, though it has results.
         """
         first = self.hold('a')
         job = self.submit(groups=12)
@@ -334,12 +299,7 @@
         self.assertEqual(before, found[: len(before)])
 
     def test_a_holder_that_was_replaced_lists_nothing(self) -> None:
-        """A sample would stand at two positions, with two texts.
-
-        1. The holder loses the duty without knowing.
-        2. Both instances run the job's items and list their results.
-        3. The store takes only those written under the newest hold.
-        """
+        """Guard against duplicate results of a holder that lost its duty."""
         self.hold('a')
         self.submit()
         self.run_for(0.2)
@@ -348,12 +308,7 @@
         self.assertEqual(4, len(self.results()))
 
     def test_results_wait_for_the_store(self) -> None:
-        """What a trainer has read must stand in the store.
-
-        1. The store goes away before any result is listed.
-        2. The texts are made meanwhile; readers see nothing.
-        3. All is listed soon after its return.
-        """
+        """Guard against readers that see results missing from the store."""
         runner = self.hold('a')
         self.submit()
         self.run_for(0.1)
@@ -383,12 +338,7 @@
         self.assertEqual(1, self.engine('e1').orders)
 
     def test_each_engine_is_ordered_once(self) -> None:
-        """Eight idle engines got 36 orders within 20 ms, each paid for.
-
-        1. A holder may order from now on, and all engines are behind.
-        2. Each switch that begins asks for a look at the others at once.
-        3. What that look begins is not begun again by the first one.
-        """
+        """Guard against duplicate orders when each switch starts a survey."""
         for name in ('e3', 'e4', 'e5', 'e6', 'e7', 'e8'):
             target = world.engine(name)
             self.engines.engines_by_id[target.id] = runner_world.Engine(target)
@@ -411,13 +361,8 @@
         for engine in self.engines.engines_by_id.values():
             self.known.targets.put(engine.target)
 
-    def test_engines_that_start_again_are_ordered_anew(self) -> None:
-        """Engines with old weights were taken for those that had new ones.
-
-        1. Two engines have changed to the named version.
-        2. Their processes start again under their ids, with the first one.
-        3. Their entries show the start.
-        """
+    def test_restarted_engines_are_ordered_again(self) -> None:
+        """Guard against a restarted engine that keeps its old weights."""
         self.start_engines(1)
         self.hold('a')
         self.name_version(2)
@@ -430,13 +375,8 @@
             [2, 2], [self.engine(e).version for e in ('e1', 'e2')]
         )
 
-    def test_no_order_by_the_entry_of_the_process_before(self) -> None:
-        """An engine was ordered by what the process before had said.
-
-        1. Engines start again; their entries are still the old ones.
-        2. A version is named. Reports tell of another start.
-        3. The entries show the start; the orders follow.
-        """
+    def test_no_order_for_an_outdated_entry(self) -> None:
+        """Guard against orders based on the entry of a previous process."""
         self.start_engines(1)
         self.hold('a')
         self.run_for(0.5)
@@ -449,11 +389,7 @@
         self.assertEqual(2, self.engine('e1').version)
 
     def test_results_name_the_versions_that_made_them(self) -> None:
-        """A sample that names the wrong weights spoils its training step.
-
-        1. The weights change in the middle of a text.
-        2. The result names both versions.
-        """
+        """Guard against a result that omits a weight version of its text."""
         self.engine('e1').gap = self.engine('e2').gap = 0.1
         self.hold('a')
         self.submit(groups=1)
@@ -463,7 +399,7 @@
         versions = {result.versions for result in self.results()}
         self.assertEqual({(1, 2)}, versions)
 
-    def test_a_step_runs_while_its_engines_change(self) -> None:
+    def test_a_job_runs_while_its_engines_change_weights(self) -> None:
         self.hold('a')
         self.submit()
         self.run_for(0.05)
@@ -486,15 +422,12 @@
         self.assertEqual(b'prompt', body)
         self.assertTrue(runner.knows(job.id))
 
-    def test_a_reader_is_not_answered_beside_a_write_that_hangs(
+    def test_no_answer_from_memory_during_a_hanging_write(
         self,
     ) -> None:
-        """A reader got 41 results after another one had read 69.
+        """Guard against answers that lack a chunk already in the store.
 
-        1. The holder writes a chunk; the store has it, and a reader gets
-           it from there, but the holder does not hear of it.
-        2. A second later another reader asks the holder.
-        3. Its memory lacks the chunk: the store has to be asked.
+        The holder did not receive the store's reply to its write.
         """
         runner = self.hold('a')
         job = self.submit()
@@ -508,10 +441,10 @@
         )
         self.assertIsNone(reading.result)
 
-    def test_a_reader_of_a_holder_without_the_duty_asks_the_store(
+    def test_no_answer_from_memory_without_the_duty(
         self,
     ) -> None:
-        # Another instance may have listed more, which the reader has seen.
+        # Another instance can have listed more, which the reader has seen.
         runner = self.hold('a')
         job = self.submit()
         self.run_for(2.0)
--- a/packages/yuccarill-daemon/tests/gateway/test_scoring.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_scoring.py
@@ -1,4 +1,4 @@
-"""Test how many scores are asked for at a time."""
+"""Test the limit of concurrent score requests."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 from . import world
 
 RETRY_SECONDS = 0.5
-# More than the interpreter's stack would bear, one inside the other.
+# More than the recursion limit of the interpreter.
 TEXTS = 2000
 
 
-class Full:
-    """Refuse every request."""
+class FullCapacity:
+    """Refuse every request as overloaded."""
 
     def __init__(self) -> None:
-        self.asked = 0
+        self.requests = 0
 
     async def enter(self, service: ServiceName, request: object) -> None:
-        self.asked += 1
+        self.requests += 1
         raise errors.Overloaded('full', RETRY_SECONDS)
 
 
 class ScoringTest(world.WorldTest):
-    def test_many_texts_wait_for_a_service_that_is_full(self) -> None:
-        """Guard against a place that is handed on within one call."""
+    def test_many_texts_wait_for_an_overloaded_service(self) -> None:
+        """Guard against recursion when a slot passes between many waiters."""
         state = self.state('a')
         route = routes.Route(
             name='score',
@@ -48,7 +48,7 @@
             objective=0.15,
         )
         state.table = routes.RouteTable(1, [route], [], routes.ClientLimits())
-        full = Full()
+        full = FullCapacity()
         sender = mock.Mock(capacity=full)
         scorer = scoring.Scorer(state, sender, self.clock)
         run = mock.Mock()
@@ -60,13 +60,13 @@
             defer.ensureDeferred(scorer.score(run)).addBoth(ended.append)
         self.run_for(1.0)
         self.assertEqual([], ended)
-        # A place is asked for again only when capacity is expected.
-        places = 4
-        self.assertLessEqual(full.asked, places * (1.0 / RETRY_SECONDS + 1))
+        # A slot is requested again only when capacity is expected.
+        slots = 4
+        self.assertLessEqual(full.requests, slots * (1.0 / RETRY_SECONDS + 1))
 
 
 class Sender:
-    """Hold every call open."""
+    """Never answer a call."""
 
     def __init__(self) -> None:
         self.calls = 0
@@ -77,12 +77,12 @@
         await defer.Deferred()
 
 
-class PlacesTest(world.WorldTest):
-    # Holders of the service, places of each one's scores: of 40 targets with
-    # 4 places a part of 0.7 goes to all holders together.
+class SlotsTest(world.WorldTest):
+    # Number of holders, and slots of each: all holders together get a fraction
+    # of 0.7 of the slots of 40 targets with 4 slots each.
     @params((1, 112), (4, 28))
-    def test_holders_share_the_places(self, holders: int, places: int) -> None:
-        """Nine holders took all places of a service six times over."""
+    def test_holders_share_the_slots(self, holders: int, slots: int) -> None:
+        """Guard against holders that each use all slots of a service."""
         state = self.state('a')
         state.divisions_by_service[world.SERVICE] = partitions.Division(
             parts=holders, is_by_items=holders > 1
@@ -103,4 +103,4 @@
             scoring_one = defer.Deferred.fromCoroutine(scorer.score(run))
             scoring_one.addErrback(lambda f: f.trap(defer.CancelledError))
             self.addCleanup(scoring_one.cancel)
-        self.assertEqual(places, sender.calls)
+        self.assertEqual(slots, sender.calls)
--- a/packages/yuccarill-daemon/tests/gateway/test_shared_jobs.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_shared_jobs.py
@@ -1,4 +1,4 @@
-"""Test how a job is stored, run and read that several holders share."""
+"""Test storing, running and reading jobs that several holders share."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from . import world
 
 JOB = JobId('j')
-# Entries that one transaction of the store may have.
+# Maximum entries of one transaction of the store.
 MAX_ENTRIES = 32
 
 
@@ -52,7 +52,7 @@
 
 
 class SharedWorld(runner_world.RunnerTest):
-    """Divide a service of eight engines among three holders."""
+    """Set up a service of eight engines with three partitions."""
 
     count = 3
 
@@ -79,10 +79,10 @@
         )
 
     def hold_part(self, part: ServiceName, name: str) -> None:
-        """Give a part to an instance, which begins to run its shares."""
-        before = self.runners_by_part.get(part)
-        if before is not None:
-            before.stop()
+        """Start a runner in a new instance that holds a partition."""
+        previous = self.runners_by_part.get(part)
+        if previous is not None:
+            previous.stop()
         self.part = part
         self.runners_by_part[part] = self.hold(name)
 
@@ -125,14 +125,11 @@
         self.assertEqual(24, len(ids))
         states = {each['state'] for each in found['results']}
         self.assertEqual({ResultState.COMPLETED.value}, states)
-        # Each item was run once, by the holder of its part.
+        # Each item ran once, on the holder of its partition.
         self.assertEqual({1}, set(self.busiest().values()))
 
     def test_every_reader_gets_the_same_positions(self) -> None:
-        """A trainer goes on at another instance from where it was.
-
-        Holders list side by side, and a reader may come between any two.
-        """
+        """Guard against positions that differ between reading instances."""
         self.hold_all()
         self.submit_groups(12)
         seen: list[dict] = []
@@ -144,13 +141,8 @@
         self.assertEqual(24, len(seen))
         self.assertEqual(seen, self.read(self.intake)['results'])
 
-    def test_a_lost_holder_is_followed(self) -> None:
-        """A share whose holder is lost would never be whole.
-
-        1. Three holders run a job; one is lost before its texts are whole.
-        2. Another instance takes its part, and goes on from the store.
-        3. All items are listed, none twice.
-        """
+    def test_a_lost_holder_is_replaced(self) -> None:
+        """Guard against lost or duplicate results of a lost holder's share."""
         self.hold_all()
         self.submit_groups(12)
         self.run_for(0.3)
@@ -160,7 +152,7 @@
         ids = [each['id'] for each in self.read(self.intake)['results']]
         self.assertEqual(24, len(set(ids)))
 
-    def test_a_successor_keeps_what_is_listed(self) -> None:
+    def test_a_successor_keeps_the_listed_results(self) -> None:
         self.hold_all()
         self.submit_groups(12)
         self.run_for(3.0)
@@ -169,13 +161,13 @@
         self.run_for(2.0)
         self.assertEqual(before, self.read(self.intake_of('other')))
 
-    def test_a_job_that_comes_again_is_accepted_once(self) -> None:
+    def test_a_resubmitted_job_is_accepted_once(self) -> None:
         self.submit_groups(12)
         before = self.keys.revision
         self.assertEqual(202, self.submit_groups(12).status)
         self.assertEqual(before, self.keys.revision)
 
-    def test_an_end_is_told_to_all_holders(self) -> None:
+    def test_all_holders_end_an_ended_job(self) -> None:
         self.hold_all()
         self.submit_groups(12)
         self.run_for(0.2)
@@ -192,7 +184,7 @@
             )
             self.assertEqual(b'ab', body)
 
-    def test_nothing_stays_of_a_removed_job(self) -> None:
+    def test_a_removed_job_leaves_no_keys(self) -> None:
         self.hold_all()
         self.submit_groups(12)
         self.run_for(3.0)
@@ -203,12 +195,12 @@
 
 
 class LargestDivisionTest(SharedWorld):
-    """Accept a job for as many holders as there may be."""
+    """A service has the maximum number of partitions."""
 
     count = partitions.MAX_PARTS
 
     def test_a_job_fits_one_transaction(self) -> None:
-        """Written in two, a part of a refused job would run."""
+        """Guard against running a share of a job that was refused."""
         entries: list[int] = []
         memory = self.store()
         transact = memory.transact
@@ -250,8 +242,10 @@
             )
         return relay.Relay(state, None, self.clock)
 
-    def test_all_ask_one_instance_that_has_no_part(self) -> None:
-        """Each instance would read all texts of a job for each reader."""
+    def test_all_instances_relay_reads_to_one_without_a_partition(
+        self,
+    ) -> None:
+        """Guard against every instance reading all texts of a job."""
         found = set()
         for number in range(40):
             job = JobId(f'j{number}')
@@ -271,8 +265,8 @@
 
 
 class FollowTest(world.WorldTest):
-    # Where each part runs shares of every job, its engines follow all models.
-    def test_which_models_a_part_follows(self) -> None:
+    # A partition that runs shares of every job follows all models.
+    def test_models_followed_by_a_partition(self) -> None:
         state = self.state('a')
         parts = partitions.part_names(world.SERVICE, 3)
         for is_by_items in (True, False):
@@ -284,7 +278,7 @@
             ]
             self.assertEqual(3 if is_by_items else 1, len(follow))
 
-    def test_engines_of_parts_are_disjoint_and_kept_current(self) -> None:
+    def test_engines_of_partitions_are_disjoint_and_complete(self) -> None:
         state = self.state('a')
         state.divisions_by_service[world.SERVICE] = partitions.Division(
             parts=3, is_by_items=True
--- a/packages/yuccarill-daemon/tests/gateway/test_shared_results.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_shared_results.py
@@ -1,4 +1,4 @@
-"""Test how several holders list the results of one job."""
+"""Test that several holders list the results of one job."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         self.duties = [self.take(number) for number in range(3)]
 
     def take(self, number: int) -> Revision:
-        """Give a part to a holder."""
+        """Replace the holder of a partition."""
         self.keys.put(keys.duty(self.part(number)), b'holder')
         return Revision(self.keys.revision)
 
@@ -67,8 +67,8 @@
             ids += [result.id for result in chunk.results]
         return ids
 
-    def test_holders_that_write_at_once_list_each_result_once(self) -> None:
-        """Results of two holders at one position would hide one another."""
+    def test_concurrent_writes_list_each_result_once(self) -> None:
+        """Guard against results of two holders at one position."""
         writers = [self.writer(number) for number in range(3)]
         for first in range(4):
             writing = [
@@ -81,11 +81,9 @@
         self.assertEqual(sorted(expected), sorted(self.listed()))
 
     def test_a_lost_reply_lists_nothing_twice(self) -> None:
-        """A trainer would count a sample twice.
+        """Guard against duplicate results after a lost reply.
 
-        1. A write takes effect, and its reply is lost.
-        2. Another holder writes behind it.
-        3. The first one tries again, and finds its results counted.
+        Another holder writes before the retry.
         """
         memory = self.store()
         memory.loses_replies = True
@@ -98,7 +96,7 @@
         self.assertIsNone(writing.result)
         self.assertEqual(['a', 'b', 'c'], self.listed())
 
-    def test_a_write_that_was_refused_is_made_later(self) -> None:
+    def test_a_refused_write_is_retried(self) -> None:
         memory = self.store()
         memory.refuses = True
         writing = self.append(self.writer(0, memory), 0, 0, 'a')
@@ -117,7 +115,7 @@
         self.assertIs(job_store.DutyLost, writing.result)
         self.assertEqual([], self.listed())
 
-    def test_a_successor_goes_on_behind_all_shares(self) -> None:
+    def test_a_successor_appends_to_all_shares(self) -> None:
         first = self.writer(0)
         self.append(first, 0, 0, 'a')
         self.append(self.writer(1), 1, 0, 'b')
@@ -128,8 +126,8 @@
         self.assertIsNone(writing.result)
         self.assertEqual('c', self.listed()[2])
 
-    def test_results_that_are_not_known_here_are_told(self) -> None:
-        """What stands at a share's positions has to be read first."""
+    def test_unknown_results_are_a_position_conflict(self) -> None:
+        """Guard against writing without knowing the share's listed results."""
         self.append(self.writer(0), 0, 0, 'a')
         self.run_for(1.0)
         writing = self.append(self.writer(0), 0, 0, 'b')
--- a/packages/yuccarill-daemon/tests/gateway/test_trainers.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_trainers.py
@@ -1,4 +1,4 @@
-"""Test who answers trainers' calls."""
+"""Test which instance or store answers a trainer's call."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Runner:
-    """Answer once it is told to."""
+    """Answer a read once `waiting` is called back."""
 
     def __init__(self, body: bytes | None) -> None:
         self.body = body
@@ -50,33 +50,29 @@
 
 @dataclasses.dataclass
 class Peers:
-    """Stand in for the way to the holder."""
+    """Simulate the relay to the holder."""
 
     answer: TargetAnswer | None = None
-    asked: int = 0
+    calls: int = 0
 
     def holder(self, host: str, job: str) -> object:
         return 'holder' if self.answer else None
 
     async def send(self, *_: object) -> TargetAnswer | None:
-        self.asked += 1
+        self.calls += 1
         return self.answer
 
 
 class Intake:
-    """Stand in for the store's answers."""
+    """Simulate answers from the store."""
 
     async def read_results(self, query: object, account: object) -> bytes:
         return b'store'
 
 
 class TrainerDeskTest(world.WorldTest):
-    def test_duties_may_change_while_a_reader_waits(self) -> None:
-        """A trainer got 500 for a read while a duty changed hands.
-
-        1. A reader waits at a runner for the next result.
-        2. Another service's duty is taken by this instance meanwhile.
-        """
+    def test_runners_can_change_while_a_reader_waits(self) -> None:
+        """Guard against a failed read when this instance gets a new duty."""
         first = Runner(None)
         runners = {'a': first}
         desk = trainers.TrainerDesk(Intake(), Peers(), runners.values)
@@ -85,21 +81,25 @@
         first.waiting.callback(None)
         self.assertEqual(b'store', reading.result.body)
 
-    def test_the_holder_is_asked_first(self) -> None:
-        told = TargetAnswer(status=200, headers=(), body=b'h', signature=None)
-        desk = trainers.TrainerDesk(Intake(), Peers(told), dict().values)
+    def test_the_holder_is_called_first(self) -> None:
+        answer = TargetAnswer(
+            status=200, headers=(), body=b'h', signature=None
+        )
+        desk = trainers.TrainerDesk(Intake(), Peers(answer), dict().values)
         found = self.finish(desk.serve(QUERY, request()))
         self.assertEqual(b'h', found.body)
 
-    def test_a_relayed_call_is_not_passed_on_again(self) -> None:
-        told = TargetAnswer(status=200, headers=(), body=b'h', signature=None)
-        peers = Peers(told)
+    def test_a_relayed_call_is_not_relayed_again(self) -> None:
+        answer = TargetAnswer(
+            status=200, headers=(), body=b'h', signature=None
+        )
+        peers = Peers(answer)
         desk = trainers.TrainerDesk(Intake(), peers, dict().values)
         found = self.finish(desk.serve(QUERY, request((relay.HEADER, '1'))))
-        self.assertEqual((b'store', 0), (found.body, peers.asked))
+        self.assertEqual((b'store', 0), (found.body, peers.calls))
 
-    def test_a_holder_that_can_not_tell_leaves_it_to_the_store(self) -> None:
-        told = TargetAnswer(status=503, headers=(), body=b'', signature=None)
-        desk = trainers.TrainerDesk(Intake(), Peers(told), dict().values)
+    def test_the_store_answers_if_the_holder_fails(self) -> None:
+        answer = TargetAnswer(status=503, headers=(), body=b'', signature=None)
+        desk = trainers.TrainerDesk(Intake(), Peers(answer), dict().values)
         found = self.finish(desk.serve(QUERY, request()))
         self.assertEqual(b'store', found.body)
