--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/generation.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/generation.py
@@ -132,13 +132,13 @@
         self.must_restart = False
 
     def begin(self, answer: TargetAnswer, version: int | None) -> None:
-        known = None if version is None else WeightVersion(version)
-        self._record_version(known)
-        if known is not None and known < self._run.job.min_version:
+        weights = None if version is None else WeightVersion(version)
+        self._record_version(weights)
+        if weights is not None and weights < self._run.job.min_version:
             raise http_exchange.SinkRefused(
-                f'weight version {known} is too old'
+                f'weight version {weights} is too old'
             )
-        self._run.text.begin_run(known)
+        self._run.text.begin_run(weights)
 
     def event(self, event: StreamEvent) -> None:
         self._record_version(event.version)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/intake.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/intake.py
@@ -340,7 +340,9 @@
         if may_be_stored:
             # A write without a reply can still take effect, so the job must
             # not be reported as not run.
-            raise errors.OutcomeUnknown(f'The job may be stored: {cause}.')
+            raise errors.OutcomeUnknown(
+                f'The job may have been stored: {cause}.'
+            )
         raise errors.NotRun(f'The job was not stored: {cause}.', RETRY_AFTER)
 
     async def _submit_by_peer(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_runs.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_runs.py
@@ -43,7 +43,7 @@
 # Fraction of the event loop's time for ordering and starting waiting items.
 PUMP_TIME_FRACTION = 0.2
 # Shorter pauses are skipped.
-MIN_PUMP_PAUSE = 0.005
+MIN_PUMP_PAUSE_SECONDS = 0.005
 
 
 class ResultSink(Protocol):
@@ -133,7 +133,7 @@
             return
         pause = self._pump_seconds / PUMP_TIME_FRACTION
         remaining = self._pumped_at + pause - self._clock.seconds()
-        if remaining <= MIN_PUMP_PAUSE:
+        if remaining <= MIN_PUMP_PAUSE_SECONDS:
             self.pump()
         else:
             self._next_pump = self._clock.callLater(remaining, self.pump)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/listing.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/listing.py
@@ -41,7 +41,7 @@
         self,
         job: JobId,
         total: int,
-        known: list[ItemResult],
+        listed: list[ItemResult],
         jobs: ResultWriter,
         duty: Duty,
         clock: Any,
@@ -55,9 +55,9 @@
         self._on_conflict = on_conflict
         self.total = total
         # Results in the store, which readers can be shown.
-        self.results = list(known)
+        self.results = list(listed)
         self._waiting_readers: list[defer.Deferred[None]] = []
-        self._item_ids = {result.id for result in known}
+        self._item_ids = {result.id for result in listed}
         self._pending: list[ItemResult] = []
         self._timer: Any = None
         self._write_at = math.inf
@@ -182,14 +182,14 @@
         return True
 
     def _next_chunk(self) -> tuple[ItemResult, ...]:
-        taken: list[ItemResult] = []
+        chunk: list[ItemResult] = []
         size = 0
         for result in self._pending:
             size += len(result.text)
-            if taken and size > CHUNK_BYTES:
+            if chunk and size > CHUNK_BYTES:
                 break
-            taken.append(result)
-        return tuple(taken)
+            chunk.append(result)
+        return tuple(chunk)
 
     def _log_failure(self, failure: Any) -> None:
         if not failure.check(defer.CancelledError):
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/runner.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/runner.py
@@ -269,11 +269,11 @@
             return
         await self._add_job(job, await self._reader.read_results(job))
 
-    async def _add_job(self, job: Job, known: list[ItemResult]) -> None:
+    async def _add_job(self, job: Job, listed: list[ItemResult]) -> None:
         found = listing.Listing(
             job.id,
             len(job.items),
-            known,
+            listed,
             shared_results.writer(self._jobs, self._store, job, self._clock),
             self._duty,
             self._clock,
@@ -293,7 +293,7 @@
             # for which a trainer still waits.
             Instant(self._now() + retained),
         )
-        reused = self._queue.add(state, known)
+        reused = self._queue.add(state, listed)
         self._listings_by_job[job.id] = found
         if job.model is not None:
             self._switcher.items_by_model[job.model] = len(job.items)
@@ -305,7 +305,7 @@
             model=job.model,
             min_version=job.min_version,
             items=len(job.items),
-            listed=len(known),
+            listed=len(listed),
             reused=len(reused),
             resumed=sum(run.text.events > 0 for run in state.waiting()),
             age=round(age, 2),
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/texts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/texts.py
@@ -46,7 +46,7 @@
 PART_BYTES = 200_000
 # Retention time of copies; longer than a duty's lease plus a short outage of
 # the store.
-KEPT_SECONDS = 30.0
+RETENTION_SECONDS = 30.0
 # Interval of engine speeds sent to one peer.
 SPEEDS_SECONDS = 2.0
 # Maximum texts per service, the same limit as in a job queue.
@@ -79,7 +79,7 @@
     following: int | None = None
 
 
-class _KeptText(NamedTuple):
+class _TextCopy(NamedTuple):
     """Hold a text, the message it came from, and its expiry."""
 
     text: PartialText
@@ -88,7 +88,7 @@
     until: Instant
 
 
-class _KeptSpeeds(NamedTuple):
+class _StoredSpeeds(NamedTuple):
     """Hold the engine speeds from a holder, and when they arrived."""
 
     records: tuple[SpeedRecord, ...]
@@ -102,8 +102,8 @@
         self._clock = clock
         # Called before a service's texts are returned to a peer.
         self.on_show: Callable[[ServiceName], None] = lambda service: None
-        self._texts_by_service: dict[ServiceName, dict[ItemId, _KeptText]] = {}
-        self._speeds_by_service: dict[ServiceName, _KeptSpeeds] = {}
+        self._texts_by_service: dict[ServiceName, dict[ItemId, _TextCopy]] = {}
+        self._speeds_by_service: dict[ServiceName, _StoredSpeeds] = {}
 
     async def handle(self, request: SmallRequest) -> Page:
         """Receive texts from a peer, or return the stored ones."""
@@ -126,13 +126,13 @@
     def _part(
         self, service: ServiceName, first: int, max_bytes: int
     ) -> KeptTexts:
-        kept = [
+        stored = [
             each.text
             for each in self._texts_by_service.get(service, {}).values()
         ]
         chosen = []
         left = max_bytes
-        for text in kept[first:]:
+        for text in stored[first:]:
             chosen.append(text)
             left -= sum(len(part) for part in text.parts)
             if left <= 0:
@@ -140,96 +140,96 @@
         following = first + len(chosen)
         return KeptTexts(
             texts=tuple(chosen),
-            following=following if following < len(kept) else None,
+            following=following if following < len(stored) else None,
         )
 
     def _receive(self, request: SmallRequest) -> Page:
         try:
-            handed = msgspec.msgpack.decode(request.body, type=HandedTexts)
+            message = msgspec.msgpack.decode(request.body, type=HandedTexts)
         except msgspec.MsgspecError as error:
             log.warning('Received texts are unreadable.', cause=str(error))
             return Page(status=400)
-        self._clock.callLater(KEPT_SECONDS, self._drop_expired)
-        if handed.speeds:
-            self._speeds_by_service[handed.service] = _KeptSpeeds(
-                handed.speeds, Instant(self._clock.seconds())
+        self._clock.callLater(RETENTION_SECONDS, self._drop_expired)
+        if message.speeds:
+            self._speeds_by_service[message.service] = _StoredSpeeds(
+                message.speeds, Instant(self._clock.seconds())
             )
-        are_taken = [self._store(handed, each) for each in handed.texts]
-        kept = self._texts_by_service.get(handed.service, {})
-        while len(kept) > MAX_TEXTS:
-            del kept[next(iter(kept))]
-        return Page(status=200 if all(are_taken) else 409)
+        are_stored = [self._store(message, each) for each in message.texts]
+        stored = self._texts_by_service.get(message.service, {})
+        while len(stored) > MAX_TEXTS:
+            del stored[next(iter(stored))]
+        return Page(status=200 if all(are_stored) else 409)
 
-    def _store(self, message: HandedTexts, handed: TextChange) -> bool:
+    def _store(self, message: HandedTexts, change: TextChange) -> bool:
         """Store a text; return False if earlier events are missing."""
-        kept = self._texts_by_service.setdefault(message.service, {})
-        text = handed.text
-        known = kept.get(text.item)
+        stored = self._texts_by_service.setdefault(message.service, {})
+        text = change.text
+        known = stored.get(text.item)
         is_same = known is not None and known.source == message.source
         if known is not None and is_same and known.number > message.number:
             # A later message arrived first.
             return False
         before = known.text if known is not None and is_same else None
-        whole = text_copies.apply_change(before, handed)
+        whole = text_copies.apply_change(before, change)
         if whole is None:
             return False
         # Moves the text to the end: eviction starts at the front.
-        kept.pop(text.item, None)
-        kept[text.item] = _KeptText(
+        stored.pop(text.item, None)
+        stored[text.item] = _TextCopy(
             whole,
             message.source,
             message.number,
-            Instant(self._clock.seconds() + KEPT_SECONDS),
+            Instant(self._clock.seconds() + RETENTION_SECONDS),
         )
         return True
 
     def take(self, service: ServiceName) -> list[PartialText]:
         """Remove and return a service's texts."""
         now = self._clock.seconds()
-        kept = self._texts_by_service.pop(service, {})
-        found = [each.text for each in kept.values() if now < each.until]
+        stored = self._texts_by_service.pop(service, {})
+        found = [each.text for each in stored.values() if now < each.until]
         if found:
             log.info('Texts taken over.', service=service, count=len(found))
         return found
 
     def take_speeds(self, service: ServiceName) -> list[SpeedRecord]:
         """Remove and return the engine speeds from the previous holder."""
-        kept = self._speeds_by_service.pop(service, None)
-        if kept is None:
+        stored = self._speeds_by_service.pop(service, None)
+        if stored is None:
             return []
-        seconds = self._clock.seconds() - kept.at
+        seconds = self._clock.seconds() - stored.at
         return [
             msgspec.structs.replace(record, age=record.age + seconds)
-            for record in kept.records
+            for record in stored.records
         ]
 
     def kept(self, service: ServiceName) -> list[PartialText]:
         """Return a service's texts without removing them."""
         now = self._clock.seconds()
-        kept = self._texts_by_service.get(service, {})
-        return [each.text for each in kept.values() if now < each.until]
+        stored = self._texts_by_service.get(service, {})
+        return [each.text for each in stored.values() if now < each.until]
 
     def put(self, service: ServiceName, texts: Iterable[PartialText]) -> None:
         """Store texts generated here, replacing older copies."""
-        until = Instant(self._clock.seconds() + KEPT_SECONDS)
-        kept = self._texts_by_service.setdefault(service, {})
+        until = Instant(self._clock.seconds() + RETENTION_SECONDS)
+        stored = self._texts_by_service.setdefault(service, {})
         for text in texts:
             # The empty source prevents a holder's events from being appended.
-            kept[text.item] = _KeptText(text, '', 0, until)
-        self._clock.callLater(KEPT_SECONDS, self._drop_expired)
+            stored[text.item] = _TextCopy(text, '', 0, until)
+        self._clock.callLater(RETENTION_SECONDS, self._drop_expired)
 
     def drop(self, service: ServiceName, items: Iterable[ItemId]) -> None:
         """Remove the texts of items whose results are listed."""
-        kept = self._texts_by_service.get(service, {})
+        stored = self._texts_by_service.get(service, {})
         for item in items:
-            kept.pop(item, None)
+            stored.pop(item, None)
 
     def _drop_expired(self) -> None:
         now = self._clock.seconds()
-        for kept in self._texts_by_service.values():
-            for item, each in list(kept.items()):
+        for stored in self._texts_by_service.values():
+            for item, each in list(stored.items()):
                 if now >= each.until:
-                    del kept[item]
+                    del stored[item]
 
 
 class TextSender:
@@ -252,13 +252,13 @@
         self, service: ServiceName, texts: Iterable[PartialText]
     ) -> None:
         """Send texts to the likely next holders of a service's duty."""
-        handed = [TextChange(text=text) for text in texts]
-        if not handed:
+        changes = [TextChange(text=text) for text in texts]
+        if not changes:
             return
         await defer.gatherResults(
             [
                 defer.Deferred.fromCoroutine(
-                    self._hand_over_to(peer, service, handed)
+                    self._hand_over_to(peer, service, changes)
                 )
                 for peer in self.receivers(service)
             ]
@@ -284,13 +284,13 @@
         self,
         peer: InstanceRecord,
         service: ServiceName,
-        handed: Iterable[TextChange],
+        changes: Iterable[TextChange],
     ) -> tuple[TextChange, ...]:
         """Send as many texts as fit one message, and return them.
 
         Raises SendFailed.
         """
-        chosen = text_copies.limit_size(handed, MAX_BYTES)
+        chosen = text_copies.limit_size(changes, MAX_BYTES)
         self._number += 1
         message = HandedTexts(
             service=service,
@@ -326,11 +326,11 @@
         self,
         peer: InstanceRecord,
         service: ServiceName,
-        handed: list[TextChange],
+        changes: list[TextChange],
     ) -> None:
         count, cause = 0, ''
         try:
-            count = len(await self.send(peer, service, handed))
+            count = len(await self.send(peer, service, changes))
         except SendFailed as error:
             # The next holder then generates the texts from the start.
             cause = str(error)
@@ -339,6 +339,6 @@
             service=service,
             peer=peer.instance,
             count=count,
-            of=len(handed),
+            of=len(changes),
             cause=cause,
         )
--- a/packages/yuccarill-daemon/tests/gateway/test_texts.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_texts.py
@@ -167,7 +167,7 @@
 
     def test_expired_texts_are_dropped(self) -> None:
         self.receive(text('a', 3))
-        self.run_for(texts.KEPT_SECONDS + 0.1, step=0.1)
+        self.run_for(texts.RETENTION_SECONDS + 0.1, step=0.1)
         self.assertEqual([], self.depot.take(world.SERVICE))
 
     def test_the_number_of_texts_is_limited(self) -> None:
