--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/__init__.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Keep requests that crash their targets away from them."""
+"""Quarantine requests that crash their targets."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/desk.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/desk.py
@@ -1,4 +1,4 @@
-"""Show operators what is in quarantine, and take it back for them."""
+"""List quarantined contents for operators and release them."""
 
 from __future__ import annotations
 
@@ -27,22 +27,22 @@
 
 
 class QuarantineDesk:
-    """Answer operators on the peer port, which no client reaches."""
+    """Handle operators' requests on the peer port, closed to clients."""
 
     def __init__(
         self,
         guard: ContentGuard,
         records: QuarantineRecords,
-        told: EndReports,
+        reports: EndReports,
         clock: Any,
     ) -> None:
         self._guard = guard
         self._records = records
-        self._told = told
+        self._reports = reports
         self._clock = clock
 
     async def handle(self, request: SmallRequest) -> Page:
-        """List what is refused, or take one content back."""
+        """List the quarantined contents, or release one of them."""
         content = ContentDigest(request.path[len(PATH) + 1 :])
         match request.method:
             case 'GET' if not content:
@@ -50,7 +50,7 @@
             case 'DELETE' if content:
                 return await self._release(content)
             case _:
-                return _refused(errors.WrongMethod('Use GET or DELETE.'))
+                return _error_page(errors.WrongMethod('Use GET or DELETE.'))
 
     def _list(self) -> Page:
         ledger = self._guard.ledger
@@ -69,10 +69,10 @@
 
     async def _release(self, content: ContentDigest) -> Page:
         if content not in self._guard.ledger.quarantined():
-            return _refused(
-                errors.UnknownPath('No such content is in quarantine.')
+            return _error_page(
+                errors.UnknownPath('This content is not in quarantine.')
             )
-        self._told.tell(end_messages.EndMessage(released=(content,)))
+        self._reports.send(end_messages.EndMessage(released=(content,)))
         try:
             await self._records.remove(content)
         except (
@@ -80,19 +80,23 @@
             store_module.StoreUnclear,
             store_module.StoreConflict,
         ) as error:
-            # It comes back with the record, and has to be taken back again.
-            log.warning('Not removed.', content=content, cause=str(error))
-            return _refused(
+            # The record restores the quarantine when it is read again.
+            log.warning(
+                'Quarantine record not removed.',
+                content=content,
+                cause=str(error),
+            )
+            return _error_page(
                 errors.StoreUnavailable(
-                    'It was taken back, but its record was not removed: '
-                    'take it back again once the store answers.',
+                    'The content was released, but its record was not '
+                    'removed. Release it again once the store is available.',
                     1.0,
                 )
             )
         return self._list()
 
 
-def _refused(error: errors.YuccarillError) -> Page:
+def _error_page(error: errors.YuccarillError) -> Page:
     body = {
         'code': error.code,
         'name': error.code.name,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/end_messages.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/end_messages.py
@@ -1,4 +1,4 @@
-"""Define what instances tell each other of ends and their causes."""
+"""Define the messages on crashes that instances exchange."""
 
 from __future__ import annotations
 
@@ -12,56 +12,59 @@
 
 
 class Quarantined(msgspec.Struct, frozen=True, kw_only=True):
-    """Name a content that is refused, and for how much longer."""
+    """Hold a quarantined content and the seconds until it expires."""
 
     content: ContentDigest
     seconds: float
 
 
 class EndMessage(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what one instance tells another."""
+    """Hold the changes that one instance reports to another."""
 
     ends: tuple[CrashReport, ...] = ()
-    # Calls that were lost at targets which may have ended behind their ports.
+    # Lost calls to targets that may have crashed while their ports stay open.
     doubts: tuple[CrashReport, ...] = ()
-    # Contents of runs that a target finished.
+    # Contents with a completed run.
     completed: tuple[ContentDigest, ...] = ()
-    # Suspects that the sender has just sent on.
+    # Suspects that the sender has just sent to a target.
     tried: tuple[ContentDigest, ...] = ()
     quarantined: tuple[Quarantined, ...] = ()
     released: tuple[ContentDigest, ...] = ()
 
 
-class Told(NamedTuple):
-    """Hold a message that waits for a peer."""
+class QueuedMessage(NamedTuple):
+    """Hold a message that is item for a peer."""
 
     message: EndMessage
-    # When it was first to be sent.
-    at: Instant
+    queued_at: Instant
 
 
-def merged(waiting: list[Told], now: Instant) -> EndMessage:
-    """Return what waits for a peer as one message."""
+def merge(messages: list[QueuedMessage], now: Instant) -> EndMessage:
+    """Merge the item messages and advance the ages of their reports."""
     return EndMessage(
         ends=tuple(
-            _aged(end, told, now)
-            for told in waiting
-            for end in told.message.ends
+            _aged(end, item, now)
+            for item in messages
+            for end in item.message.ends
         ),
         doubts=tuple(
-            _aged(loss, told, now)
-            for told in waiting
-            for loss in told.message.doubts
+            _aged(loss, item, now)
+            for item in messages
+            for loss in item.message.doubts
         ),
-        completed=tuple(c for told in waiting for c in told.message.completed),
-        tried=tuple(c for told in waiting for c in told.message.tried),
+        completed=tuple(
+            c for item in messages for c in item.message.completed
+        ),
+        tried=tuple(c for item in messages for c in item.message.tried),
         quarantined=tuple(
-            each for told in waiting for each in told.message.quarantined
+            each for item in messages for each in item.message.quarantined
         ),
-        released=tuple(c for told in waiting for c in told.message.released),
+        released=tuple(c for item in messages for c in item.message.released),
     )
 
 
-def _aged(report: CrashReport, told: Told, now: Instant) -> CrashReport:
-    age = report.age + now - told.at
+def _aged(
+    report: CrashReport, item: QueuedMessage, now: Instant
+) -> CrashReport:
+    age = report.age + now - item.queued_at
     return msgspec.structs.replace(report, age=age)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/guard.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/guard.py
@@ -1,4 +1,7 @@
-"""Say whether a request may be sent on, by what its like did to targets."""
+"""Decide whether a request may be sent, by the crashes of its content.
+
+A content is a digest that is the same for each retry of a request.
+"""
 
 from __future__ import annotations
 
@@ -32,20 +35,17 @@
 
 log = logs.for_part('quarantine')
 
-# Seconds after which a suspect that was held back may come again.
-TRIAL_RETRY = 1.0
-# Seconds for which a suspect is held back that another instance has just sent
-# on. With eight instances a simulated caller ended 3.4 of six targets instead
-# of 4.1, the mean of ten plays (tools/measure_crashes.py).
-TRIAL_SECONDS = 1.0
-# Ended targets that a refusal names.
-SHOWN_TARGETS = 3
-# Contents whose host and path are kept for people to read.
+# Retry-After of a refused suspect, in seconds.
+TRIAL_RETRY_SECONDS = 1.0
+# Seconds for which a suspect is held back after a peer has sent it.
+PEER_TRIAL_SECONDS = 1.0
+MAX_SHOWN_TARGETS = 3
+# Contents whose host and path are kept for logs and operators.
 MAX_NAMES = 1024
 
 
 class ContentGuard:
-    """Hold requests back that ended their targets."""
+    """Hold back requests that crash their targets."""
 
     def __init__(
         self,
@@ -56,122 +56,121 @@
         self._state = state
         self._clock = clock
         self.ledger = ledger or crash_ledger.CrashLedger()
-        # Called with what this instance has seen, and the others have not.
-        self.on_end: Callable[[CrashReport], None] = lambda report: None
-        self.on_doubted: Callable[[tuple[CrashReport, ...]], None] = (
+        # Callbacks for events that this instance observes first.
+        self.on_crash: Callable[[CrashReport], None] = lambda report: None
+        self.on_lost_calls: Callable[[tuple[CrashReport, ...]], None] = (
             lambda reports: None
         )
         self.on_completed: Callable[[ContentDigest], None] = lambda c: None
         self.on_trial: Callable[[ContentDigest], None] = lambda c: None
         self.on_quarantined: Callable[[ContentDigest], None] = lambda c: None
-        # Called with what others have found.
-        self.on_learnt: Callable[[ContentDigest], None] = lambda c: None
-        # Called with ends that others have seen.
-        self.on_end_learnt: Callable[[CrashReport], None] = lambda report: None
-        # Contents that are not clear and run for this instance.
-        self._parting = suspect_runs.SuspectRuns()
+        # Callbacks for events that peers report.
+        self.on_peer_quarantine: Callable[[ContentDigest], None] = lambda c: (
+            None
+        )
+        self.on_peer_crash: Callable[[CrashReport], None] = lambda report: None
+        # Runs of this instance whose content is not clear.
+        self._runs = suspect_runs.SuspectRuns()
         self.abandoned = abandoned.AbandonedRuns()
         self.doubts = unconfirmed_losses.UnconfirmedLosses()
-        self._spared = last_target_guard.LastTargetGuard(
+        self._last_target_guard = last_target_guard.LastTargetGuard(
             self.ledger, self.doubts
         )
-        # Until when suspects are held back that others have sent on.
-        self._tried_until: dict[ContentDigest, Instant] = {}
+        # Suspects that peers run now.
+        self._held_until_by_content: dict[ContentDigest, Instant] = {}
         self._names_by_content: dict[ContentDigest, str] = {}
-        self._known: set[ContentDigest] = set()
+        self._logged: set[ContentDigest] = set()
 
     def admit(self, content: ContentDigest, service: ServiceName) -> None:
-        """Let a content be sent on now.
-
-        Raises RequestQuarantined if it may not.
-        """
+        """Raise RequestQuarantined unless a content may be sent now."""
         if self.is_admitted(content, service):
             return
         verdict = self.ledger.verdict(content)
         meters.HELD_BACK.labels(verdict.value).inc()
-        seconds = TRIAL_RETRY
+        seconds = TRIAL_RETRY_SECONDS
         if verdict is Verdict.QUARANTINED:
             seconds = self.ledger.seconds_left(content, self.now())
-        targets = ', '.join(self.ledger.targets(content)[-SHOWN_TARGETS:])
+        targets = ', '.join(self.ledger.targets(content)[-MAX_SHOWN_TARGETS:])
         raise errors.RequestQuarantined(
-            f'The request was not run: targets ended under its like '
-            f'(content {content}: {targets or "seen elsewhere"}).',
+            f'The request was not run: requests with the same content crashed '
+            f'targets (content {content}: {targets or "reported by peers"}).',
             seconds,
         )
 
     def is_admitted(
         self, content: ContentDigest, service: ServiceName
     ) -> bool:
-        """Tell whether a content may be sent on now."""
+        """Tell whether a content may be sent now."""
         verdict = self.ledger.verdict(content)
         if verdict is Verdict.QUARANTINED:
             return False
-        if verdict is Verdict.SUSPECT and not self._may_try(content):
+        if verdict is Verdict.SUSPECT and not self._may_start_trial(content):
             return False
         if verdict is Verdict.CLEAR and self.doubts.is_empty:
             return True
         ready = self._state.targets.ready(service).keys()
-        return not self._spared.must_hold(content, ready, self.now())
+        return not self._last_target_guard.must_hold(
+            content, ready, self.now()
+        )
 
     def elsewhere(self, content: ContentDigest) -> frozenset[TargetId]:
-        """Return the targets that a content had better not share.
+        """Return the targets that a content avoids where others are free.
 
-        A request that was beside the cause of an end would be beside it at
-        the next target too, where both are sent at once, and look the same.
+        Contents that run together at each crash are equally suspect.
         """
         return frozenset(self.others(content))
 
     def may_run_twice(self, content: ContentDigest) -> bool:
-        """Tell whether two targets may run a content at once."""
+        """Tell whether two targets may run a content concurrently."""
         is_clear = self.ledger.verdict(content) is Verdict.CLEAR
         return is_clear and not self.doubts.losses_of(content, self.now())
 
     def others(self, content: ContentDigest) -> Mapping[TargetId, int]:
-        """Count the contents at each target that a content might end with."""
+        """Count the other suspicious contents that run at each target."""
         return (
             {}
             if self.ledger.is_clear
-            else self._parting.other_counts_by_target(content)
+            else self._runs.other_counts_by_target(content)
         )
 
     def barred(self, content: ContentDigest) -> frozenset[TargetId]:
-        """Return the targets that a content may not share.
+        """Return the targets that a content must not run at.
 
-        Two suspects that run beside each other would tell nothing.
+        A crash under two suspects does not show which one caused it.
         """
         if self.ledger.verdict(content) is not Verdict.SUSPECT:
             return frozenset()
-        return self._parting.targets_with(self.ledger.suspects() - {content})
+        return self._runs.targets_with(self.ledger.suspects() - {content})
 
     def begin(self, target: TargetId, content: ContentDigest) -> bool:
-        """Note a run of a content that is not clear; tell if it was noted."""
+        """Record a run unless its content is clear; return whether it was."""
         verdict = self.ledger.verdict(content)
         if verdict is Verdict.CLEAR:
             return False
         if verdict is Verdict.SUSPECT:
             self.on_trial(content)
-        self._parting.begin(target, content)
+        self._runs.begin(target, content)
         return True
 
     def finish(self, target: TargetId, content: ContentDigest) -> None:
-        """Note that a run which was noted is over."""
-        self._parting.finish(target, content)
+        """Record the end of a run that `begin` recorded."""
+        self._runs.finish(target, content)
 
-    def gave_up(
+    def record_abandoned_run(
         self,
         target: TargetId,
         content: ContentDigest,
         request: RequestId,
         is_failed: bool,
-        began_at: Instant,
+        started_at: Instant,
     ) -> None:
-        """Note a run that is broken off here, and may go on there."""
+        """Record a run given up here that may continue at the target."""
         self.abandoned.add(
-            target, content, request, is_failed, began_at, self.now()
+            target, content, request, is_failed, started_at, self.now()
         )
 
-    def doubted_elsewhere(self, reports: Iterable[CrashReport]) -> None:
-        """Take calls that another instance lost."""
+    def record_peer_losses(self, reports: Iterable[CrashReport]) -> None:
+        """Record unconfirmed losses that a peer reports."""
         now = self.now()
         for report in reports:
             target = self._state.targets.targets_by_id.get(report.target)
@@ -180,102 +179,102 @@
                 self.doubts.add(target, lost, Instant(now - report.age))
 
     def is_unsettled(self, content: ContentDigest) -> bool:
-        """Tell whether targets may yet end under runs that failed."""
+        """Tell whether targets may still crash under failed runs."""
         count = self.abandoned.failed_run_count(content, self.now())
         is_clear = self.ledger.verdict(content) is Verdict.CLEAR
         return count >= (abandoned.MAX_FAILED_RUNS if is_clear else 1)
 
-    def tried_elsewhere(self, content: ContentDigest) -> None:
-        """Hold a suspect back that another instance has sent on."""
-        until = Instant(self.now() + TRIAL_SECONDS)
-        self._tried_until[content] = until
+    def record_peer_trial(self, content: ContentDigest) -> None:
+        """Hold back a suspect that a peer has sent to a target."""
+        until = Instant(self.now() + PEER_TRIAL_SECONDS)
+        self._held_until_by_content[content] = until
 
-    def completed(self, content: ContentDigest) -> None:
-        """Note that a target finished a run of a content."""
+    def record_completion(self, content: ContentDigest) -> None:
+        """Record that a target completed a run of a content."""
         self.doubts.completed(content)
         if self.ledger.completed(content, self.now()):
-            log.info('Cleared by a finished run.', content=content)
+            log.info('Content cleared by a completed run.', content=content)
             self.on_completed(content)
-        self._tell_quarantined()
+        self._announce_quarantines()
 
-    def completed_elsewhere(self, content: ContentDigest) -> None:
-        """Take a run that a target finished for another instance."""
+    def record_peer_completion(self, content: ContentDigest) -> None:
+        """Record a completed run that a peer reports."""
         self.doubts.completed(content)
         self.ledger.completed(content, self.now())
-        self._note_learnt()
+        self._handle_peer_quarantines()
 
-    def name(self, content: ContentDigest, name: str) -> None:
-        """Keep host and path of a content for people to read."""
+    def set_name(self, content: ContentDigest, name: str) -> None:
+        """Keep host and path of a content for logs and operators."""
         self._names_by_content[content] = name
         while len(self._names_by_content) > MAX_NAMES:
             del self._names_by_content[next(iter(self._names_by_content))]
 
     def name_of(self, content: ContentDigest) -> str:
-        """Return host and path of a content, as far as they are known."""
+        """Return host and path of a content, or an empty string."""
         return self._names_by_content.get(content, '')
 
     def target_ended(self, report: CrashReport) -> None:
-        """Take an end that this instance has seen, and tell the others."""
+        """Record a crash that this instance detected and tell its peers."""
         completed = self.ledger.known_completed(report.contents, self.now())
         suspected = tuple(c for c in report.contents if c not in completed)
         if not suspected:
             return
-        told = msgspec.structs.replace(report, contents=suspected)
-        self.ledger.report(told, self.now())
-        self.on_end(told)
-        self._tell_quarantined()
+        report_to_send = msgspec.structs.replace(report, contents=suspected)
+        self.ledger.report(report_to_send, self.now())
+        self.on_crash(report_to_send)
+        self._announce_quarantines()
 
-    def take(self, reports: Iterable[CrashReport]) -> None:
-        """Take ends that others have seen."""
+    def record_peer_crashes(self, reports: Iterable[CrashReport]) -> None:
+        """Record crashes that peers report."""
         now = self.now()
         for report in reports:
             self.ledger.report(report, now)
-            self.on_end_learnt(report)
-        self._note_learnt()
+            self.on_peer_crash(report)
+        self._handle_peer_quarantines()
 
     def quarantine(self, content: ContentDigest, seconds: float) -> None:
-        """Refuse a content that another instance found to be a cause."""
+        """Quarantine a content that a peer found to crash targets."""
         self.ledger.quarantine(content, seconds, self.now())
-        self._note_learnt()
+        self._handle_peer_quarantines()
 
     def release(self, content: ContentDigest) -> None:
-        """Let a content be sent on again."""
+        """Release a content from quarantine."""
         self.ledger.release(content, self.now())
-        self._known.discard(content)
-        log.info('Released.', content=content)
-        self._count()
+        self._logged.discard(content)
+        log.info('Content released from quarantine.', content=content)
+        self._update_gauge()
 
     def expire(self) -> None:
-        """Drop what no longer counts."""
+        """Remove expired quarantines and holds."""
         for content in self.ledger.expire(self.now()):
-            self._known.discard(content)
-            log.info('Quarantine over.', content=content)
+            self._logged.discard(content)
+            log.info('Quarantine expired.', content=content)
         now = self.now()
-        self._tried_until = {
+        self._held_until_by_content = {
             content: until
-            for content, until in self._tried_until.items()
+            for content, until in self._held_until_by_content.items()
             if now < until
         }
-        self._count()
+        self._update_gauge()
 
-    def _may_try(self, content: ContentDigest) -> bool:
-        if self._parting.is_running(content) or self.is_unsettled(content):
-            # One run tells as much as two, and ends one target less.
+    def _may_start_trial(self, content: ContentDigest) -> bool:
+        if self._runs.is_running(content) or self.is_unsettled(content):
+            # One trial at a time limits the targets that a suspect crashes.
             return False
         now = self.now()
-        return now >= self._tried_until.get(content, now)
+        return now >= self._held_until_by_content.get(content, now)
 
-    def _tell_quarantined(self) -> None:
-        for content in self._note_quarantined():
+    def _announce_quarantines(self) -> None:
+        for content in self._log_new_quarantines():
             self.on_quarantined(content)
 
-    def _note_learnt(self) -> None:
-        for content in self._note_quarantined():
-            self.on_learnt(content)
+    def _handle_peer_quarantines(self) -> None:
+        for content in self._log_new_quarantines():
+            self.on_peer_quarantine(content)
 
-    def _note_quarantined(self) -> list[ContentDigest]:
-        """Log what is newly refused, and return it."""
-        new = [c for c in self.ledger.quarantined() if c not in self._known]
+    def _log_new_quarantines(self) -> list[ContentDigest]:
+        """Log and return the contents that are newly quarantined."""
+        new = [c for c in self.ledger.quarantined() if c not in self._logged]
         for content in new:
             log.warning(
                 'Request quarantined.',
@@ -284,11 +283,11 @@
                 targets=self.ledger.targets(content),
                 seconds=self.ledger.seconds_left(content, self.now()),
             )
-        self._known = set(self.ledger.quarantined())
-        self._count()
+        self._logged = set(self.ledger.quarantined())
+        self._update_gauge()
         return new
 
-    def _count(self) -> None:
+    def _update_gauge(self) -> None:
         meters.QUARANTINED.set(len(self.ledger.quarantined()))
 
     def now(self) -> Instant:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/parts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/parts.py
@@ -1,4 +1,4 @@
-"""Put the parts together that keep requests away from targets they end."""
+"""Assemble the quarantine of requests that crash their targets."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class QuarantineParts:
-    """Hold the guard, and what it is told and told by."""
+    """Hold the crash guard and the components that exchange data with it."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
     ) -> None:
         self.guard = guard.ContentGuard(state, clock)
         self.ends = target_ends.TargetEnds(calls, self.guard, clock)
-        # What the other parts send calls by.
+        # All other components send their calls through this object.
         self.calls = watched_calls.WatchedCalls(calls, self.ends, self.guard)
         self.records = records.QuarantineRecords(
             state, self.guard, store, clock
@@ -44,28 +44,28 @@
         self._reports = reports.EndReports(
             state, self.guard, peer_call.PeerCalls(links, clock), clock
         )
-        self._desk = desk.QuarantineDesk(
+        self._operator_api = desk.QuarantineDesk(
             self.guard, self.records, self._reports, clock
         )
 
     def start(self) -> None:
-        """Begin to exchange with the other instances."""
-        self.guard.on_quarantined = self._quarantined
-        self.guard.on_learnt = self.records.expect
+        """Start the exchange of crash reports with the other instances."""
+        self.guard.on_quarantined = self._publish_quarantine
+        self.guard.on_peer_quarantine = self.records.write_later
         self._reports.start()
 
     def handles(self, path: str) -> bool:
-        """Tell whether a page of the peer port is answered here."""
+        """Tell whether a path of the peer port belongs to the quarantine."""
         return path.startswith(reports.PATH)
 
     async def handle(self, request: SmallRequest) -> Page:
-        """Answer a peer or an operator."""
+        """Handle a request of a peer or an operator."""
         if request.path == reports.PATH:
             return await self._reports.handle(request)
-        return await self._desk.handle(request)
+        return await self._operator_api.handle(request)
 
-    def _quarantined(self, content: ContentDigest) -> None:
-        # Told as well as recorded: the store may be away, and a peer may
-        # have missed one of the ends.
+    def _publish_quarantine(self, content: ContentDigest) -> None:
+        # Sent to peers as well as stored: the store can be unavailable, and a
+        # peer can have missed a crash report.
         self._reports.tell_quarantined(content)
         self.records.write(content)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/records.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/records.py
@@ -1,4 +1,4 @@
-"""Keep the quarantine in the store, for instances that start later."""
+"""Persist quarantined contents in the store across restarts."""
 
 from __future__ import annotations
 
@@ -27,24 +27,21 @@
 
 log = logs.for_part('quarantine')
 
-# Seconds before a record is written again that the store did not take.
+# Seconds before a failed write of a record is retried.
 RETRY_SECONDS = 0.5
-# Seconds that an instance which was told of a quarantine waits for its record.
-# Whoever saw the last end may have started a moment ago, and not know of the
-# others that make three: then nobody wrote one, and all instances that were
-# killed together began to count anew.
-RECORD_WAIT = 1.0
-# Records that one write removes, their time being over; the platform takes
-# 32 keys a call.
-REMOVED_AT_ONCE = 16
+# Seconds that a quarantine derived from peers' reports waits for its record.
+# The instance that saw the last crash can have missed the earlier ones and
+# write no record; then another instance has to.
+RECORD_WAIT_SECONDS = 1.0
+# Expired records removed per write; the platform accepts 32 keys per call.
+MAX_REMOVALS_PER_WRITE = 16
 
 
 class QuarantineRecords:
-    """Write what this instance found, and take what others found.
+    """Write quarantines found here and apply the ones found by peers.
 
-    What is only in memory is gone once all instances are killed at the same
-    moment, and the caller ended three more targets each time. Nothing is
-    written for a request that is not quarantined.
+    Guards against the loss of all quarantines when all instances are killed at
+    once. Nothing is written for a content that is not quarantined.
     """
 
     def __init__(
@@ -60,47 +57,47 @@
         self._store = store
         self._clock = clock
         self._wall = wall
-        # Contents of the records that were taken.
-        self._taken: set[ContentDigest] = set()
+        self._applied: set[ContentDigest] = set()
 
     def update(self) -> None:
-        """Take what has changed in the store."""
+        """Apply the records that were added or removed in the store."""
         records = self._state.quarantined_by_content
-        for content in self._taken - records.keys():
-            self._taken.discard(content)
+        for content in self._applied - records.keys():
+            self._applied.discard(content)
             self._guard.release(content)
-        for content in records.keys() - self._taken:
-            self._taken.add(content)
-            left = records[content].until - self._wall()
-            if left > 0.0:
-                self._guard.name(content, records[content].request)
+        for content in records.keys() - self._applied:
+            self._applied.add(content)
+            seconds_left = records[content].until - self._wall()
+            if seconds_left > 0.0:
+                self._guard.set_name(content, records[content].request)
                 self._guard.quarantine(
-                    content, min(left, crash_ledger.QUARANTINE_SECONDS)
+                    content, min(seconds_left, crash_ledger.QUARANTINE_SECONDS)
                 )
 
     def write(self, content: ContentDigest) -> None:
-        """Record a content that this instance found to be a cause."""
+        """Write a record for a content that this instance quarantined."""
         writing = defer.Deferred.fromCoroutine(self._write(content))
-        writing.addErrback(self._failed)
+        writing.addErrback(self._log_failure)
 
-    def expect(self, content: ContentDigest) -> None:
-        """Record what another instance found, if it does not do so itself."""
+    def write_later(self, content: ContentDigest) -> None:
+        """Write a quarantine found by a peer unless the peer writes it."""
         if content in self._state.quarantined_by_content:
             return
-        self._clock.callLater(RECORD_WAIT, self._write_missing, content)
+        self._clock.callLater(RECORD_WAIT_SECONDS, self._write_absent, content)
 
-    def _write_missing(self, content: ContentDigest) -> None:
+    def _write_absent(self, content: ContentDigest) -> None:
         if content not in self._guard.ledger.quarantined():
             return
-        # A few are enough, and these see first what the store holds.
-        few = watchers.watchers(
+        # Only the watchers write it, to limit conflicting writes: they are the
+        # first to see changes in the store.
+        writers = watchers.watchers(
             self._state.cores_by_name(), self._state.centres_by_name()
         )
-        if self._state.settings.instance in few:
+        if self._state.settings.instance in writers:
             self.write(content)
 
     async def remove(self, content: ContentDigest) -> None:
-        """Take a content back, for all instances.
+        """Release a content from quarantine in all instances.
 
         Raises StoreRefused, StoreUnclear or StoreConflict.
         """
@@ -135,24 +132,28 @@
                     removals=self._expired_keys(),
                 )
             except store_module.StoreConflict:
-                # Another instance wrote it, or an earlier try took effect.
+                # A peer wrote it, or an earlier attempt of this one succeeded.
                 return
             except (
                 store_module.StoreRefused,
                 store_module.StoreUnclear,
             ) as error:
-                log.info('Not recorded.', content=content, cause=str(error))
+                log.info(
+                    'Quarantine record not written.',
+                    content=content,
+                    cause=str(error),
+                )
                 await self._store.pause(RETRY_SECONDS)
                 continue
-            log.info('Recorded.', content=content)
+            log.info('Quarantine record written.', content=content)
             return
 
     def _expired_keys(self) -> list[str]:
         now = self._wall()
         records = self._state.quarantined_by_content
         expired = [c for c, record in records.items() if record.until <= now]
-        return [keys.quarantine(c) for c in expired[:REMOVED_AT_ONCE]]
+        return [keys.quarantine(c) for c in expired[:MAX_REMOVALS_PER_WRITE]]
 
-    def _failed(self, failure: Any) -> None:
+    def _log_failure(self, failure: Any) -> None:
         if not failure.check(defer.CancelledError):
-            log.error('Record failed.', cause=failure.getTraceback())
+            log.error('Quarantine write failed.', cause=failure.getTraceback())
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/reports.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/reports.py
@@ -1,4 +1,4 @@
-"""Tell the other instances which requests ended targets."""
+"""Exchange reports of crashed targets with the other instances."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from yuccarill.daemon.gateway.quarantine import end_messages
 from yuccarill.daemon.gateway.quarantine.end_messages import EndMessage
 from yuccarill.daemon.gateway.quarantine.end_messages import Quarantined
-from yuccarill.daemon.gateway.quarantine.end_messages import Told
+from yuccarill.daemon.gateway.quarantine.end_messages import QueuedMessage
 from yuccarill.daemon import logs
 
 if TYPE_CHECKING:
@@ -32,38 +32,34 @@
 log = logs.for_part('quarantine')
 
 PATH = '/quarantine'
-# Calls of peers at the same time. 410 connections in one moment would hold a
-# small instance up; a third of 165 instances that do not answer must not keep
-# the others waiting for longer than one call takes.
-TOLD_AT_ONCE = 64
-# Seconds for one peer's answer, between tries, and after which no more are
-# made: one that is away for longer reads what is in the store.
+# Concurrent calls to peers: few enough not to overload a small instance, and
+# enough that peers that do not answer delay the others by one call at most.
+MAX_CONCURRENT_CALLS = 64
 ANSWER_SECONDS = 0.8
 RETRY_SECONDS = 0.4
-TELL_SECONDS = 10.0
-# Seconds after its start in which an instance asks a peer for what was told
-# before, and between its tries. It knows its peers when it is ready, and what
-# it sends on before it knows the rest may end a target.
-ASK_SECONDS = 0.25
-# Times that it tries.
-MAX_TRIES = 20
-# Seconds between looks at what no longer counts.
+# Seconds after which a message is dropped; the peer reads the store later.
+TTL_SECONDS = 10.0
+# Seconds from the start to the first request for earlier reports, and between
+# attempts. Short: until then this instance can send a request that crashes.
+FETCH_INTERVAL_SECONDS = 0.25
+MAX_FETCHES = 20
+# Seconds between removals of expired quarantines.
 EXPIRE_SECONDS = 30.0
 
 
 @dataclasses.dataclass
 class _Outbox:
-    """Hold what a peer is still to be told; one call at a time goes to it."""
+    """Hold the messages queued for a peer, which gets one call at a time."""
 
-    waiting: list[Told] = dataclasses.field(default_factory=list)
+    waiting: list[QueuedMessage] = dataclasses.field(default_factory=list)
     is_sending: bool = False
 
 
 class EndReports:
-    """Exchange with the other instances what the guard goes by.
+    """Exchange the data of the crash guard with the other instances.
 
-    Each instance is told directly: which targets end has to be known while
-    the store is away too, and before the next try of a caller.
+    Each instance is called directly: reports have to arrive before a client's
+    next retry, also while the store is unavailable.
     """
 
     def __init__(
@@ -78,76 +74,76 @@
         self._peers = peers
         self._clock = clock
         self._outboxes_by_peer: dict[InstanceId, _Outbox] = {}
-        self._turns = defer.DeferredSemaphore(TOLD_AT_ONCE)
+        self._call_slots = defer.DeferredSemaphore(MAX_CONCURRENT_CALLS)
         self._expiring = task.LoopingCall(guard.expire)
         self._expiring.clock = clock
 
     def start(self) -> None:
-        """Begin to exchange."""
-        self._guard.on_end = self._tell_end
-        self._guard.on_doubted = self._tell_doubts
-        self._guard.on_completed = self._tell_completed
-        self._guard.on_trial = self._tell_trial
+        """Start the exchange and fetch earlier reports from a peer."""
+        self._guard.on_crash = self._send_crash
+        self._guard.on_lost_calls = self._send_losses
+        self._guard.on_completed = self._send_completion
+        self._guard.on_trial = self._send_trial
         self._expiring.start(EXPIRE_SECONDS, now=False)
-        asking = defer.Deferred.fromCoroutine(self._ask())
-        asking.addErrback(self._failed)
+        fetching = defer.Deferred.fromCoroutine(self._fetch_earlier())
+        fetching.addErrback(self._log_failure)
 
-    def tell(self, message: EndMessage) -> None:
-        """Tell every other instance."""
-        told = Told(message, Instant(self._clock.seconds()))
+    def send(self, message: EndMessage) -> None:
+        """Queue a message for every other instance."""
+        queued = QueuedMessage(message, Instant(self._clock.seconds()))
         me = self._state.settings.instance
         for name in self._state.instances_by_id:
             if name == me:
                 continue
             outbox = self._outboxes_by_peer.setdefault(name, _Outbox())
-            outbox.waiting.append(told)
+            outbox.waiting.append(queued)
             if not outbox.is_sending:
                 outbox.is_sending = True
                 sending = defer.Deferred.fromCoroutine(
-                    self._empty(name, outbox)
+                    self._drain(name, outbox)
                 )
-                sending.addErrback(self._failed)
-                sending.addBoth(self._emptied, name)
+                sending.addErrback(self._log_failure)
+                sending.addBoth(self._remove_outbox, name)
 
     def tell_quarantined(self, content: ContentDigest) -> None:
-        """Tell every other instance that a content is refused from now on."""
+        """Send a new quarantine to every other instance."""
         now = self._clock.seconds()
         left = self._guard.ledger.seconds_left(content, now)
-        self.tell(
+        self.send(
             EndMessage(
                 quarantined=(Quarantined(content=content, seconds=left),)
             )
         )
 
     async def handle(self, request: SmallRequest) -> Page:
-        """Take what a peer tells, or tell it everything."""
+        """Handle a message of a peer, or return all current reports."""
         if request.method == 'GET':
-            return _page(self._everything())
+            return _page(self._snapshot())
         try:
             message = msgspec.msgpack.decode(request.body, type=EndMessage)
         except msgspec.MsgspecError as error:
-            log.warning('Message not taken.', cause=str(error))
+            log.warning('Invalid peer message rejected.', cause=str(error))
             return Page(status=400)
-        self._take(message)
+        self._apply(message)
         contents = [c for end in message.ends for c in end.contents]
         completed = self._guard.ledger.known_completed(
             contents, self._clock.seconds()
         )
         return _page(EndMessage(completed=completed))
 
-    def _take(self, message: EndMessage) -> None:
+    def _apply(self, message: EndMessage) -> None:
         for content in message.completed:
-            self._guard.completed_elsewhere(content)
+            self._guard.record_peer_completion(content)
         for content in message.tried:
-            self._guard.tried_elsewhere(content)
+            self._guard.record_peer_trial(content)
         for each in message.quarantined:
             self._guard.quarantine(each.content, each.seconds)
         for content in message.released:
             self._guard.release(content)
-        self._guard.doubted_elsewhere(message.doubts)
-        self._guard.take(message.ends)
+        self._guard.record_peer_losses(message.doubts)
+        self._guard.record_peer_crashes(message.ends)
 
-    def _everything(self) -> EndMessage:
+    def _snapshot(self) -> EndMessage:
         now = self._clock.seconds()
         ledger = self._guard.ledger
         return EndMessage(
@@ -158,52 +154,52 @@
             ),
         )
 
-    def _tell_end(self, report: CrashReport) -> None:
-        self.tell(EndMessage(ends=(report,)))
+    def _send_crash(self, report: CrashReport) -> None:
+        self.send(EndMessage(ends=(report,)))
 
-    def _tell_doubts(self, doubts: tuple[CrashReport, ...]) -> None:
-        self.tell(EndMessage(doubts=doubts))
+    def _send_losses(self, doubts: tuple[CrashReport, ...]) -> None:
+        self.send(EndMessage(doubts=doubts))
 
-    def _tell_completed(self, content: ContentDigest) -> None:
-        self.tell(EndMessage(completed=(content,)))
+    def _send_completion(self, content: ContentDigest) -> None:
+        self.send(EndMessage(completed=(content,)))
 
-    def _tell_trial(self, content: ContentDigest) -> None:
-        self.tell(EndMessage(tried=(content,)))
+    def _send_trial(self, content: ContentDigest) -> None:
+        self.send(EndMessage(tried=(content,)))
 
-    async def _empty(self, name: InstanceId, outbox: _Outbox) -> None:
-        """Send a peer what waits for it, until nothing is left."""
+    async def _drain(self, name: InstanceId, outbox: _Outbox) -> None:
+        """Send the queued messages to a peer until none is left."""
         waiting = outbox.waiting
         cause = ''
         while waiting:
             peer = self._state.instances_by_id.get(name)
             now = Instant(self._clock.seconds())
-            if peer is None or now >= waiting[0].at + TELL_SECONDS:
-                log.warning('Peer not told.', peer=name, cause=cause)
+            if peer is None or now >= waiting[0].queued_at + TTL_SECONDS:
+                log.warning('Peer message dropped.', peer=name, cause=cause)
                 del waiting[0]
                 continue
             count = len(waiting)
             try:
                 answer = await self._send(
-                    peer, end_messages.merged(waiting, now)
+                    peer, end_messages.merge(waiting, now)
                 )
             except (peer_call.PeerFailed, msgspec.MsgspecError) as error:
                 cause = str(error)
                 await task.deferLater(self._clock, RETRY_SECONDS)
                 continue
             del waiting[:count]
-            # The peer has seen runs of them that a target finished.
+            # Contents that completed a run at the peer.
             for content in answer.completed:
-                self._guard.completed(content)
+                self._guard.record_completion(content)
 
-    def _emptied(self, _: object, name: InstanceId) -> None:
+    def _remove_outbox(self, _: object, name: InstanceId) -> None:
         del self._outboxes_by_peer[name]
 
     async def _send(
         self, peer: InstanceRecord, message: EndMessage
     ) -> EndMessage:
-        # The turn is given back before the next try: peers that are down
-        # for long would hold all turns, and nobody else would be told.
-        await self._turns.acquire()
+        # The semaphore is released between retries: otherwise peers that are
+        # down would block messages to all others.
+        await self._call_slots.acquire()
         try:
             reply = await self._peers.call(
                 peer,
@@ -213,13 +209,13 @@
                 msgspec.msgpack.encode(message),
             )
         finally:
-            self._turns.release()
+            self._call_slots.release()
         return msgspec.msgpack.decode(reply, type=EndMessage)
 
-    async def _ask(self) -> None:
-        """Learn what was told before this instance started."""
-        for _ in range(MAX_TRIES):
-            await task.deferLater(self._clock, ASK_SECONDS)
+    async def _fetch_earlier(self) -> None:
+        """Fetch reports sent before this instance started."""
+        for _ in range(MAX_FETCHES):
+            await task.deferLater(self._clock, FETCH_INTERVAL_SECONDS)
             me = self._state.settings.instance
             peers = [
                 peer
@@ -235,15 +231,15 @@
                     PATH,
                     ANSWER_SECONDS,
                 )
-                self._take(msgspec.msgpack.decode(body, type=EndMessage))
+                self._apply(msgspec.msgpack.decode(body, type=EndMessage))
             except (peer_call.PeerFailed, msgspec.MsgspecError) as error:
-                log.info('Peer not asked.', cause=str(error))
+                log.info('Crash reports not fetched.', cause=str(error))
                 continue
             return
 
-    def _failed(self, failure: Any) -> None:
+    def _log_failure(self, failure: Any) -> None:
         if not failure.check(defer.CancelledError):
-            log.error('Exchange failed.', cause=failure.getTraceback())
+            log.error('Peer exchange failed.', cause=failure.getTraceback())
 
 
 def _page(message: EndMessage) -> Page:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/target_ends.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/target_ends.py
@@ -1,4 +1,4 @@
-"""Find out whether a target ended under the calls that it had."""
+"""Detect whether a target crashed while it ran calls of this instance."""
 
 from __future__ import annotations
 
@@ -27,134 +27,130 @@
 
 
 @dataclasses.dataclass
-class _Loss:
-    """Gather the calls of one target whose connections were lost."""
+class _LostCalls:
+    """Hold the calls to one target whose connections were lost together."""
 
     target: ListedTarget
-    # In the order in which they were lost.
+    # In the order of loss.
     requests_by_content: dict[ContentDigest, RequestId]
     waiting: list[defer.Deferred[bool]]
 
 
-# Seconds after which a target is looked at where a call was given up. It may
-# still have been at work on it, and is back some seconds after it ended.
-GIVEN_UP_SECONDS = 1.5
+# Seconds from giving a call up to the check of its target, which can crash
+# after this instance stops waiting and restarts within seconds.
+CHECK_SECONDS = 1.5
 
 
 class TargetEnds:
-    """Tell a process that ended from a connection that was cut.
-
-    A network that cuts connections leaves the process listening; one that
-    crashed refuses the next connection, unless somebody else holds its port:
-    a supervisor, or a proxy before it. Then the list of targets tells, some
-    seconds later: another process at the same address. Seen by the port
-    alone, a request that ends targets reached 30 of them behind such ports,
-    and 1,145 of 1,307 others were not served.
+    """Tell crashed target processes from connections cut by the network.
+
+    A crashed process refuses the next connection, unless a supervisor or proxy
+    keeps its port open. Such crashes are confirmed seconds later, when the
+    list of targets shows a new process at the same address.
     """
 
     def __init__(self, calls: Calls, guard: ContentGuard, clock: Any) -> None:
         self._calls = calls
         self._guard = guard
         self._clock = clock
-        self._losses_by_target: dict[TargetId, _Loss] = {}
-        self._looks_due: set[TargetId] = set()
-        guard.on_end_learnt = self._learnt
+        self._losses_by_target: dict[TargetId, _LostCalls] = {}
+        self._targets_to_check: set[TargetId] = set()
+        guard.on_peer_crash = self._handle_peer_crash
 
-    async def lost(
+    async def confirm_loss(
         self,
         target: ListedTarget,
         content: ContentDigest,
         request: RequestId,
     ) -> bool:
-        """Note a call whose connection was lost; tell if its target ended."""
+        """Record a lost call and return whether its target has exited."""
         ended: defer.Deferred[bool] = defer.Deferred()
         loss = self._losses_by_target.get(target.id)
         if loss is not None and loss.target.is_same_start(target):
-            # All connections of a process end within one moment, and one
-            # look is enough.
+            # All connections of a process close together: one check is enough.
             loss.requests_by_content[content] = request
             loss.waiting.append(ended)
             return await ended
-        loss = _Loss(target, {content: request}, [ended])
+        loss = _LostCalls(target, {content: request}, [ended])
         self._losses_by_target[target.id] = loss
-        # The look goes on if the call that began it is given up: its
-        # caller's leaving does not undo the end.
-        looking = defer.Deferred.fromCoroutine(self._look(loss))
-        looking.addErrback(self._failed, loss)
+        # The check continues if the call that started it is cancelled: the
+        # target may have crashed all the same.
+        check = defer.Deferred.fromCoroutine(self._check(loss))
+        check.addErrback(self._handle_check_failure, loss)
         return await ended
 
-    def gave_up(self, target: ListedTarget) -> None:
-        """Look later whether a target ended under a call given up here."""
-        if target.id not in self._looks_due:
-            self._looks_due.add(target.id)
-            self._clock.callLater(GIVEN_UP_SECONDS, self._look_late, target)
+    def schedule_check(self, target: ListedTarget) -> None:
+        """Check later whether a target crashed after a call was given up."""
+        if target.id not in self._targets_to_check:
+            self._targets_to_check.add(target.id)
+            self._clock.callLater(CHECK_SECONDS, self._start_check, target)
 
-    def refused(self, target: TargetId) -> None:
-        """Take word that no process listens where a target was."""
-        given_up = self._given_up(target, self._now())
-        if given_up:
-            self._ended_given_up(target, given_up, 0.0)
+    def record_refused_connection(self, target: TargetId) -> None:
+        """Report calls given up at a target that refuses connections."""
+        abandoned = self._pop_abandoned(target, self._now())
+        if abandoned:
+            self._report_abandoned(target, abandoned, 0.0)
 
-    def _learnt(self, report: CrashReport) -> None:
-        """Add to an end what this instance had given up at the target."""
+    def _handle_peer_crash(self, report: CrashReport) -> None:
+        """Report calls given up here at a target that a peer saw crash."""
         ended_at = Instant(self._now() - report.age)
-        given_up = self._given_up(report.target, ended_at)
-        if given_up:
-            self._ended_given_up(report.target, given_up, report.age)
+        abandoned = self._pop_abandoned(report.target, ended_at)
+        if abandoned:
+            self._report_abandoned(report.target, abandoned, report.age)
 
-    def _look_late(self, target: ListedTarget) -> None:
-        self._looks_due.discard(target.id)
-        looking = defer.Deferred.fromCoroutine(self._look_given_up(target))
-        looking.addErrback(self._look_failed)
+    def _start_check(self, target: ListedTarget) -> None:
+        self._targets_to_check.discard(target.id)
+        check = defer.Deferred.fromCoroutine(self._check_abandoned(target))
+        check.addErrback(self._log_check_failure)
 
-    async def _look_given_up(self, target: ListedTarget) -> None:
+    async def _check_abandoned(self, target: ListedTarget) -> None:
         if await self._calls.has_ended(target):
-            self.refused(target.id)
+            self.record_refused_connection(target.id)
 
-    def _given_up(
+    def _pop_abandoned(
         self, target: TargetId, ended_at: Instant
     ) -> dict[ContentDigest, RequestId]:
         return self._guard.abandoned.pop_running_at(
             target, ended_at, self._now()
         )
 
-    def _ended_given_up(
+    def _report_abandoned(
         self,
         target: TargetId,
-        given_up: dict[ContentDigest, RequestId],
+        abandoned: dict[ContentDigest, RequestId],
         age: float,
     ) -> None:
         log.info(
-            'Target ended after calls were given up.',
+            'Target exited after calls to it were given up.',
             target=target,
-            contents=tuple(given_up),
+            contents=tuple(abandoned),
         )
         self._guard.target_ended(
             CrashReport(
                 target=target,
-                contents=tuple(given_up),
-                requests_by_content=given_up,
+                contents=tuple(abandoned),
+                requests_by_content=abandoned,
                 age=age,
             )
         )
 
-    def _look_failed(self, failure: Any) -> None:
-        log.error('Look failed.', cause=failure.getTraceback())
+    def _log_check_failure(self, failure: Any) -> None:
+        log.error('Target exit check failed.', cause=failure.getTraceback())
 
-    async def _look(self, loss: _Loss) -> None:
+    async def _check(self, loss: _LostCalls) -> None:
         target = loss.target
         has_ended = await self._calls.has_ended(target)
-        given_up = self._given_up(target.id, self._now())
-        # Those that were lost come first: of many, not all are kept.
+        abandoned = self._pop_abandoned(target.id, self._now())
+        # Lost calls come first, since reports are truncated.
         loss.requests_by_content |= {
             content: request
-            for content, request in given_up.items()
+            for content, request in abandoned.items()
             if content not in loss.requests_by_content
         }
         contents = tuple(loss.requests_by_content)
         meters.LOSSES.labels(target.service, has_ended).inc()
         log.info(
-            'Target ended.' if has_ended else 'Connection lost.',
+            'Target exited.' if has_ended else 'Target connection lost.',
             target=target.id,
             service=target.service,
             contents=contents,
@@ -168,15 +164,15 @@
                 )
             )
         else:
-            self._doubt(target, loss.requests_by_content)
-        self._end(loss, has_ended)
+            self._record_unconfirmed_loss(target, loss.requests_by_content)
+        self._resolve(loss, has_ended)
 
-    def _doubt(
+    def _record_unconfirmed_loss(
         self,
         target: ListedTarget,
         requests_by_content: dict[ContentDigest, RequestId],
     ) -> None:
-        """Note lost calls of a target whose port is open all the same."""
+        """Record lost calls of a target whose port is still open."""
         now = self._now()
         doubts = self._guard.doubts
         completed = self._guard.ledger.known_completed(
@@ -189,46 +185,46 @@
         }
         doubts.add(target, lost, now)
         for content in lost:
-            told = doubts.reports(content, now)
-            if len(told) >= last_target_guard.LOST_TARGETS:
+            reports = doubts.reports(content, now)
+            if len(reports) >= last_target_guard.LOST_TARGETS:
                 log.info(
-                    'Lost at targets that are silent.',
+                    'Calls lost at several targets without a response since.',
                     content=content,
-                    targets=tuple(each.target for each in told),
+                    targets=tuple(each.target for each in reports),
                 )
-                self._guard.on_doubted(told)
+                self._guard.on_lost_calls(reports)
 
     def started(self, target: ListedTarget) -> None:
-        """Take word of the list that a process has started somewhere."""
+        """Handle a target process that is newly listed."""
         now = self._now()
-        for doubt in self._guard.doubts.pop_confirmed(target, now):
-            self._ended_behind(doubt, now)
+        for loss in self._guard.doubts.pop_confirmed(target, now):
+            self._report_confirmed(loss, now)
 
-    def _ended_behind(self, doubt: UnconfirmedLoss, now: Instant) -> None:
-        contents = tuple(doubt.requests_by_content)
+    def _report_confirmed(self, loss: UnconfirmedLoss, now: Instant) -> None:
+        contents = tuple(loss.requests_by_content)
         log.info(
-            'Target ended behind its port.',
-            target=doubt.target.id,
-            service=doubt.target.service,
+            'Target process was replaced while its port stayed open.',
+            target=loss.target.id,
+            service=loss.target.service,
             contents=contents,
         )
         self._guard.target_ended(
             CrashReport(
-                target=doubt.target.id,
+                target=loss.target.id,
                 contents=contents,
-                requests_by_content=doubt.requests_by_content,
-                age=now - doubt.at,
+                requests_by_content=loss.requests_by_content,
+                age=now - loss.at,
             )
         )
 
     def _now(self) -> Instant:
         return Instant(self._clock.seconds())
 
-    def _failed(self, failure: Any, loss: _Loss) -> None:
-        self._look_failed(failure)
-        self._end(loss, has_ended=False)
+    def _handle_check_failure(self, failure: Any, loss: _LostCalls) -> None:
+        self._log_check_failure(failure)
+        self._resolve(loss, has_ended=False)
 
-    def _end(self, loss: _Loss, has_ended: bool) -> None:
+    def _resolve(self, loss: _LostCalls, has_ended: bool) -> None:
         if self._losses_by_target.get(loss.target.id) is loss:
             del self._losses_by_target[loss.target.id]
         for waiting in loss.waiting:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/watched_calls.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/watched_calls.py
@@ -1,4 +1,4 @@
-"""Call targets and learn which requests they end under."""
+"""Call targets and record which requests crash them."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class WatchedCalls:
-    """Send calls as `Calls` does, and look after connections that end."""
+    """Send calls by `Calls` and report lost connections to the crash guard."""
 
     def __init__(
         self, calls: Calls, ends: TargetEnds, guard: ContentGuard
@@ -33,11 +33,11 @@
         self._guard = guard
 
     def is_connected(self, target: ListedTarget) -> bool:
-        """Tell whether a call to a target needs no new connection."""
+        """Tell whether a connection to the target is already open."""
         return self._calls.is_connected(target)
 
     def forget(self, target: ListedTarget) -> None:
-        """Close the connections that are kept to a target that ended."""
+        """Close the pooled connections to a target that has exited."""
         self._calls.forget(target)
 
     async def send(
@@ -47,20 +47,20 @@
         answer_by: Instant,
         is_fresh: bool = False,
     ) -> TargetAnswer:
-        """Send a call and return its whole answer.
+        """Send a call and return the complete answer.
 
         Raises CallFailed.
         """
-        began_at = self._guard.now()
-        with self._noted(target, call):
+        started_at = self._guard.now()
+        with self._track(target, call):
             try:
                 answer = await self._calls.send(
                     target, call, answer_by, is_fresh
                 )
             except calls_module.CallFailed as error:
-                await self._failed(target, call, error, began_at)
+                await self._record_failure(target, call, error, started_at)
                 raise
-        self._answered(target, call, answer)
+        self._record_answer(target, call, answer)
         return answer
 
     async def generate(
@@ -71,74 +71,74 @@
         progress_seconds: float,
         sink: GenerationSink,
     ) -> TargetAnswer:
-        """Send a generation and hand its events on as they arrive.
+        """Send a generation call and pass its events to `sink` as they arrive.
 
         Raises CallFailed.
         """
-        began_at = self._guard.now()
-        with self._noted(engine, call):
+        started_at = self._guard.now()
+        with self._track(engine, call):
             try:
                 answer = await self._calls.generate(
                     engine, call, answer_by, progress_seconds, sink
                 )
             except calls_module.CallFailed as error:
-                await self._failed(engine, call, error, began_at)
+                await self._record_failure(engine, call, error, started_at)
                 raise
-        self._answered(engine, call, answer)
+        self._record_answer(engine, call, answer)
         return answer
 
     @contextlib.contextmanager
-    def _noted(self, target: ListedTarget, call: TargetCall) -> Iterator[None]:
-        began_at = self._guard.now()
+    def _track(self, target: ListedTarget, call: TargetCall) -> Iterator[None]:
+        started_at = self._guard.now()
         try:
-            with self._kept_apart(target, call):
+            with self._track_suspect_run(target, call):
                 yield
         except defer.CancelledError:
-            self._guard.gave_up(
-                target.id, call.content, call.id, False, began_at
+            self._guard.record_abandoned_run(
+                target.id, call.content, call.id, False, started_at
             )
             raise
 
     @contextlib.contextmanager
-    def _kept_apart(
+    def _track_suspect_run(
         self, target: ListedTarget, call: TargetCall
     ) -> Iterator[None]:
         if self._guard.ledger.is_clear:
             yield
             return
-        is_noted = self._guard.begin(target.id, call.content)
+        is_tracked = self._guard.begin(target.id, call.content)
         try:
             yield
         finally:
-            if is_noted:
+            if is_tracked:
                 self._guard.finish(target.id, call.content)
 
-    def _answered(
+    def _record_answer(
         self, target: ListedTarget, call: TargetCall, answer: TargetAnswer
     ) -> None:
         if not answer.is_from_other_process:
             self._guard.doubts.record_response(target.id)
-        # A 500 may come from a target that fails whatever it gets, and a 504
-        # from one that was stopped before it came to what ends it.
+        # Server errors do not clear a content: a 500 can come from a target
+        # that fails on every request, a 504 from a run stopped early.
         if not answer.not_run and not answer.is_server_error:
-            self._guard.completed(call.content)
+            self._guard.record_completion(call.content)
 
-    async def _failed(
+    async def _record_failure(
         self,
         target: ListedTarget,
         call: TargetCall,
         error: calls_module.CallFailed,
-        began_at: Instant,
+        started_at: Instant,
     ) -> None:
         if error.is_refused:
-            self._ends.refused(target.id)
+            self._ends.record_refused_connection(target.id)
         if error.end is calls_module.CallEnd.NOT_SENT:
             return
-        self._guard.name(call.content, call.name)
+        self._guard.set_name(call.content, call.name)
         if not error.is_lost:
-            self._guard.gave_up(
-                target.id, call.content, call.id, True, began_at
+            self._guard.record_abandoned_run(
+                target.id, call.content, call.id, True, started_at
             )
-            self._ends.gave_up(target)
+            self._ends.schedule_check(target)
             return
-        await self._ends.lost(target, call.content, call.id)
+        await self._ends.confirm_loss(target, call.content, call.id)
--- a/packages/yuccarill-daemon/tests/gateway/test_quarantine.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Test how instances agree on what is kept from targets."""
+"""Test how instances quarantine requests that crash targets."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
         for number in range(count):
             self.guarding._state.targets.put(world.engine(f't{number}'))
 
-    def test_what_ended_three_targets_is_refused(self) -> None:
+    def test_a_content_that_crashed_three_targets_is_refused(self) -> None:
         for number in range(3):
             self.guarding.target_ended(report(number))
         with self.assertRaises(errors.RequestQuarantined) as caught:
@@ -60,8 +60,8 @@
         )
         self.guarding.admit(ContentDigest('other'), SERVICE)
 
-    # Listed targets, of which the first two have ended, the seconds since,
-    # and whether the request under which they did may be tried.
+    # Listed targets, of which the first two have crashed, seconds since the
+    # crashes, and whether their cause may be sent to another target.
     @params(
         (3, 0.1, False),
         (4, 0.1, True),
@@ -81,26 +81,22 @@
 
     def test_a_suspect_is_tried_once_at_a_time(self) -> None:
         self.list_targets(6)
-        told = mock.Mock()
-        self.guarding.on_trial = told
+        callback = mock.Mock()
+        self.guarding.on_trial = callback
         for number in range(2):
             self.guarding.target_ended(report(number))
         self.assertTrue(self.guarding.begin(TargetId('t3'), X))
-        told.assert_called_once_with(X)
+        callback.assert_called_once_with(X)
         self.assertFalse(self.guarding.is_admitted(X, SERVICE))
         self.guarding.finish(TargetId('t3'), X)
         self.assertTrue(self.guarding.is_admitted(X, SERVICE))
-        self.guarding.tried_elsewhere(X)
+        self.guarding.record_peer_trial(X)
         self.assertFalse(self.guarding.is_admitted(X, SERVICE))
-        self.run_for(guard.TRIAL_SECONDS)
+        self.run_for(guard.PEER_TRIAL_SECONDS)
         self.assertTrue(self.guarding.is_admitted(X, SERVICE))
 
-    def test_what_was_beside_the_cause_goes_to_another_target(self) -> None:
-        """A request that was beside the cause twice looked like the cause.
-
-        1. A target ends under two requests.
-        2. Both are sent on at once, and must not meet again.
-        """
+    def test_contents_of_one_crash_go_to_separate_targets(self) -> None:
+        """Guard against blaming a request that runs beside the cause twice."""
         self.guarding.target_ended(report(0, 'x', 'a'))
         self.guarding.begin(TargetId('t1'), X)
         other = ContentDigest('a')
@@ -120,49 +116,51 @@
         self.assertEqual(frozenset(), self.guarding.barred(clear))
         self.assertEqual({'t1': 1}, self.guarding.others(clear))
 
-    def test_a_finished_run_tells_the_cause(self) -> None:
-        """Nobody was told of a quarantine until the next target ended.
+    def test_a_completed_run_identifies_the_cause(self) -> None:
+        """Guard against a quarantine that waits for another crash.
 
-        1. Three targets end under the same two contents.
-        2. One of these is finished elsewhere, which leaves the other.
+        Three targets crash under two contents, one of which then completes.
         """
-        told = mock.Mock()
-        self.guarding.on_quarantined = told
+        callback = mock.Mock()
+        self.guarding.on_quarantined = callback
         for number in range(3):
             self.guarding.target_ended(report(number, 'x', 'a'))
-        told.assert_not_called()
-        self.guarding.completed(ContentDigest('a'))
-        told.assert_called_once_with(X)
+        callback.assert_not_called()
+        self.guarding.record_completion(ContentDigest('a'))
+        callback.assert_called_once_with(X)
 
-    # Failed runs whose targets may yet end, ends before, whether it waits.
+    # Failed runs whose targets can still crash, earlier crashes, and whether
+    # the content is held back.
     @params((1, 0, False), (2, 0, True), (1, 1, True))
-    def test_runs_that_were_given_up_are_waited_for(
+    def test_a_content_waits_for_runs_that_were_given_up(
         self, runs: int, ends: int, waits: bool
     ) -> None:
-        """A request went to all targets while the first one was crashing."""
+        """Guard against retries at all targets while the first one crashes."""
         for number in range(ends):
             self.guarding.target_ended(report(number))
         for number in range(runs):
             target = TargetId(f'u{number}')
             now = self.guarding.now()
-            self.guarding.gave_up(target, X, RequestId('r'), True, now)
+            self.guarding.record_abandoned_run(
+                target, X, RequestId('r'), True, now
+            )
         self.assertEqual(waits, self.guarding.is_unsettled(X))
 
-    def test_what_a_target_finished_is_not_told(self) -> None:
-        told = mock.Mock()
-        self.guarding.on_end = told
-        self.guarding.completed(X)
+    def test_a_completed_content_is_not_reported(self) -> None:
+        callback = mock.Mock()
+        self.guarding.on_crash = callback
+        self.guarding.record_completion(X)
         self.guarding.target_ended(report(0, 'x', 'a'))
-        (sent,), _ = told.call_args
+        (sent,), _ = callback.call_args
         self.assertEqual(('a',), sent.contents)
 
 
 class Peers:
-    """Carry messages between instances, but for those that are away."""
+    """Carry messages between instances, except unavailable ones."""
 
     def __init__(self, clock: task.Clock) -> None:
         self.clock = clock
-        # Those that let a call wait until its time is over.
+        # Instances that let each call time out.
         self.silent: set[str] = set()
         self.parts_by_name: dict[str, reports.EndReports] = {}
         self.away: set[str] = set()
@@ -201,23 +199,23 @@
             world.list_instance(state, known)
         found = guard.ContentGuard(state, self.clock)
         self.guards_by_name[name] = found
-        telling = reports.EndReports(state, found, self.peers, self.clock)
-        found.on_quarantined = telling.tell_quarantined
-        self.peers.parts_by_name[name] = telling
-        telling.start()
+        exchange = reports.EndReports(state, found, self.peers, self.clock)
+        found.on_quarantined = exchange.tell_quarantined
+        self.peers.parts_by_name[name] = exchange
+        exchange.start()
         return found
 
     def verdicts(self) -> set[Verdict]:
         found = self.guards_by_name.values()
         return {each.ledger.verdict(X) for each in found}
 
-    def test_ends_at_several_instances_count_together(self) -> None:
+    def test_crashes_seen_by_several_instances_count_together(self) -> None:
         for number, name in enumerate('abc'):
             self.guards_by_name[name].target_ended(report(number))
         self.assertEqual({Verdict.QUARANTINED}, self.verdicts())
 
-    def test_a_peer_that_is_away_is_told_later(self) -> None:
-        # By then it has asked what was told before it started.
+    def test_an_unavailable_peer_gets_reports_later(self) -> None:
+        # Until each instance has fetched the earlier reports.
         self.run_for(0.5)
         self.peers.away = {'c'}
         for number in range(3):
@@ -227,20 +225,15 @@
         self.run_for(1.0)
         self.assertEqual({Verdict.QUARANTINED}, self.verdicts())
 
-    def test_peers_that_are_down_hold_nobody_up(self) -> None:
-        """A third of a large fleet was cut off, and the rest was not told.
-
-        1. Targets end under a request while 100 instances do not answer.
-        2. Each of these is tried again and again.
-        3. The others know of it within a few seconds.
-        """
+    def test_unavailable_peers_delay_no_others(self) -> None:
+        """Guard against retries to 100 silent peers that block all others."""
         self.run_for(0.5)
         for number in range(100):
             name = f'a{number}'
             world.list_instance(self.guards_by_name['a']._state, name)
             self.peers.silent.add(name)
         for name in 'bc':
-            # Told last of all.
+            # Last in the order of sending.
             known = self.guards_by_name['a']._state.instances_by_id
             known[name] = known.pop(name)
         for number in range(3):
@@ -248,23 +241,22 @@
         self.run_for(3.0)
         self.assertEqual({Verdict.QUARANTINED}, self.verdicts())
 
-    def test_a_clearance_that_a_reply_brings_is_told_once(self) -> None:
-        """A reply started a second sender, which dropped what was not sent.
+    def test_a_clearance_in_a_reply_is_sent_once(self) -> None:
+        """Guard against a second sender that drops queued messages.
 
-        1. A peer's reply clears a content, which all have to be told.
-        2. That message waits in the outbox whose sender reads the reply.
+        The reply queues a message in the outbox that is being sent.
         """
-        self.guards_by_name['b'].completed(X)
+        self.guards_by_name['b'].record_completion(X)
         self.guards_by_name['a'].target_ended(report(0, 'x', 'y'))
         self.run_for(1.0)
         self.assertEqual({Verdict.CLEAR}, self.verdicts())
         other = ContentDigest('y')
         for each in self.guards_by_name.values():
             self.assertEqual(Verdict.WATCHED, each.ledger.verdict(other))
-        telling = self.peers.parts_by_name['a']
-        self.assertEqual({}, telling._outboxes_by_peer)
+        exchange = self.peers.parts_by_name['a']
+        self.assertEqual({}, exchange._outboxes_by_peer)
 
-    def test_one_that_starts_asks_a_peer(self) -> None:
+    def test_a_new_instance_fetches_reports_from_a_peer(self) -> None:
         for number in range(3):
             self.guards_by_name['a'].target_ended(report(number))
         added = self.add('d')
@@ -272,18 +264,13 @@
         self.run_for(0.5)
         self.assertEqual(Verdict.QUARANTINED, added.ledger.verdict(X))
 
-    def test_a_peer_clears_what_a_target_finished_for_it(self) -> None:
-        """A popular request was new to the instance that saw it broken off.
-
-        1. One instance had it answered.
-        2. A target ends under it at another one.
-        3. The first one's reply clears it, everywhere.
-        """
-        self.guards_by_name['b'].completed(X)
+    def test_a_peer_clears_a_content_that_completed_there(self) -> None:
+        """Guard against suspecting a request that completed at a peer."""
+        self.guards_by_name['b'].record_completion(X)
         self.guards_by_name['a'].target_ended(report(0))
         self.assertEqual({Verdict.CLEAR}, self.verdicts())
 
-    def test_a_message_that_can_not_be_read(self) -> None:
+    def test_an_invalid_message_is_rejected(self) -> None:
         request = SmallRequest(
             method='POST', target=reports.PATH, body=b'\xc1'
         )
@@ -315,7 +302,7 @@
             self.guarding.target_ended(report(number))
 
     def test_a_quarantine_is_recorded_once(self) -> None:
-        self.guarding.name(X, 'h/p')
+        self.guarding.set_name(X, 'h/p')
         self.end_targets()
         self.run_for(0.5)
         value = self.keys.entries_by_key[keys.quarantine(X)].value
@@ -325,7 +312,7 @@
         self.assertEqual('h/p', found.request)
         self.assertEqual(('t0', 't1', 't2'), found.targets)
 
-    def test_a_store_that_is_away_gets_it_later(self) -> None:
+    def test_a_record_is_written_once_the_store_is_back(self) -> None:
         self.memory.refuses = True
         self.end_targets()
         self.run_for(2.0)
@@ -334,28 +321,30 @@
         self.run_for(2.0)
         self.assertIn(keys.quarantine(X), self.keys.entries_by_key)
 
-    def test_what_nobody_recorded_is_recorded(self) -> None:
-        """Three more targets ended each time that all instances were killed.
+    def test_a_missing_record_is_written(self) -> None:
+        """Guard against losing a quarantine when all instances are killed.
 
-        1. An instance starts, and sees the third end under a request.
-        2. It knows of one; the others know of three, and saw none of them.
-        3. All are killed before anybody has written a record.
+        No instance that saw a crash knows of all three.
         """
-        self.guarding.on_learnt = self.kept.expect
-        self.guarding.take(report(number) for number in range(3))
-        self.run_for(records.RECORD_WAIT + 0.5)
+        self.guarding.on_peer_quarantine = self.kept.write_later
+        self.guarding.record_peer_crashes(
+            report(number) for number in range(3)
+        )
+        self.run_for(records.RECORD_WAIT_SECONDS + 0.5)
         self.assertIn(keys.quarantine(X), self.keys.entries_by_key)
 
-    def test_what_another_instance_records_is_left_to_it(self) -> None:
-        self.guarding.on_learnt = self.kept.expect
-        self.guarding.take(report(number) for number in range(3))
+    def test_a_record_of_a_peer_is_not_written_again(self) -> None:
+        self.guarding.on_peer_quarantine = self.kept.write_later
+        self.guarding.record_peer_crashes(
+            report(number) for number in range(3)
+        )
         self.known.quarantined_by_content[X] = self.record(1060.0)
-        self.run_for(records.RECORD_WAIT + 0.5)
+        self.run_for(records.RECORD_WAIT_SECONDS + 0.5)
         self.assertEqual([], self.memory.calls)
 
-    # When a record of another instance ends, and what it says here.
+    # Expiry of a peer's record, and the verdict that follows.
     @params((1060.0, Verdict.QUARANTINED), (999.0, Verdict.CLEAR))
-    def test_records_of_others(self, until: float, expected: Verdict) -> None:
+    def test_records_of_peers(self, until: float, expected: Verdict) -> None:
         self.known.quarantined_by_content[X] = self.record(until)
         self.kept.update()
         self.assertEqual(expected, self.guarding.ledger.verdict(X))
@@ -367,7 +356,7 @@
         self.kept.update()
         self.assertEqual(Verdict.CLEAR, self.guarding.ledger.verdict(X))
 
-    def test_old_records_go_with_the_next_one(self) -> None:
+    def test_a_write_removes_expired_records(self) -> None:
         old = ContentDigest('old')
         self.keys.put(keys.quarantine(old), b'')
         self.known.quarantined_by_content[old] = self.record(900.0)
@@ -385,10 +374,10 @@
         )
         self.assertEqual(Verdict.QUARANTINED, self.guarding.ledger.verdict(X))
 
-    def test_an_operator_lists_and_takes_back(self) -> None:
-        told = mock.Mock()
+    def test_an_operator_lists_and_releases(self) -> None:
+        peers = mock.Mock()
         answering = desk.QuarantineDesk(
-            self.guarding, self.kept, told, self.clock
+            self.guarding, self.kept, peers, self.clock
         )
 
         def ask(method: str, path: str) -> tuple[int, list]:
@@ -396,7 +385,7 @@
             page = self.finish(answering.handle(request))
             return page.status, msgspec.json.decode(page.body)
 
-        self.guarding.name(X, 'h/p')
+        self.guarding.set_name(X, 'h/p')
         self.end_targets()
         self.run_for(0.5)
         self.known.quarantined_by_content[X] = self.record(1060.0)
@@ -411,6 +400,6 @@
             self.assertEqual(code, refused['code'])
             self.assertIn(status, (404, 405))
         self.assertEqual((200, []), ask('DELETE', f'{desk.PATH}/x'))
-        told.tell.assert_called_once_with(reports.EndMessage(released=(X,)))
+        peers.send.assert_called_once_with(reports.EndMessage(released=(X,)))
         self.assertEqual(Verdict.CLEAR, self.guarding.ledger.verdict(X))
         self.assertNotIn(keys.quarantine(X), self.keys.entries_by_key)
--- a/packages/yuccarill-daemon/tests/gateway/test_target_ends.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_target_ends.py
@@ -1,4 +1,4 @@
-"""Test how a target that ended is told from a connection that was cut."""
+"""Test how a crashed target is told from a connection that was cut."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
 
 @dataclasses.dataclass
-class Looks:
-    """Say whether a process listens, after a moment."""
+class Checks:
+    """Report after a delay whether a process listens."""
 
     clock: task.Clock
     has_listener: bool
@@ -37,55 +37,61 @@
 
 
 class TargetEndsTest(world.WorldTest):
-    def ends(self, looks: Looks) -> target_ends.TargetEnds:
+    def ends(self, checks: Checks) -> target_ends.TargetEnds:
         self.guard = guard.ContentGuard(self.state('a'), self.clock)
-        return target_ends.TargetEnds(looks, self.guard, self.clock)
+        return target_ends.TargetEnds(checks, self.guard, self.clock)
 
     @params((True, False), (False, True))
-    def test_one_look_tells_for_all_calls_of_a_moment(
+    def test_one_check_covers_calls_lost_together(
         self, has_listener: bool, has_ended: bool
     ) -> None:
-        looks = Looks(self.clock, has_listener)
-        ends = self.ends(looks)
+        checks = Checks(self.clock, has_listener)
+        ends = self.ends(checks)
         lost = [
             defer.Deferred.fromCoroutine(
-                ends.lost(TARGET, ContentDigest(name), RequestId('r'))
+                ends.confirm_loss(TARGET, ContentDigest(name), RequestId('r'))
             )
             for name in 'abc'
         ]
         self.run_for(0.01)
         found = [self.finish(_result(each)) for each in lost]
         self.assertEqual([has_ended] * 3, found)
-        self.assertEqual(1, looks.count)
+        self.assertEqual(1, checks.count)
 
-    def test_another_moment_is_looked_at_anew(self) -> None:
-        looks = Looks(self.clock, has_listener=True)
-        ends = self.ends(looks)
+    def test_a_later_loss_is_checked_again(self) -> None:
+        checks = Checks(self.clock, has_listener=True)
+        ends = self.ends(checks)
         for _ in range(2):
-            self.finish(ends.lost(TARGET, ContentDigest('a'), RequestId('r')))
-        self.assertEqual(2, looks.count)
+            self.finish(
+                ends.confirm_loss(TARGET, ContentDigest('a'), RequestId('r'))
+            )
+        self.assertEqual(2, checks.count)
 
-    # Whether a process listens after a call was given up, the verdict then.
+    # Whether a process listens after a call was given up, and the verdict.
     @params((False, Verdict.WATCHED), (True, Verdict.CLEAR))
-    def test_a_target_ends_under_a_call_that_was_given_up(
+    def test_a_target_crashes_after_a_call_was_given_up(
         self, has_listener: bool, expected: Verdict
     ) -> None:
-        """A request ended targets whose answers were not taken."""
-        ends = self.ends(Looks(self.clock, has_listener))
+        """Guard against missing crashes of targets whose call timed out."""
+        ends = self.ends(Checks(self.clock, has_listener))
         now = self.guard.now()
-        self.guard.gave_up(TARGET.id, X, RequestId('r'), True, now)
-        ends.gave_up(TARGET)
-        self.run_for(target_ends.GIVEN_UP_SECONDS + 0.05)
+        self.guard.record_abandoned_run(
+            TARGET.id, X, RequestId('r'), True, now
+        )
+        ends.schedule_check(TARGET)
+        self.run_for(target_ends.CHECK_SECONDS + 0.05)
         self.assertEqual(expected, self.guard.ledger.verdict(X))
 
-    def test_an_end_that_others_see_counts_for_calls_given_up_here(
+    def test_a_crash_seen_by_a_peer_counts_for_calls_given_up_here(
         self,
     ) -> None:
-        self.ends(Looks(self.clock, has_listener=False))
+        self.ends(Checks(self.clock, has_listener=False))
         now = self.guard.now()
-        self.guard.gave_up(TARGET.id, X, RequestId('r'), False, now)
+        self.guard.record_abandoned_run(
+            TARGET.id, X, RequestId('r'), False, now
+        )
         other = CrashReport(target=TARGET.id, contents=(ContentDigest('a'),))
-        self.guard.take([other])
+        self.guard.record_peer_crashes([other])
         self.assertEqual(Verdict.WATCHED, self.guard.ledger.verdict(X))
 
 
--- a/packages/yuccarill-daemon/tests/gateway/test_watched_calls.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_watched_calls.py
@@ -1,4 +1,4 @@
-"""Test what is learnt of a request from how its calls end."""
+"""Test how the outcomes of calls change the verdict on a request."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass
 class Calls:
-    """End each call as told."""
+    """Return or raise a fixed outcome for each call."""
 
     end: TargetAnswer | calls.CallFailed
 
@@ -47,7 +47,7 @@
 
 class WatchedCallsTest(world.WorldTest):
     def send(self, end: TargetAnswer | calls.CallFailed) -> Verdict:
-        """Return the verdict on a content that was at one end before."""
+        """Return the verdict on a content with one earlier crash."""
         guarding = guard.ContentGuard(self.state('a'), self.clock)
         guarding.target_ended(
             CrashReport(target=TargetId('t0'), contents=(CALL.content,))
@@ -67,22 +67,24 @@
         )
         return guarding.ledger.verdict(CALL.content)
 
-    # An answer, and whether it shows that a target can run the request.
+    # An answer, and whether it shows that a target can complete the request.
     @params(
         (answer(200), True),
         (answer(404), True),
         (answer(422), True),
-        # A target that fails whatever it gets, or has not come to the end.
+        # From a target that fails on every request, or stopped before the end.
         (answer(500), False),
         (answer(504), False),
         (answer(503, not_run=True), False),
         (answer(421, not_run=True), False),
     )
-    def test_what_clears(self, end: TargetAnswer, clears: bool) -> None:
+    def test_answers_that_clear_a_content(
+        self, end: TargetAnswer, clears: bool
+    ) -> None:
         expected = Verdict.CLEAR if clears else Verdict.WATCHED
         self.assertEqual(expected, self.send(end))
 
-    # How a call broke off at a target that ended, and what is thought then.
+    # Whether the connection to a crashed target was lost, and the verdict.
     @params((True, Verdict.SUSPECT), (False, Verdict.WATCHED))
     def test_only_a_lost_connection_counts(
         self, is_lost: bool, expected: Verdict
