--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/__init__.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/__init__.py
@@ -1,1 +1,1 @@
-"""Find out whose a request is."""
+"""Authenticate requests by the keys of client accounts."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/admission.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/admission.py
@@ -1,4 +1,4 @@
-"""Admit requests by the client account that their key belongs to."""
+"""Admit requests by the client account of their key."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
     from yuccarill.daemon.gateway.accounts.look import ConfigurationLook
     from yuccarill.daemon.gateway.state import GatewayState
 
-# Seconds after which a client whose key can't be judged here may try again.
+# Retry-After for a key that cannot be verified now, in seconds.
 RETRY_AFTER = 0.3
-# Seconds that a call about a job waits for the first configuration, which is
-# read within some milliseconds, and between looks at it.
+# Seconds that a job call waits for the first configuration, and between polls
+# for it.
 CONFIGURATION_SECONDS = 1.0
-WAIT_STEP = 0.05
+POLL_SECONDS = 0.05
 
 
 class AccountAdmission:
-    """Find the account of each request, or refuse it."""
+    """Determine the account of each request, or refuse the request."""
 
     def __init__(
         self,
@@ -47,39 +47,38 @@
         clock: Any,
     ) -> None:
         self._state = state
-        self._look = look
-        # Seconds since the configuration was last heard of.
-        self._age = age
+        self._lookup = look
+        # Seconds since the configuration was last confirmed current.
+        self._configuration_age = age
         self._clock = clock
 
     async def admit(
         self, route: Route, request: ClientRequest
     ) -> ClientRequest:
-        """Return a request with its account, as targets are to get it.
+        """Return a request with its account set.
 
-        Raises KeyMissing, KeyUnknown, or NotRun where that can't be told.
+        Raises KeyMissing, KeyUnknown, or NotRun if the key cannot be verified.
         """
         return await self._admit(request, route.is_open)
 
     async def admit_job_call(self, request: ClientRequest) -> ClientRequest:
-        """Return a call about a job with its account; raises as `admit`.
+        """Return a job call with its account set; raises as `admit`.
 
-        Raises NoConfiguration where none comes within a second: without it
-        nobody knows whether there are accounts, and a reader without one was
-        told that its job does not exist.
+        Raises NoConfiguration if none arrives in time: a call admitted without
+        an account would be told that its job does not exist.
         """
         table = await self._table()
         return await self._admit(request, table.is_open_to_jobs(request.host))
 
     async def _table(self) -> RouteTable:
-        """Wait for the configuration of an instance that has just started."""
-        give_up_at = self._clock.seconds() + CONFIGURATION_SECONDS
+        """Return the route table, waiting for the first configuration."""
+        deadline = self._clock.seconds() + CONFIGURATION_SECONDS
         while (table := self._state.table) is None:
-            if self._clock.seconds() >= give_up_at:
+            if self._clock.seconds() >= deadline:
                 raise errors.NoConfiguration(
                     'No configuration is known here yet.', RETRY_AFTER
                 )
-            await task.deferLater(self._clock, WAIT_STEP)
+            await task.deferLater(self._clock, POLL_SECONDS)
         return table
 
     async def _admit(
@@ -87,8 +86,7 @@
     ) -> ClientRequest:
         directory = self._directory()
         if directory is None:
-            # Nobody is asked; what the client says of itself is its target's
-            # affair.
+            # Without accounts, identity headers pass to the target unverified.
             return msgspec.structs.replace(
                 request, headers=(*request.headers, *request.identity)
             )
@@ -98,35 +96,35 @@
         if isinstance(key, credentials.CredentialFault):
             meters.KEYS.labels(key.name.lower()).inc()
             raise errors.KeyMissing(f'The request was refused: {key.value}.')
-        account = await self._account(directory, key)
+        account = await self._find_account(directory, key)
         return msgspec.structs.replace(
             request, account=account.name, account_priority=account.priority
         )
 
-    async def _account(
+    async def _find_account(
         self, directory: AccountDirectory, key: KeyDigest
     ) -> Account:
-        look = LookupResult.NOT_YET
+        lookup = LookupResult.NOT_YET
         while True:
             account = directory.find(key)
             verdict = decision.decide(
-                _standing(directory, key, account),
-                look,
-                self._age(),
+                _key_state(directory, key, account),
+                lookup,
+                self._configuration_age(),
                 self._state.settings.revocation,
             )
             if verdict is not KeyVerdict.LOOK_UP:
                 meters.KEYS.labels(verdict.name.lower()).inc()
             match verdict:
                 case KeyVerdict.LOOK_UP:
-                    look = await self._look.look()
+                    lookup = await self._lookup.look()
                     directory = self._directory() or directory
                 case KeyVerdict.ADMIT if account is not None:
                     return account
                 case KeyVerdict.DEFER:
                     raise errors.NotRun(
-                        'The request was not run: its key can not be '
-                        'judged here now.',
+                        'The request was not run: its key cannot be '
+                        'verified now. Try again.',
                         RETRY_AFTER,
                     )
                 case _:
@@ -137,7 +135,7 @@
         return None if table is None else table.accounts
 
 
-def _standing(
+def _key_state(
     directory: AccountDirectory, key: KeyDigest, account: Account | None
 ) -> KeyState:
     if account is not None:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/look.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/look.py
@@ -1,4 +1,4 @@
-"""Read the newest configuration for keys that nobody knows here."""
+"""Read the newest configuration to look up unknown keys."""
 
 from __future__ import annotations
 
@@ -22,19 +22,17 @@
 
 log = logs.for_part('accounts')
 
-# Looks a second of the whole fleet, whatever comes: a fifth of the reads that
-# the store takes at two years' size, so that nobody who sends keys by the
-# thousand can keep the fleet from it. An instance of 410 looks once a second.
-FLEET_LOOKS = 400.0
-# Seconds between two looks of an instance at least.
-MIN_PAUSE = 0.25
-# Requests that may wait for a look: at 0.25 s each, a thousand unknown keys a
-# second are judged, and more are sent elsewhere at once.
+# Reads per second of all instances together, so that a client that sends
+# unknown keys cannot overload the store.
+FLEET_READS_PER_SECOND = 400.0
+# Minimum seconds between two reads of one instance.
+MIN_INTERVAL_SECONDS = 0.25
+# Requests that can wait for one read; further ones are refused as not run.
 MAX_WAITING = 256
 
 
 class ConfigurationLook:
-    """Read the configuration once for all requests that wait for it."""
+    """Share each read of the configuration among the waiting requests."""
 
     def __init__(
         self,
@@ -51,42 +49,42 @@
         self._waiting: list[defer.Deferred[LookupResult]] = []
 
     async def look(self) -> LookupResult:
-        """Tell how a look ended that began after this call."""
+        """Return the result of a read that starts after this call."""
         if len(self._waiting) >= MAX_WAITING:
-            log.warning('Not looked for a key: too many wait.')
+            log.warning('Key lookup refused: too many are waiting.')
             return LookupResult.FAILED
         waiting: defer.Deferred[LookupResult] = defer.Deferred()
         self._waiting.append(waiting)
         if len(self._waiting) == 1:
             reading = defer.Deferred.fromCoroutine(self._read())
-            reading.addErrback(self._failed)
+            reading.addErrback(self._fail_waiting)
         return await waiting
 
     async def _read(self) -> None:
-        left = self._next_at - self._clock.seconds()
-        if left > 0.0:
-            await task.deferLater(self._clock, left)
-        self._next_at = self._clock.seconds() + self._pause()
+        delay = self._next_at - self._clock.seconds()
+        if delay > 0.0:
+            await task.deferLater(self._clock, delay)
+        self._next_at = self._clock.seconds() + self._read_interval()
         waiting, self._waiting = self._waiting, []
-        found = LookupResult.FAILED
+        result = LookupResult.FAILED
         try:
             entry = await self._store.get(keys.CONFIGURATION)
         except (store_module.StoreRefused, store_module.StoreUnclear) as error:
-            log.info('Configuration not read for a key.', cause=str(error))
+            log.info('Configuration read for a key failed.', cause=str(error))
         else:
-            found = LookupResult.ANSWERED
+            result = LookupResult.ANSWERED
             if entry is not None:
                 self._on_read(entry)
         for each in waiting:
             if not each.called:
-                each.callback(found)
+                each.callback(result)
 
-    def _pause(self) -> float:
+    def _read_interval(self) -> float:
         instances = len(self._state.instances_by_id)
-        return max(MIN_PAUSE, instances / FLEET_LOOKS)
+        return max(MIN_INTERVAL_SECONDS, instances / FLEET_READS_PER_SECOND)
 
-    def _failed(self, failure: Any) -> None:
-        log.error('Look failed.', cause=failure.getTraceback())
+    def _fail_waiting(self, failure: Any) -> None:
+        log.error('Key lookup failed.', cause=failure.getTraceback())
         waiting, self._waiting = self._waiting, []
         for each in waiting:
             if not each.called:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/__init__.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/__init__.py
@@ -1,1 +1,1 @@
-"""Count requests of client accounts, and report them under a duty."""
+"""Count the requests of client accounts and report them for billing."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/clock.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/clock.py
@@ -1,4 +1,4 @@
-"""Keep the true time of the fleet on this process's steady clock."""
+"""Derive a wall time agreed by the fleet from the monotonic clock."""
 
 from __future__ import annotations
 
@@ -14,57 +14,57 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Seconds for which an instance's clock counts after it was last heard: three
-# of its messages at two years' size.
-HEARD_SECONDS = 60.0
+# Seconds after its last message for which an instance's clock counts.
+CLOCK_TTL_SECONDS = 60.0
 
 
 class FleetClock:
-    """Tell the true time, whatever this machine's wall clock does.
+    """Return the fleet's wall time, unaffected by jumps of the local clock.
 
-    The wall clock of a machine may jump by seconds and back. An offset to the
-    steady clock is kept instead; the holder of the usage duty agrees on it
-    from the clocks of all instances, and tells the others.
+    The holder of the usage duty derives an offset to the monotonic clock from
+    the wall clocks of all instances, and sends the time to them.
     """
 
     def __init__(self, wall: Callable[[], float] = time.time) -> None:
         self._wall = wall
-        # What to add to the steady clock; none as long as nothing was agreed.
-        self._agreed: float | None = None
+        # Seconds to add to the monotonic clock.
+        self._offset: float | None = None
         self._offsets_by_instance: dict[InstanceId, tuple[float, Instant]] = {}
 
     @property
     def is_agreed(self) -> bool:
-        """Tell whether more is known than this machine's wall clock."""
-        return self._agreed is not None
+        """Tell whether the fleet's time is known."""
+        return self._offset is not None
 
     def now(self) -> WallTime:
-        """Return the true time."""
-        if self._agreed is None:
+        """Return the fleet's time, or local wall time until it is known."""
+        if self._offset is None:
             return self.wall()
-        return WallTime(lease.boot_time() + self._agreed)
+        return WallTime(lease.boot_time() + self._offset)
 
     def wall(self) -> WallTime:
-        """Return what this machine's wall clock shows."""
+        """Return the time of this machine's wall clock."""
         return WallTime(self._wall())
 
-    def follow(self, told: WallTime, seconds: float) -> None:
-        """Take the time that the holder told in an answer of some seconds."""
-        self._agreed = told + seconds / 2.0 - lease.boot_time()
+    def adopt(self, holder_time: WallTime, round_trip_seconds: float) -> None:
+        """Adopt the holder's time from an answer with this round-trip time."""
+        self._offset = (
+            holder_time + round_trip_seconds / 2.0 - lease.boot_time()
+        )
 
-    def hear(self, instance: InstanceId, wall: WallTime) -> None:
-        """Note what the wall clock of an instance shows."""
+    def record(self, instance: InstanceId, wall: WallTime) -> None:
+        """Record the wall time of an instance."""
         now = lease.boot_time()
         self._offsets_by_instance[instance] = (wall - now, now)
 
     def agree(self) -> None:
-        """Agree on the time from what was heard."""
+        """Derive the fleet's time from the recorded wall times."""
         now = lease.boot_time()
         self._offsets_by_instance = {
             instance: (offset, at)
             for instance, (offset, at) in self._offsets_by_instance.items()
-            if now < at + HEARD_SECONDS
+            if now < at + CLOCK_TTL_SECONDS
         }
         offsets = [o for o, _ in self._offsets_by_instance.values()]
         if offsets:
-            self._agreed = fleet_time.agreed_offset(offsets, self._agreed)
+            self._offset = fleet_time.agreed_offset(offsets, self._offset)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/counter.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/counter.py
@@ -1,4 +1,4 @@
-"""Count the requests of accounts here, and tell the holder of the duty."""
+"""Count the requests of accounts and send the counts to the reporter."""
 
 from __future__ import annotations
 
@@ -29,19 +29,18 @@
 
 log = logs.for_part('usage')
 
-# Seconds between messages where something was counted. A process that is
-# killed takes what it counted since; of a window of 5 s that is 3% at worst.
-TELL_SECONDS = 0.3
-# Seconds for one answer.
+# Seconds between messages with new counts; a killed process loses the counts
+# since its last message.
+SEND_SECONDS = 0.3
 ANSWER_SECONDS = 0.8
-# Messages a second that the holder gets of all instances that have counted
-# nothing; they carry clocks only. 410 instances send one in 20 s each.
-IDLE_MESSAGES = 20.0
+# Messages per second from all instances without new counts together; they
+# carry the wall clocks.
+IDLE_MESSAGES_PER_SECOND = 20.0
 MIN_IDLE_SECONDS = 2.0
 
 
 class UsageCounter:
-    """Hold this process's counts until they are reported."""
+    """Hold the counts of this process until they are reported."""
 
     def __init__(
         self,
@@ -52,90 +51,93 @@
         peers: PeerCalls,
         clock: Any,
     ) -> None:
-        self.own = counts_module.LocalCounts()
+        self.counts = counts_module.LocalCounts()
         self._policy = policy
         self._state = state
         self._fleet_clock = fleet_clock
         self._reporter = reporter
         self._peers = peers
         self._clock = clock
-        # A restarted process counts anew, and must not hide what the one
-        # before it has told.
+        # New per process: counts sent after a restart must not replace those
+        # of the earlier process.
         self._source = Incarnation(uuid.uuid4().hex[:12])
-        # What was told last, and to whom.
-        self._told = -1
-        self._told_at = -MIN_IDLE_SECONDS
-        self._told_to = ''
+        # The last message that was answered: changes, time and receiver.
+        self._sent_changes = -1
+        self._sent_at = -MIN_IDLE_SECONDS
+        self._sent_to = ''
         self._sending: defer.Deferred[None] | None = None
         self._ticker = task.LoopingCall(self._tick)
         self._ticker.clock = clock
 
     def start(self) -> None:
-        """Begin to tell."""
-        self._ticker.start(TELL_SECONDS).addErrback(self._failed)
+        """Start sending counts."""
+        self._ticker.start(SEND_SECONDS).addErrback(self._log_failure)
 
     def stop(self) -> None:
-        """Tell nothing more."""
+        """Stop sending counts."""
         if self._ticker.running:
             self._ticker.stop()
 
     def began(self, account: AccountName, at: Instant) -> None:
-        """Count a request that began to run at an instant."""
-        ago = self._clock.seconds() - at
-        began_at = WallTime(self._fleet_clock.now() - ago)
+        """Count a request in the window in which it began to run."""
+        age = self._clock.seconds() - at
+        began_at = WallTime(self._fleet_clock.now() - age)
         window = self._policy.window_at(began_at)
-        if self.own.add(window, account):
+        if self.counts.add(window, account):
             meters.USAGE_COUNTED.inc()
             return
         meters.USAGE_LOST.inc()
         log.warning('Usage lost: its window is reported.', window=window)
 
     def _tick(self) -> None:
-        lost = self.own.drop_excess()
+        lost = self.counts.drop_excess()
         if lost:
             meters.USAGE_LOST.inc(lost)
-            log.error('Usage lost: nobody reports it.', requests=lost)
+            log.error('Usage lost: no instance reports it.', requests=lost)
         if self._sending is not None or not self._is_due():
             return
-        self._sending = defer.Deferred.fromCoroutine(self.tell())
-        self._sending.addErrback(self._failed)
-        self._sending.addBoth(self._sent)
+        self._sending = defer.Deferred.fromCoroutine(self.send())
+        self._sending.addErrback(self._log_failure)
+        self._sending.addBoth(self._clear_sending)
 
     def _is_due(self) -> bool:
         holder = self._reporter.holder()
         if holder is None:
             return False
-        if holder != self._told_to or self._told != self.own.changes:
+        if (
+            holder != self._sent_to
+            or self._sent_changes != self.counts.changes
+        ):
             return True
         instances = len(self._state.instances_by_id)
-        idle = max(MIN_IDLE_SECONDS, instances / IDLE_MESSAGES)
-        return bool(self._clock.seconds() >= self._told_at + idle)
+        idle = max(MIN_IDLE_SECONDS, instances / IDLE_MESSAGES_PER_SECOND)
+        return bool(self._clock.seconds() >= self._sent_at + idle)
 
-    async def tell(self) -> None:
-        """Tell the holder everything that is not reported yet."""
+    async def send(self) -> None:
+        """Send all counts that are not reported yet to the duty's holder."""
         holder = self._reporter.holder()
         if holder is None:
             return
-        changes = self.own.changes
+        changes = self.counts.changes
         message = messages.CountMessage(
             instance=self._state.settings.instance,
             source=self._source,
             wall=self._fleet_clock.wall(),
-            counts_by_window=self.own.counts_by_window,
+            counts_by_window=self.counts.counts_by_window,
         )
         answer: messages.CountAnswer | None = None
         peer = self._state.instances_by_id.get(holder)
         if holder == self._state.settings.instance:
-            answer = self._reporter.take(message)
+            answer = self._reporter.merge(message)
         elif peer is not None:
-            answer = await self._ask(peer, message)
+            answer = await self._call_holder(peer, message)
         if answer is None:
             return
-        self.own.close(answer.closed_through)
-        self._told, self._told_to = changes, holder
-        self._told_at = self._clock.seconds()
+        self.counts.close(answer.closed_through)
+        self._sent_changes, self._sent_to = changes, holder
+        self._sent_at = self._clock.seconds()
 
-    async def _ask(
+    async def _call_holder(
         self, peer: InstanceRecord, message: messages.CountMessage
     ) -> messages.CountAnswer | None:
         sent_at = self._clock.seconds()
@@ -150,14 +152,14 @@
             )
         except peer_call.PeerFailed as error:
             meters.USAGE_NOT_TOLD.inc()
-            log.debug('Usage not told.', peer=peer.instance, cause=str(error))
+            log.debug('Usage not sent.', peer=peer.instance, cause=str(error))
             return None
-        self._fleet_clock.follow(answer.now, self._clock.seconds() - sent_at)
+        self._fleet_clock.adopt(answer.now, self._clock.seconds() - sent_at)
         return answer
 
-    def _sent(self, _: object) -> None:
+    def _clear_sending(self, _: object) -> None:
         self._sending = None
 
-    def _failed(self, failure: Any) -> None:
+    def _log_failure(self, failure: Any) -> None:
         if not failure.check(defer.CancelledError):
-            log.error('Usage not told.', cause=failure.getTraceback())
+            log.error('Usage not sent.', cause=failure.getTraceback())
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/messages.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/messages.py
@@ -1,4 +1,4 @@
-"""Messages between those who count usage and the holder of its duty."""
+"""Define the messages between counting instances and the reporter."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 class CountMessage(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell what a process has counted in windows that are not reported."""
+    """Hold the counts of a process for windows that are not reported."""
 
     instance: InstanceId
     source: Incarnation
-    # What its wall clock shows.
+    # Wall clock of the sender.
     wall: WallTime
     counts_by_window: dict[WindowNumber, Counts]
 
 
 class CountAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell those who count what the holder knows."""
+    """Hold the holder's time and the last reported window."""
 
-    # The true time, as agreed.
+    # The wall time agreed by the fleet.
     now: WallTime
-    # Windows up to this one take no more.
+    # The last window that accepts no more counts.
     closed_through: WindowNumber
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/parts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/parts.py
@@ -1,4 +1,4 @@
-"""Put the parts together that count and report usage."""
+"""Assemble the components that count and report usage."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class UsageParts:
-    """Hold the counter, the reporter and their duty."""
+    """Hold the counter, the reporter and the duty of reporting."""
 
     def __init__(
         self,
@@ -68,21 +68,21 @@
         )
 
     def start(self) -> None:
-        """Begin to count and to contend for the duty."""
+        """Start to send counts, and to report while the duty is held."""
         self.reporter.start()
         self.counter.start()
 
     def began(self, account: AccountName | None, at: Instant | None) -> None:
-        """Count a request that began to run, if it is an account's."""
+        """Count a request that began to run for a client account."""
         if account is not None and at is not None:
             self.counter.began(account, at)
 
     def handles(self, path: str) -> bool:
-        """Tell whether a page of the peer port is answered here."""
+        """Tell whether a path of the peer port belongs to usage."""
         return path == messages.PATH
 
     async def handle(self, request: SmallRequest) -> Page:
-        """Answer a peer or an operator."""
+        """Handle a request of a peer or an operator."""
         return await self.reporter.handle(request)
 
     def _has_accounts(self) -> bool:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/records.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/records.py
@@ -1,4 +1,4 @@
-"""Keep counts and reports of usage in the platform's store."""
+"""Store counts and reports of usage in the platform's store."""
 
 from __future__ import annotations
 
@@ -18,49 +18,49 @@
     from yuccarill.core.ids import ServiceName
     from yuccarill.platform.store import Store
 
-# Reports that are kept for people to read: two minutes of windows of 5 s.
+# Windows whose reports are kept for operators.
 KEPT_REPORTS = 24
 
 
 class OpenUsage(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what is counted and not reported yet."""
+    """Hold the counts that are not reported yet."""
 
-    # The first window that no report is recorded for.
+    # The first window without a recorded report.
     following: WindowNumber
-    # Reports up to this window were accepted.
+    # The last window whose report was sent and answered.
     sent_through: WindowNumber
     sources_by_window: dict[WindowNumber, dict[Incarnation, Counts]] = {}
 
 
 class UsageReport(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what is reported for one window, now and whenever it is sent."""
+    """Hold the report of one window, the same at each attempt to send it."""
 
     counts: Counts
-    # Who made it up.
+    # The instance that created the report.
     instance: InstanceId
 
 
 class StoredUsage(msgspec.Struct, kw_only=True):
-    """Hold what stands in the store."""
+    """Hold all usage data in the store."""
 
     open: OpenUsage | None = None
     reports_by_window: dict[WindowNumber, UsageReport] = {}
 
 
-class ReportTaken(Exception):
-    """Report a window for which another report is recorded."""
+class ReportConflict(Exception):
+    """Signal that a different report is recorded for the window."""
 
 
 class UsageRecords:
-    """Read and write under the duty of reporting."""
+    """Read and write usage, conditional on the lease of the reporting duty."""
 
     def __init__(self, duty: ServiceName, store: Store) -> None:
         self._duty_key = keys.duty(duty)
         self._store = store
 
     async def read(self) -> StoredUsage:
-        """Return what stands; raises StoreRefused or StoreUnclear."""
-        found = StoredUsage()
+        """Return the stored usage; raises StoreRefused or StoreUnclear."""
+        stored = StoredUsage()
         after: str | None = None
         has_more = True
         while has_more:
@@ -68,14 +68,14 @@
             for entry in page.changes:
                 after = entry.key
                 if isinstance(entry, store_module.Entry):
-                    _collect(found, entry)
+                    _add_entry(stored, entry)
             has_more = page.has_more
-        return found
+        return stored
 
     async def save(self, duty: Revision, usage: OpenUsage) -> None:
-        """Write what is counted; raises as the store does."""
+        """Write the open counts; raises the errors of `Store.transact`."""
         await self._store.transact(
-            expected=[self._held(duty)], writes=[_open(usage)]
+            expected=[self._expect_duty(duty)], writes=[_usage_write(usage)]
         )
 
     async def record(
@@ -85,11 +85,10 @@
         report: UsageReport,
         usage: OpenUsage,
     ) -> None:
-        """Write a window's report once, before it is sent.
+        """Write the report of a window once, before it is sent.
 
-        Whoever holds the duty later sends the same. Raises ReportTaken if
-        another one stands, else as the store does; an earlier try of the
-        same that was carried out counts.
+        Later holders of the duty send the same report. Idempotent. Raises
+        ReportConflict if another one exists, or an error of `Store.transact`.
         """
         key = keys.usage_report(window)
         value = msgspec.msgpack.encode(report)
@@ -97,39 +96,39 @@
         try:
             await self._store.transact(
                 expected=[
-                    self._held(duty),
+                    self._expect_duty(duty),
                     store_module.Expectation(
                         key=key, revision=store_module.ABSENT
                     ),
                 ],
                 writes=[
                     store_module.Write(key=key, value=value),
-                    _open(usage),
+                    _usage_write(usage),
                 ],
                 removals=[old],
             )
         except store_module.StoreConflict as conflict:
-            standing = conflict.entries_by_key.get(key)
-            if standing is None:
+            existing = conflict.entries_by_key.get(key)
+            if existing is None:
                 raise
-            if standing.value != value:
-                raise ReportTaken from conflict
+            if existing.value != value:
+                raise ReportConflict from conflict
 
-    def _held(self, duty: Revision) -> store_module.Expectation:
+    def _expect_duty(self, duty: Revision) -> store_module.Expectation:
         return store_module.Expectation(key=self._duty_key, revision=duty)
 
 
-def _open(usage: OpenUsage) -> store_module.Write:
+def _usage_write(usage: OpenUsage) -> store_module.Write:
     return store_module.Write(
         key=keys.USAGE_OPEN, value=msgspec.msgpack.encode(usage)
     )
 
 
-def _collect(found: StoredUsage, entry: store_module.Entry) -> None:
+def _add_entry(stored: StoredUsage, entry: store_module.Entry) -> None:
     if entry.key == keys.USAGE_OPEN:
-        found.open = msgspec.msgpack.decode(entry.value, type=OpenUsage)
+        stored.open = msgspec.msgpack.decode(entry.value, type=OpenUsage)
         return
     window = keys.window_of(entry.key)
-    found.reports_by_window[window] = msgspec.msgpack.decode(
+    stored.reports_by_window[window] = msgspec.msgpack.decode(
         entry.value, type=UsageReport
     )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/reporter.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/reporter.py
@@ -1,4 +1,4 @@
-"""Report each window's usage once, while this instance has the duty."""
+"""Report the usage of each window once, while this instance has the duty."""
 
 from __future__ import annotations
 
@@ -35,25 +35,23 @@
 
 log = logs.for_part('usage')
 
-# The duty's name among those of services, which have no colon.
+# The colon keeps the name apart from those of services.
 DUTY = ServiceName(':usage-reports')
-# Seconds between looks at what is to be done.
 STEP_SECONDS = 0.2
-# Seconds after a window's end at which it is made up: requests that began in
-# it have ended after the 1.5 s that callers wait, and are told 0.3 s later.
+# Seconds from the end of a window to its report: longer than the client
+# timeout plus the interval at which counts are sent.
 SETTLE_SECONDS = 2.5
-# Seconds after a duty was taken in which counts of all instances come in
-# anew: each tells the new holder within a tick, once it has heard of it.
+# Seconds for which a new holder waits for the counts of all instances.
 GATHER_SECONDS = 1.5
-# Seconds between writes of what is counted. A loss of all instances takes
-# what is newer, a fifth of a window of 5 s.
+# Seconds between writes of open counts; newer ones are lost if all instances
+# are killed at once.
 SAVE_SECONDS = 1.0
-# Seconds before a report is sent again.
+# Seconds before a failed report is sent again.
 RETRY_SECONDS = 0.5
 
 
 class UsageReporter:
-    """Make up reports from what all instances count, and send them."""
+    """Create reports from the counts of all instances and send them."""
 
     def __init__(
         self,
@@ -72,37 +70,38 @@
         self._billing = billing
         self._fleet_clock = fleet_clock
         self._clock = clock
-        self._book = counts_module.UsageTotals()
-        # The hold under which what follows was read.
-        self._read_under: Revision | None = None
+        self._totals = counts_module.UsageTotals()
+        # Revision of the duty under which the fields below were read.
+        self._read_revision: Revision | None = None
         self._gathered_at = 0.0
         self._following = WindowNumber(0)
         self._sent_through = WindowNumber(0)
         self._reports_by_window: dict[
             WindowNumber, records_module.UsageReport
         ] = {}
-        # A report whose record may stand: it is tried with the same counts.
-        self._chosen: (
+        # A report whose write is retried with the same counts, since an
+        # earlier attempt can have succeeded.
+        self._pending_report: (
             tuple[WindowNumber, records_module.UsageReport] | None
         ) = None
         self._is_unsaved = False
         self._save_at = 0.0
         self._send_at = 0.0
-        self._stepping: defer.Deferred[None] | None = None
+        self._running_step: defer.Deferred[None] | None = None
         self._ticker = task.LoopingCall(self._tick)
         self._ticker.clock = clock
 
     def start(self) -> None:
-        """Begin to report whenever the duty is held here."""
-        self._ticker.start(STEP_SECONDS).addErrback(self._failed)
+        """Start to report while this instance holds the duty."""
+        self._ticker.start(STEP_SECONDS).addErrback(self._log_failure)
 
     def stop(self) -> None:
-        """Report nothing more."""
+        """Stop reporting."""
         if self._ticker.running:
             self._ticker.stop()
 
     def holder(self) -> InstanceId | None:
-        """Return the instance that counts are told to."""
+        """Return the instance to which counts are sent, if any."""
         if self._duty.tenure is not None:
             return self._state.settings.instance
         known = self._state.duties_by_service.get(DUTY)
@@ -110,20 +109,20 @@
             return None
         return known.instance  # type: ignore[return-value]
 
-    def take(
+    def merge(
         self, message: messages.CountMessage
     ) -> messages.CountAnswer | None:
-        """Take counts; none if this instance can't answer for them."""
+        """Merge counts; return None unless this instance can report them."""
         if not self._is_ready():
             return None
-        self._fleet_clock.hear(message.instance, message.wall)
+        self._fleet_clock.record(message.instance, message.wall)
         self._fleet_clock.agree()
         still_open = {
             window: counts
             for window, counts in message.counts_by_window.items()
             if window >= self._following
         }
-        if self._book.merge_source(message.source, still_open):
+        if self._totals.merge_source(message.source, still_open):
             self._is_unsaved = True
         return messages.CountAnswer(
             now=self._fleet_clock.now(),
@@ -131,17 +130,17 @@
         )
 
     async def handle(self, request: SmallRequest) -> Page:
-        """Answer a process that counts, or an operator."""
+        """Handle counts of a peer or a request of an operator."""
         if request.method == 'GET':
-            return Page(status=200, body=msgspec.json.encode(self.shown()))
+            return Page(status=200, body=msgspec.json.encode(self.status()))
         try:
             message = msgspec.msgpack.decode(
                 request.body, type=messages.CountMessage
             )
         except msgspec.MsgspecError as error:
-            log.warning('Message not taken.', cause=str(error))
+            log.warning('Invalid usage message rejected.', cause=str(error))
             return Page(status=400)
-        answer = self.take(message)
+        answer = self.merge(message)
         if answer is None:
             return Page(status=409)
         return Page(
@@ -150,8 +149,8 @@
             body=msgspec.msgpack.encode(answer),
         )
 
-    def shown(self) -> reports.ShownUsage:
-        """Return what an operator may know of the reports."""
+    def status(self) -> reports.ShownUsage:
+        """Return the state of the reports for operators."""
         return reports.ShownUsage(
             holder=self.holder(),
             is_here=self._is_ready(),
@@ -166,25 +165,25 @@
         )
 
     def _is_ready(self) -> bool:
-        """Tell whether what stands in the store is known under this hold."""
+        """Tell whether the store was read since the duty was acquired."""
         revision = self._duty.revision
-        return revision is not None and self._read_under == revision
+        return revision is not None and self._read_revision == revision
 
     def _tick(self) -> None:
-        if self._stepping is not None or self._duty.revision is None:
+        if self._running_step is not None or self._duty.revision is None:
             return
-        self._stepping = defer.Deferred.fromCoroutine(
+        self._running_step = defer.Deferred.fromCoroutine(
             self._step(self._duty.revision)
         )
-        self._stepping.addErrback(self._failed)
-        self._stepping.addBoth(self._stepped)
+        self._running_step.addErrback(self._log_failure)
+        self._running_step.addBoth(self._clear_step)
 
     async def _step(self, revision: Revision) -> None:
         try:
-            if self._read_under != revision:
+            if self._read_revision != revision:
                 await self._read(revision)
                 return
-            window = self._unsent()
+            window = self._first_unsent()
             if window is not None and self._may_send():
                 await self._send(window)
             elif window is None and self._is_due():
@@ -192,39 +191,39 @@
             elif self._is_unsaved and self._clock.seconds() >= self._save_at:
                 await self._save(revision)
         except store_module.StoreConflict:
-            log.warning('Usage not written: the duty is lost.')
+            log.warning('Usage not written: the duty was lost.')
             self._duty.give_up(revision)
         except (store_module.StoreRefused, store_module.StoreUnclear) as error:
-            # Tried again at the next step.
+            # Retried at the next step.
             log.info('Usage not written.', cause=str(error))
 
     async def _read(self, revision: Revision) -> None:
-        found = await self._records.read()
-        self._reports_by_window = dict(found.reports_by_window)
-        # Made up under an earlier hold: what stands in the store decides.
-        self._chosen = None
-        self._book = counts_module.UsageTotals()
-        if found.open is None:
+        stored = await self._records.read()
+        self._reports_by_window = dict(stored.reports_by_window)
+        # Created under an earlier tenure: the stored report is authoritative.
+        self._pending_report = None
+        self._totals = counts_module.UsageTotals()
+        if stored.open is None:
             self._following = self._policy.window_at(self._fleet_clock.now())
             self._sent_through = WindowNumber(self._following - 1)
         else:
-            self._following = found.open.following
-            self._sent_through = found.open.sent_through
-            self._book.merge(found.open.sources_by_window)
+            self._following = stored.open.following
+            self._sent_through = stored.open.sent_through
+            self._totals.merge(stored.open.sources_by_window)
         self._gathered_at = self._clock.seconds() + GATHER_SECONDS
-        self._read_under = revision
+        self._read_revision = revision
         log.info(
-            'Usage taken over.',
+            'Usage reporting started.',
             following=self._following,
             sent_through=self._sent_through,
             counted=sum(
-                sum(self._book.totals(w).values())
-                for w in self._book.sources_by_window
+                sum(self._totals.totals(w).values())
+                for w in self._totals.sources_by_window
             ),
         )
 
-    def _unsent(self) -> WindowNumber | None:
-        """Return the first window that is recorded and not sent."""
+    def _first_unsent(self) -> WindowNumber | None:
+        """Return the first window whose recorded report is not sent."""
         for window in sorted(self._reports_by_window):
             if window > self._sent_through:
                 return window
@@ -243,25 +242,25 @@
 
     async def _record(self, revision: Revision) -> None:
         window = self._following
-        if self._chosen is None or self._chosen[0] != window:
+        if self._pending_report is None or self._pending_report[0] != window:
             report = records_module.UsageReport(
-                counts=self._book.totals(window),
+                counts=self._totals.totals(window),
                 instance=self._state.settings.instance,
             )
-            self._chosen = (window, report)
-        report = self._chosen[1]
+            self._pending_report = (window, report)
+        report = self._pending_report[1]
         following = WindowNumber(window + 1)
         try:
             await self._records.record(
-                revision, window, report, self._open(following)
+                revision, window, report, self._snapshot(following)
             )
-        except records_module.ReportTaken:
-            log.error('Another report stands; read again.', window=window)
-            self._read_under = None
+        except records_module.ReportConflict:
+            log.error('Another usage report exists; reloading.', window=window)
+            self._read_revision = None
             return
-        self._chosen = None
+        self._pending_report = None
         self._following = following
-        self._book.close(following)
+        self._totals.close(following)
         self._reports_by_window[window] = report
         self._reports_by_window.pop(
             WindowNumber(window - records_module.KEPT_REPORTS), None
@@ -271,18 +270,18 @@
         self._save_at = self._clock.seconds() + SAVE_SECONDS
         self._is_unsaved = False
         try:
-            await self._records.save(revision, self._open(self._following))
+            await self._records.save(revision, self._snapshot(self._following))
         except BaseException:
             self._is_unsaved = True
             raise
 
-    def _open(self, following: WindowNumber) -> records_module.OpenUsage:
+    def _snapshot(self, following: WindowNumber) -> records_module.OpenUsage:
         return records_module.OpenUsage(
             following=following,
             sent_through=self._sent_through,
             sources_by_window={
                 window: sources
-                for window, sources in self._book.sources_by_window.items()
+                for window, sources in self._totals.sources_by_window.items()
                 if window >= following
             },
         )
@@ -296,8 +295,8 @@
         outcome = await self._billing.report(
             window, report.counts, self._state.settings.instance, epoch
         )
-        late = self._fleet_clock.now() - self._policy.due(window)
-        meters.USAGE_REPORTS.labels(outcome.value, late > 0.0).inc()
+        lateness = self._fleet_clock.now() - self._policy.due(window)
+        meters.USAGE_REPORTS.labels(outcome.value, lateness > 0.0).inc()
         log.info(
             'Usage reported.',
             window=window,
@@ -305,19 +304,19 @@
             epoch=epoch,
             accounts=len(report.counts),
             requests=sum(report.counts.values()),
-            late=round(late, 2),
+            late=round(lateness, 2),
         )
         match outcome:
             case ReportOutcome.ACCEPTED | ReportOutcome.REFUSED:
-                # One that is refused is refused again.
+                # A retry of a refused report would be refused again.
                 self._sent_through = window
                 self._is_unsaved = True
             case ReportOutcome.BUSY | ReportOutcome.UNKNOWN:
                 self._send_at = self._clock.seconds() + RETRY_SECONDS
 
-    def _stepped(self, _: object) -> None:
-        self._stepping = None
+    def _clear_step(self, _: object) -> None:
+        self._running_step = None
 
-    def _failed(self, failure: Any) -> None:
+    def _log_failure(self, failure: Any) -> None:
         if not failure.check(defer.CancelledError):
             log.error('Usage not reported.', cause=failure.getTraceback())
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/__init__.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/__init__.py
@@ -1,1 +1,1 @@
-"""Order engines to change weights."""
+"""Order engines to switch to new versions of model weights."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/engine_requests.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/engine_requests.py
@@ -1,4 +1,4 @@
-"""Follow what trainers and operators ask of engines and disk instances."""
+"""Follow version changes by trainers and retirements by operators."""
 
 from __future__ import annotations
 
@@ -27,11 +27,10 @@
 
 
 class EngineRequests:
-    """Know the versions that trainers named; answer retirements.
+    """Track the versions that trainers request; confirm retirements.
 
-    Only the holder of a duty follows these: with a version named every few
-    seconds by each trainer, a watch in each instance would be paid for at
-    each of them.
+    Only a duty holder follows these entries, to save the cost of a watch per
+    instance for versions that change every few seconds.
     """
 
     def __init__(
@@ -43,21 +42,21 @@
         self._followers = [
             follower.PrefixFollower(store, prefix, on_entry, clock)
             for prefix, on_entry in (
-                (keys.VERSION_PREFIX, self._version),
-                (keys.RETIRE_PREFIX, self._retire),
+                (keys.VERSION_PREFIX, self._handle_version),
+                (keys.RETIRE_PREFIX, self._handle_retirement),
             )
         ]
 
     def following(self) -> list[Awaitable[None]]:
-        """Return what runs until the duty is lost."""
+        """Return the coroutines that run until the duty is lost."""
         return [each.follow() for each in self._followers]
 
     def refresh(self) -> None:
-        """Read everything again, after the store was away."""
+        """Read all entries again after an outage of the store."""
         for each in self._followers:
             each.refresh()
 
-    def _version(self, entry: Entry | Removal) -> None:
+    def _handle_version(self, entry: Entry | Removal) -> None:
         if isinstance(entry, store_module.Removal):
             return
         try:
@@ -69,15 +68,15 @@
         if known is None or version > known:
             self.versions_by_model[model] = version
             log.info(
-                'Version named.',
+                'Weight version requested.',
                 model=model,
                 version=version,
                 revision=entry.revision,
             )
             self._on_change()
 
-    def _retire(self, entry: Entry | Removal) -> None:
+    def _handle_retirement(self, entry: Entry | Removal) -> None:
         instance = keys.retiring_instance(entry.key)
-        is_asked = not isinstance(entry, store_module.Removal)
-        if is_asked and instance is not None:
-            self._retirement.answer(instance)
+        is_requested = not isinstance(entry, store_module.Removal)
+        if is_requested and instance is not None:
+            self._retirement.confirm(instance)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/retirement.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/retirement.py
@@ -1,4 +1,4 @@
-"""Answer operators who want a disk instance emptied."""
+"""Answer operators' requests to retire a disk instance."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 
 
 class Retirement:
-    """Report at once that an instance is empty: nothing is kept on disks."""
+    """Confirm each retirement at once: no data is kept on disks."""
 
     def __init__(self, store: Store, clock: Any) -> None:
         self._store = store
         self._clock = clock
 
-    def answer(self, instance: InstanceId) -> None:
-        """Answer in the background, until the store has the answer."""
-        log.info('Retirement asked.', instance=instance)
-        answering = defer.Deferred.fromCoroutine(self._answer(instance))
-        answering.addErrback(
+    def confirm(self, instance: InstanceId) -> None:
+        """Write the confirmation in the background, with retries."""
+        log.info('Retirement requested.', instance=instance)
+        confirming = defer.Deferred.fromCoroutine(self._confirm(instance))
+        confirming.addErrback(
             lambda failure: log.error(
-                'Not answered.', cause=failure.getTraceback()
+                'Retirement confirmation failed.', cause=failure.getTraceback()
             )
         )
 
-    async def _answer(self, instance: InstanceId) -> None:
+    async def _confirm(self, instance: InstanceId) -> None:
         key = keys.retirement(instance)
         write = store_module.Write(key=key, value=operators.retirement_done())
         absent = store_module.Expectation(
@@ -51,7 +51,7 @@
                 log.info('Retirement completed.', instance=instance)
                 return
             except store_module.StoreConflict:
-                # Another instance has answered.
+                # Another instance has confirmed it.
                 return
             except (store_module.StoreRefused, store_module.StoreUnclear):
                 await task.deferLater(self._clock, RETRY_SECONDS)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/weight_switcher.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/weight_switcher.py
@@ -1,4 +1,4 @@
-"""Order engines to change weights, under the duty for their service."""
+"""Order engines to switch weights while the service's duty is held."""
 
 from __future__ import annotations
 
@@ -29,32 +29,30 @@
 
 log = logs.for_part('weights')
 
-# Seconds that runs under way have to end before a switch, and between looks
-# at them.
-EMPTY_SECONDS = 0.8
-EMPTY_STEP = 0.05
-# Seconds to wait for an answer to an order or a question.
+# Seconds that active runs have to end before a switch, and between checks.
+DRAIN_SECONDS = 0.8
+DRAIN_POLL_SECONDS = 0.05
+# Timeout of an order or a report.
 ORDER_SECONDS = 1.0
-# Seconds between questions while weights load. A load takes 0.9 s and more;
-# a question is cheap, and an engine that waits idle is not.
+# Seconds between reports while weights load; short, to limit idle time.
 REPORT_SECONDS = 0.2
-# Seconds within which the store has to have known the duty for an order to
-# be sent, less than a successor waits.
-ORDER_AGE = 0.5
-# Seconds after which a switch that is not seen is ordered again.
+# Maximum age of the store's confirmation of the duty when an order is sent;
+# shorter than the wait of a successor.
+MAX_DUTY_AGE_SECONDS = 0.5
+# Seconds after which an unconfirmed switch is ordered again.
 SWITCH_SECONDS = 6.0
-# Seconds before an engine that refused is asked again.
+# Seconds before an engine that failed or refused is tried again.
 RETRY_SECONDS = 0.5
 
 
 class WeightSwitcher:
-    """Carry out the switches that the plan asks for."""
+    """Execute the weight switches that are planned for the engines."""
 
     def __init__(
         self,
         state: GatewayState,
         duty: Duty,
-        board: JobQueue,
+        queue: JobQueue,
         fleet: EngineFleet,
         engines: Engines,
         requests: EngineRequests,
@@ -63,19 +61,19 @@
     ) -> None:
         self._state = state
         self._duty = duty
-        self._board = board
+        self._queue = queue
         self._fleet = fleet
-        self._hold = weight_change_hold.WeightChangeHold()
+        self._change_hold = weight_change_hold.WeightChangeHold()
         self._engines = engines
         self._requests = requests
         self._on_switched = on_switched
         self._clock = clock
         self._running: set[defer.Deferred[None]] = set()
-        # How many items a step of each model has, by the last one.
+        # Items per step of each model, from its last job.
         self.items_by_model: dict[ModelName, int] = {}
 
     def update(self) -> None:
-        """Begin the switches that may begin now."""
+        """Start the switches that are due."""
         if not self._duty.may_order():
             return
         versions_by_model = {
@@ -88,13 +86,12 @@
             versions_by_model,
             self.items_by_model,
             self._now(),
-            self._hold.held_models(
-                versions_by_model, self._board, self._now()
+            self._change_hold.held_models(
+                versions_by_model, self._queue, self._now()
             ),
         )
-        # All are marked before the first one begins: an idle engine's switch
-        # asks for the next look at once, which would begin the others too.
-        # Eight idle engines got 36 orders that way, each one paid for.
+        # All are marked before the first one starts: the switch of an idle
+        # engine calls `update` at once, which would order the others twice.
         for switch in switches:
             engine = self._fleet.engines_by_id[switch.engine]
             engine.switching_models.add(switch.model)
@@ -104,23 +101,23 @@
                 self._switch(engine, switch)
             )
             self._running.add(running)
-            running.addBoth(self._ended, running, engine, switch)
+            running.addBoth(self._finish, running, engine, switch)
 
     def stop(self) -> None:
-        """Give up what is under way."""
+        """Cancel the active switches."""
         for running in list(self._running):
             running.cancel()
 
     def _is_served(self, model: ModelName) -> bool:
         if not self._state.follows(self._duty.service, model):
-            # Another holder's engines follow it.
+            # The engines of another duty holder load this model.
             return False
         return any(
             model in engine.target.versions_by_model
             for engine in self._fleet.engines_by_id.values()
         )
 
-    def _ended(
+    def _finish(
         self,
         result: Any,
         running: defer.Deferred[None],
@@ -131,23 +128,23 @@
         engine.switching_models.discard(switch.model)
         engine.draining_models.discard(switch.model)
         if hasattr(result, 'check') and not result.check(defer.CancelledError):
-            log.error('Switch failed.', cause=result.getTraceback())
+            log.error('Weight switch failed.', cause=result.getTraceback())
         self._on_switched()
 
     async def _switch(
         self, engine: EngineState, switch: weights.Switch
     ) -> None:
-        await self._empty(engine, switch)
+        await self._drain(engine, switch)
         give_up_at = self._now() + SWITCH_SECONDS
-        report = await self._report(engine)
+        report = await self._fetch_report(engine)
         if report is None:
             await self._pause(RETRY_SECONDS)
             return
-        if _has(report, switch):
+        if _has_version(report, switch):
             engine.record_version(switch.model, switch.version)
             return
         if not report.is_busy:
-            outcome = await self._order(engine, switch, report)
+            outcome = await self._send_order(engine, switch, report)
             if outcome is wire_engines.OrderOutcome.ALREADY_HOLDS:
                 engine.record_version(switch.model, switch.version)
                 return
@@ -159,45 +156,43 @@
                 return
         while self._now() < give_up_at and self._fleet.is_current(engine):
             await self._pause(REPORT_SECONDS)
-            seen = await self._report(engine)
-            if seen is None:
+            new_report = await self._fetch_report(engine)
+            if new_report is None:
                 continue
-            if _has(seen, switch) and not seen.is_busy:
+            if _has_version(new_report, switch) and not new_report.is_busy:
                 engine.record_version(switch.model, switch.version)
                 return
-            is_lost = seen.orders_accepted == report.orders_accepted
-            if is_lost and not seen.is_busy and not report.is_busy:
-                # Reports lag: the second one without a sign tells.
+            is_lost = new_report.orders_accepted == report.orders_accepted
+            if is_lost and not new_report.is_busy and not report.is_busy:
+                # Reports lag: a later one confirms that the order was lost.
                 if self._now() > give_up_at - SWITCH_SECONDS + 1.5:
                     return
 
-    async def _empty(
+    async def _drain(
         self, engine: EngineState, switch: weights.Switch
     ) -> None:
-        # Half of the texts take 0.6 s: those that end by themselves need
-        # not go on elsewhere over a new connection.
-        until = self._now() + EMPTY_SECONDS
+        # Runs that end in time need not resume at another engine.
+        until = self._now() + DRAIN_SECONDS
         while engine.runs_by_model[switch.model] and self._now() < until:
-            await self._pause(EMPTY_STEP)
+            await self._pause(DRAIN_POLL_SECONDS)
         engine.draining_models.add(switch.model)
         self._on_switched()
 
-    async def _order(
+    async def _send_order(
         self,
         engine: EngineState,
         switch: weights.Switch,
         report: wire_engines.EngineReport,
     ) -> wire_engines.OrderOutcome:
-        is_known = await self._duty.confirm(ORDER_AGE)
+        is_confirmed = await self._duty.confirm(MAX_DUTY_AGE_SECONDS)
         if not self._fleet.is_current(engine):
-            # The count of orders is that of the process before: the one that
-            # started again is looked at anew, as another engine.
+            # The engine restarted: its order count belongs to the old process.
             return wire_engines.OrderOutcome.GONE
         tenure = self._duty.tenure
         now = self._now()
-        # Checked right before the order: the question before it may have
-        # taken longer than the lease.
-        if not is_known or tenure is None or not self._duty.may_order():
+        # Checked right before the order: the report before it can have taken
+        # longer than the lease.
+        if not is_confirmed or tenure is None or not self._duty.may_order():
             return wire_engines.OrderOutcome.FENCED
         self._duty.order()
         order = wire_engines.VersionOrder(
@@ -206,8 +201,8 @@
             mode=wire_engines.SwitchMode.CONTINUE,
             holder=self._state.settings.instance,
             epoch=tenure.epoch,
-            # An order without an answer may be carried out seconds later:
-            # with the count it expects, it fails once another one stands.
+            # An unanswered order can be executed seconds later; the expected
+            # count makes it fail once another order was accepted.
             expected_orders=report.orders_accepted,
         )
         outcome = await self._engines.order(
@@ -215,7 +210,7 @@
         )
         meters.ORDERS.labels(outcome.value).inc()
         log.info(
-            'Ordered.',
+            'Weight switch ordered.',
             engine=engine.target.id,
             model=switch.model,
             version=switch.version,
@@ -226,22 +221,26 @@
         )
         return outcome
 
-    async def _report(
+    async def _fetch_report(
         self, engine: EngineState
     ) -> wire_engines.EngineReport | None:
         deadline = Instant(self._now() + ORDER_SECONDS)
         try:
             report = await self._engines.report(engine.target, deadline)
         except wire_engines.ReportUnavailable as error:
-            log.info('No report.', engine=engine.target.id, cause=str(error))
+            log.info(
+                'Engine report failed.',
+                engine=engine.target.id,
+                cause=str(error),
+            )
             return None
         if report.is_of(engine.target):
             return report
-        # Its entry is still that of the process before, with the versions
-        # that it had: items sent by those would all be broken off.
+        # The list still shows the previous process and its versions; items
+        # sent for these versions would all be aborted.
         engine.fail(self._now())
         log.info(
-            'Engine started again.',
+            'Engine restarted.',
             engine=engine.target.id,
             listed_start=engine.target.start.started_at,
             start=report.started_at,
@@ -255,6 +254,8 @@
         return Instant(self._clock.seconds())
 
 
-def _has(report: wire_engines.EngineReport, switch: weights.Switch) -> bool:
+def _has_version(
+    report: wire_engines.EngineReport, switch: weights.Switch
+) -> bool:
     version = report.versions_by_model.get(switch.model)
     return version is not None and version >= switch.version
--- a/packages/yuccarill-daemon/tests/gateway/test_usage.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_usage.py
@@ -1,9 +1,8 @@
-"""Test that each window's usage is reported once, whatever fails.
+"""Test that the usage of each window is reported once despite failures.
 
-The pattern is that of the users' platform: windows of 5 s, due 10 s after
-their end, an interface that takes no two reports of one window and no call
-under a lower token than it has seen. Four instances count what callers send
-through them; one of them holds the duty.
+The simulated platform has windows of 5 s, due 10 s after their end. It records
+differing reports of a window and outdated fencing tokens as violations.
+Four instances count requests; one of them holds the reporting duty.
 """
 
 from __future__ import annotations
@@ -38,19 +37,18 @@
 NAMES = ('a', 'b', 'c', 'd')
 WINDOW = 5.0
 LATE = 10.0
-# The wall clock when a test begins: the start of a window.
+# Wall time at the start of a test: the start of a window.
 START = 1_000_000_000.0
-# Seconds beside a window's end in which no request comes: time passes in
-# steps of 10 ms here, so a message takes that long, and the instances' times
-# differ by as much. On a network of half a millisecond they do not.
+# Seconds around a window's end without requests, since the clocks of simulated
+# instances differ by the time step of 10 ms.
 BORDER = 0.03
-# Requests a second of all callers, as on the users' sheet.
+# Requests per second of all clients together.
 RATE = 7.0
 
 
 @dataclasses.dataclass
 class Platform:
-    """Take reports as the users' platform judges them."""
+    """Accept reports and record violations of the platform's rules."""
 
     clock: task.Clock
     counts_by_window: dict[int, dict[str, int]] = dataclasses.field(
@@ -60,8 +58,8 @@
     calls: list[tuple[float, str, int]] = dataclasses.field(
         default_factory=list
     )
-    broken: list[str] = dataclasses.field(default_factory=list)
-    # What the next calls meet.
+    violations: list[str] = dataclasses.field(default_factory=list)
+    # Faults of the next calls.
     status: int = 200
     loses_answers: bool = False
     is_silent: bool = False
@@ -79,33 +77,37 @@
             await task.deferLater(self.clock, left)
             raise http_exchange.ExchangeBroken('silent')
         if self.status == 200:
-            self._take(request)
+            self._accept(request)
         if self.loses_answers:
             raise http_exchange.ExchangeBroken('lost')
         head = http_exchange.ReplyHead(status=self.status, headers=())
         return http_exchange.Reply(head=head, body=b'')
 
-    def _take(self, request: http_exchange.OutgoingRequest) -> None:
+    def _accept(self, request: http_exchange.OutgoingRequest) -> None:
         headers = dict(request.headers)
         body = msgspec.json.decode(request.body)
         holder, token = headers['Duty-Holder'], int(headers['Fence-Token'])
         now = self.clock.seconds()
         if self.calls and token < self.calls[-1][2]:
-            self.broken.append(f'{now}: token {token} after a higher one')
+            self.violations.append(f'{now}: token {token} after a higher one')
         for at, other, _ in self.calls:
             if other != holder and now - at < 3.0:
-                self.broken.append(f'{now}: {holder} in turn with {other}')
+                self.violations.append(
+                    f'{now}: {holder} within 3 s of {other}'
+                )
         self.calls.append((now, holder, token))
         window, counts = body['window'], body['counts']
         known = self.counts_by_window.setdefault(window, counts)
         if known != counts:
-            self.broken.append(f'{now}: window {window} in two ways')
+            self.violations.append(
+                f'{now}: window {window} with different counts'
+            )
         self.first_at.setdefault(window, now)
 
 
 @dataclasses.dataclass
 class Instance:
-    """Hold one process's parts."""
+    """Hold the components of one process."""
 
     state: state_module.GatewayState
     store: memory_store.MemoryStore
@@ -119,14 +121,16 @@
         super().setUp()
         self.platform = Platform(self.clock)
         self.instances_by_name: dict[str, Instance] = {}
-        # What the wall clock of a machine is off by.
-        self.off_by_name: dict[str, float] = collections.defaultdict(float)
-        self.draw = random.Random(1)
-        # What truly began, by window and account.
-        self.truth: dict[int, dict[str, int]] = {}
+        # Errors of the wall clocks in seconds.
+        self.clock_error_by_name: dict[str, float] = collections.defaultdict(
+            float
+        )
+        self.generator = random.Random(1)
+        # Requests that began, by window and account.
+        self.began_by_window: dict[int, dict[str, int]] = {}
         for name in NAMES:
             self.start(name)
-        # Before callers come, all know each other.
+        # Until all instances know each other.
         self.pass_time(2.0, rate=0.0)
 
     def start(self, name: str) -> Instance:
@@ -169,10 +173,10 @@
         return found
 
     def wall(self, name: str) -> float:
-        return START + self.clock.seconds() + self.off_by_name[name]
+        return START + self.clock.seconds() + self.clock_error_by_name[name]
 
     def kill(self, name: str) -> None:
-        """End a process: nothing of it goes on."""
+        """Stop all activity of a process."""
         found = self.instances_by_name[name]
         found.is_dead = True
         found.store.is_silent = True
@@ -197,9 +201,9 @@
         return next(name for name in NAMES if name != self.holder())
 
     def pass_time(self, seconds: float, rate: float = RATE) -> None:
-        """Let time pass, with callers' requests at a rate."""
+        """Advance the clock with requests at a rate per second."""
         for _ in range(round(seconds / 0.01)):
-            if self.draw.random() < rate * 0.01:
+            if self.generator.random() < rate * 0.01:
                 self.request()
             self.run_for(0.01)
 
@@ -209,27 +213,27 @@
             for each in self.instances_by_name.values()
             if not each.is_dead
         ]
-        place = (START + self.clock.seconds()) % WINDOW
-        if not alive or not BORDER < place < WINDOW - BORDER:
+        offset = (START + self.clock.seconds()) % WINDOW
+        if not alive or not BORDER < offset < WINDOW - BORDER:
             return
-        account = self.draw.choice('xyz')
-        self.draw.choice(alive).usage.began(
+        account = self.generator.choice('xyz')
+        self.generator.choice(alive).usage.began(
             AccountName(account), Instant(self.clock.seconds())
         )
         window = int((START + self.clock.seconds()) // WINDOW)
-        counts = self.truth.setdefault(window, {})
+        counts = self.began_by_window.setdefault(window, {})
         counts[account] = counts.get(account, 0) + 1
 
-    def off(self, window: int) -> int:
-        """Return by how many requests a report differs from the truth."""
+    def count_difference(self, window: int) -> int:
+        """Return by how many requests a report differs from those sent."""
         told = self.platform.counts_by_window.get(window, {})
-        true = self.truth.get(window, {})
+        true = self.began_by_window.get(window, {})
         return sum(
             abs(told.get(each, 0) - true.get(each, 0)) for each in 'xyz'
         )
 
-    def late(self, windows: set[int]) -> list[int]:
-        """Return the windows that were not reported in time."""
+    def late_windows(self, windows: set[int]) -> list[int]:
+        """Return the windows that were not reported by their due time."""
         return [
             window
             for window in sorted(windows)
@@ -237,22 +241,26 @@
             > (window + 1) * WINDOW + LATE - START
         ]
 
-    def ended(self) -> set[int]:
-        """Return the windows whose reports are due by now."""
+    def due_windows(self) -> set[int]:
+        """Return the windows whose reports are due."""
         now = START + self.clock.seconds()
-        return {w for w in self.truth if (w + 1) * WINDOW + LATE < now}
-
-    def assert_whole(self, lost: int = 0) -> None:
-        """Check that all is reported once, in time, but for some requests."""
-        windows = self.ended()
-        self.assertEqual([], self.platform.broken)
-        self.assertEqual([], self.late(windows))
-        self.assertLessEqual(sum(self.off(w) for w in windows), lost)
+        return {
+            w for w in self.began_by_window if (w + 1) * WINDOW + LATE < now
+        }
+
+    def assert_reported(self, lost: int = 0) -> None:
+        """Check reports: once each, in time, at most `lost` requests off."""
+        windows = self.due_windows()
+        self.assertEqual([], self.platform.violations)
+        self.assertEqual([], self.late_windows(windows))
+        self.assertLessEqual(
+            sum(self.count_difference(w) for w in windows), lost
+        )
         self.assertGreaterEqual(len(windows), 2)
 
 
 class Links:
-    """Carry calls to the platform and between the instances of a world."""
+    """Carry calls to the platform and between the instances."""
 
     def __init__(self, found: UsageWorld, name: str) -> None:
         self._world = found
@@ -287,7 +295,7 @@
 class CalmTest(UsageWorld):
     def test_each_window_is_reported_once_and_in_time(self) -> None:
         self.pass_time(40.0)
-        self.assert_whole()
+        self.assert_reported()
         self.assertEqual(
             len(self.platform.calls), len(self.platform.counts_by_window)
         )
@@ -298,60 +306,54 @@
         self.assertEqual(sorted(windows), windows)
 
     def test_calls_of_the_store_are_few(self) -> None:
-        # One write a second at most, and one a report.
+        # At most one write per second, and one per report.
         before = self.keys.revision
         self.pass_time(40.0)
         self.assertLessEqual(self.keys.revision - before, 40 + 8 + 2)
 
 
 class HolderTest(UsageWorld):
-    """The holder ends at each step of a window's report."""
+    """The holder exits at each step of the report of a window."""
 
-    # Seconds into a window: while it is counted, as it is made up, as it is
-    # recorded, as it is sent, after it.
+    # Seconds into a window: while requests are counted, as the report is
+    # created, recorded and sent, and afterwards.
     @params(0.5, 2.4, 2.45, 2.5, 2.55, 2.6, 2.65, 2.7, 2.75, 2.8, 3.5, 4.9)
     def test_a_holder_that_is_killed(self, at: float) -> None:
-        """No window is reported twice, and only what it counted is lost.
+        """Guard against double reports after a crash between record and send.
 
-        1. The holder is killed, perhaps between record and report.
-        2. The next one waits for its lease and the pause between holders.
-        3. It sends what was recorded, and makes up the rest from what the
-           living tell it and the killed one had written.
+        Only counts that the killed process had not written may be lost.
         """
         self.pass_time(13.0 + at)
         self.kill(self.holder())
         self.pass_time(45.0)
-        # What the killed process itself had counted since its last write.
-        self.assert_whole(lost=4)
+        # Counts of the killed process since its last write.
+        self.assert_reported(lost=4)
 
     @params(0.5, 2.5, 2.6, 2.7, 4.9)
-    def test_a_holder_that_starts_again(self, at: float) -> None:
+    def test_a_holder_that_restarts(self, at: float) -> None:
         self.pass_time(13.0 + at)
         self.restart(self.holder())
         self.pass_time(45.0)
-        self.assert_whole(lost=4)
+        self.assert_reported(lost=4)
 
-    def test_one_that_counts_is_killed(self) -> None:
+    def test_a_counting_process_is_killed(self) -> None:
         self.pass_time(13.0)
         self.kill(self.other())
         self.pass_time(30.0)
-        # What it had counted since it last told the holder, 0.3 s before.
-        self.assert_whole(lost=2)
+        # Counts since its last message to the holder.
+        self.assert_reported(lost=2)
 
     def test_a_rolling_restart(self) -> None:
-        """Each process hands its counts on before it ends."""
+        """Guard against losing counts when all processes restart in turn."""
         self.pass_time(13.0)
         for name in NAMES:
             self.restart(name)
             self.pass_time(6.0)
         self.pass_time(20.0)
-        self.assert_whole(lost=12)
+        self.assert_reported(lost=12)
 
     def test_all_are_killed_at_once(self) -> None:
-        """A loss of everything takes what was counted in a second.
-
-        Of a window of 5 s that is a fifth; the next windows are whole.
-        """
+        """Guard against losing more than the counts since the last write."""
         self.pass_time(18.0)
         for name in NAMES:
             self.kill(name)
@@ -359,14 +361,16 @@
         for name in NAMES:
             self.start(name)
         self.pass_time(45.0)
-        self.assert_whole(lost=12)
-        self.assertLessEqual(sum(self.off(w) > 0 for w in self.ended()), 1)
+        self.assert_reported(lost=12)
+        self.assertLessEqual(
+            sum(self.count_difference(w) > 0 for w in self.due_windows()), 1
+        )
 
 
 class PlatformTest(UsageWorld):
-    """The interface that takes reports fails."""
+    """The platform's interface for reports fails."""
 
-    def during(self, fault: dict[str, object]) -> None:
+    def run_with_fault(self, fault: dict[str, object]) -> None:
         self.pass_time(14.0)
         kept = {name: getattr(self.platform, name) for name in fault}
         for name, value in fault.items():
@@ -384,63 +388,69 @@
         {'seconds': 0.4},
         {'seconds': 3.0},
     )
-    def test_a_fault_of_some_seconds(self, fault: dict[str, object]) -> None:
-        self.during(fault)
-        self.assert_whole()
+    def test_a_fault_of_several_seconds(
+        self, fault: dict[str, object]
+    ) -> None:
+        self.run_with_fault(fault)
+        self.assert_reported()
 
-    def test_a_holder_that_ends_while_answers_are_lost(self) -> None:
-        """The next holder sends the same again, which is ignored."""
+    def test_a_holder_that_is_killed_while_answers_are_lost(self) -> None:
+        """Guard against a second, different report by the next holder."""
         self.pass_time(14.0)
         self.platform.loses_answers = True
         self.pass_time(4.0)
         self.kill(self.holder())
         self.platform.loses_answers = False
         self.pass_time(45.0)
-        self.assert_whole(lost=4)
+        self.assert_reported(lost=4)
 
 
 class StoreTest(UsageWorld):
-    """The store fails while reports are made up."""
+    """The store fails while reports are created."""
 
-    def all_stores(self, **fault: bool) -> None:
+    def set_store_faults(self, **fault: bool) -> None:
         for each in self.instances_by_name.values():
             if not each.is_dead:
                 for name, value in fault.items():
                     setattr(each.store, name, value)
 
     @params('refuses', 'is_silent', 'loses_replies')
-    def test_a_fault_of_some_seconds(self, fault: str) -> None:
+    def test_a_fault_of_several_seconds(self, fault: str) -> None:
         self.pass_time(14.0)
-        self.all_stores(**{fault: True})
+        self.set_store_faults(**{fault: True})
         self.pass_time(3.0)
-        self.all_stores(**{fault: False})
+        self.set_store_faults(**{fault: False})
         self.pass_time(40.0)
-        self.assert_whole()
+        self.assert_reported()
 
     @params('refuses', 'is_silent')
-    def test_a_holder_lost_while_the_store_is_away(self, fault: str) -> None:
+    def test_a_holder_lost_while_the_store_is_unavailable(
+        self, fault: str
+    ) -> None:
         self.pass_time(14.0)
-        self.all_stores(**{fault: True})
+        self.set_store_faults(**{fault: True})
         self.kill(self.holder())
         self.pass_time(4.0)
-        self.all_stores(**{fault: False})
+        self.set_store_faults(**{fault: False})
         self.pass_time(45.0)
-        # The window may be late; nothing of it is told in two ways.
-        self.assertEqual([], self.platform.broken)
-        self.assertLessEqual(sum(self.off(w) for w in self.ended()), 4)
+        # The report can be late, but is never sent with different counts.
+        self.assertEqual([], self.platform.violations)
+        self.assertLessEqual(
+            sum(self.count_difference(w) for w in self.due_windows()), 4
+        )
 
     def test_a_lease_that_runs_out_under_its_holder(self) -> None:
         self.pass_time(14.0)
         for lease in list(self.keys.ends_by_lease):
             self.keys.ends_by_lease[lease] = 0.0
         self.pass_time(40.0)
-        self.assert_whole()
+        self.assert_reported()
 
 
 class ClockTest(UsageWorld):
-    """Wall clocks jump, and windows are those of true time."""
+    """Wall clocks jump, while windows follow the fleet's time."""
 
-    # Whose clocks jump, and by how much.
+    # Whose clocks jump, and the jump in seconds.
     @params(
         ('holder', 2.0),
         ('holder', -2.0),
@@ -459,27 +469,27 @@
             'both': [self.holder(), self.other()],
         }[who]
         for name in names:
-            self.off_by_name[name] = seconds
+            self.clock_error_by_name[name] = seconds
         self.pass_time(12.0)
-        self.off_by_name.clear()
+        self.clock_error_by_name.clear()
         self.pass_time(25.0)
-        self.assert_whole()
+        self.assert_reported()
 
     def test_a_process_that_starts_with_a_wrong_clock(self) -> None:
         self.pass_time(12.0)
         name = self.other()
-        self.off_by_name[name] = 2.0
+        self.clock_error_by_name[name] = 2.0
         self.restart(name)
-        # Until it has heard the holder it counts by its own clock.
+        # Until an answer of the holder arrives, it counts by its own clock.
         self.pass_time(1.0, rate=0.0)
         self.pass_time(30.0)
-        self.assert_whole(lost=2)
+        self.assert_reported(lost=2)
 
     def test_a_holder_that_is_killed_while_its_clock_is_off(self) -> None:
         self.pass_time(12.0)
         holder = self.holder()
-        self.off_by_name[holder] = 2.0
+        self.clock_error_by_name[holder] = 2.0
         self.pass_time(2.0)
         self.kill(holder)
         self.pass_time(45.0)
-        self.assert_whole(lost=4)
+        self.assert_reported(lost=4)
