--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/desk.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/desk.py
@@ -54,7 +54,7 @@
 
     def _list(self) -> Page:
         ledger = self._guard.ledger
-        shown = [
+        contents = [
             QuarantinedContent(
                 content=content,
                 request=self._guard.name_of(content),
@@ -65,7 +65,7 @@
             )
             for content in ledger.quarantined()
         ]
-        return Page(status=200, body=msgspec.json.encode(shown))
+        return Page(status=200, body=msgspec.json.encode(contents))
 
     async def _release(self, content: ContentDigest) -> Page:
         if content not in self._guard.ledger.quarantined():
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/end_messages.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/end_messages.py
@@ -33,14 +33,14 @@
 
 
 class QueuedMessage(NamedTuple):
-    """Hold a message that is item for a peer."""
+    """Hold a message that is queued for a peer."""
 
     message: EndMessage
     queued_at: Instant
 
 
 def merge(messages: list[QueuedMessage], now: Instant) -> EndMessage:
-    """Merge the item messages and advance the ages of their reports."""
+    """Merge the queued messages and advance the ages of their reports."""
     return EndMessage(
         ends=tuple(
             _aged(end, item, now)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/guard.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/guard.py
@@ -65,9 +65,7 @@
         self.on_trial: Callable[[ContentDigest], None] = lambda c: None
         self.on_quarantined: Callable[[ContentDigest], None] = lambda c: None
         # Callbacks for events that peers report.
-        self.on_peer_quarantine: Callable[[ContentDigest], None] = lambda c: (
-            None
-        )
+        self.on_peer_verdict: Callable[[ContentDigest], None] = lambda c: None
         self.on_peer_crash: Callable[[CrashReport], None] = lambda report: None
         # Runs of this instance whose content is not clear.
         self._runs = suspect_runs.SuspectRuns()
@@ -270,7 +268,7 @@
 
     def _handle_peer_quarantines(self) -> None:
         for content in self._log_new_quarantines():
-            self.on_peer_quarantine(content)
+            self.on_peer_verdict(content)
 
     def _log_new_quarantines(self) -> list[ContentDigest]:
         """Log and return the contents that are newly quarantined."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/parts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/parts.py
@@ -51,7 +51,7 @@
     def start(self) -> None:
         """Start the exchange of crash reports with the other instances."""
         self.guard.on_quarantined = self._publish_quarantine
-        self.guard.on_peer_quarantine = self.records.write_later
+        self.guard.on_peer_verdict = self.records.write_later
         self._reports.start()
 
     def handles(self, path: str) -> bool:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/reports.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/reports.py
@@ -51,7 +51,7 @@
 class _Outbox:
     """Hold the messages queued for a peer, which gets one call at a time."""
 
-    waiting: list[QueuedMessage] = dataclasses.field(default_factory=list)
+    messages: list[QueuedMessage] = dataclasses.field(default_factory=list)
     is_sending: bool = False
 
 
@@ -91,12 +91,12 @@
     def send(self, message: EndMessage) -> None:
         """Queue a message for every other instance."""
         queued = QueuedMessage(message, Instant(self._clock.seconds()))
-        me = self._state.settings.instance
+        own_id = self._state.settings.instance
         for name in self._state.instances_by_id:
-            if name == me:
+            if name == own_id:
                 continue
             outbox = self._outboxes_by_peer.setdefault(name, _Outbox())
-            outbox.waiting.append(queued)
+            outbox.messages.append(queued)
             if not outbox.is_sending:
                 outbox.is_sending = True
                 sending = defer.Deferred.fromCoroutine(
@@ -168,25 +168,25 @@
 
     async def _drain(self, name: InstanceId, outbox: _Outbox) -> None:
         """Send the queued messages to a peer until none is left."""
-        waiting = outbox.waiting
+        messages = outbox.messages
         cause = ''
-        while waiting:
+        while messages:
             peer = self._state.instances_by_id.get(name)
             now = Instant(self._clock.seconds())
-            if peer is None or now >= waiting[0].queued_at + TTL_SECONDS:
+            if peer is None or now >= messages[0].queued_at + TTL_SECONDS:
                 log.warning('Peer message dropped.', peer=name, cause=cause)
-                del waiting[0]
+                del messages[0]
                 continue
-            count = len(waiting)
+            count = len(messages)
             try:
                 answer = await self._send(
-                    peer, end_messages.merge(waiting, now)
+                    peer, end_messages.merge(messages, now)
                 )
             except (peer_call.PeerFailed, msgspec.MsgspecError) as error:
                 cause = str(error)
                 await task.deferLater(self._clock, RETRY_SECONDS)
                 continue
-            del waiting[:count]
+            del messages[:count]
             # Contents that completed a run at the peer.
             for content in answer.completed:
                 self._guard.record_completion(content)
@@ -216,11 +216,11 @@
         """Fetch reports sent before this instance started."""
         for _ in range(MAX_FETCHES):
             await task.deferLater(self._clock, FETCH_INTERVAL_SECONDS)
-            me = self._state.settings.instance
+            own_id = self._state.settings.instance
             peers = [
                 peer
                 for peer in self._state.serving_instances()
-                if peer.instance != me
+                if peer.instance != own_id
             ]
             if not peers:
                 continue
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/weight_switcher.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/weight_switcher.py
@@ -190,7 +190,7 @@
             return wire_engines.OrderOutcome.GONE
         tenure = self._duty.tenure
         now = self._now()
-        # Checked right before the order: the report before it can have taken
+        # Checked right before the order: the confirmation can have taken
         # longer than the lease.
         if not is_confirmed or tenure is None or not self._duty.may_order():
             return wire_engines.OrderOutcome.FENCED
--- a/packages/yuccarill-daemon/tests/gateway/test_quarantine.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_quarantine.py
@@ -42,23 +42,23 @@
 class GuardTest(world.WorldTest):
     def setUp(self) -> None:
         super().setUp()
-        self.guarding = guard.ContentGuard(self.state('a'), self.clock)
+        self.guard = guard.ContentGuard(self.state('a'), self.clock)
 
     def list_targets(self, count: int) -> None:
         for number in range(count):
-            self.guarding._state.targets.put(world.engine(f't{number}'))
+            self.guard._state.targets.put(world.engine(f't{number}'))
 
     def test_a_content_that_crashed_three_targets_is_refused(self) -> None:
         for number in range(3):
-            self.guarding.target_ended(report(number))
+            self.guard.target_ended(report(number))
         with self.assertRaises(errors.RequestQuarantined) as caught:
-            self.guarding.admit(X, SERVICE)
+            self.guard.admit(X, SERVICE)
         self.assertEqual(503, caught.exception.http_status)
         self.assertTrue(caught.exception.not_run)
         self.assertAlmostEqual(
             crash_ledger.QUARANTINE_SECONDS, caught.exception.retry_after
         )
-        self.guarding.admit(ContentDigest('other'), SERVICE)
+        self.guard.admit(ContentDigest('other'), SERVICE)
 
     # Listed targets, of which the first two have crashed, seconds since the
     # crashes, and whether their cause may be sent to another target.
@@ -72,49 +72,49 @@
     def test_a_suspect_is_kept_from_the_last_target(
         self, targets: int, seconds: float, is_tried: bool
     ) -> None:
-        self.guarding._state.targets.remove(TargetId('e1'))
+        self.guard._state.targets.remove(TargetId('e1'))
         self.list_targets(targets)
         for number in range(2):
-            self.guarding.target_ended(report(number))
+            self.guard.target_ended(report(number))
         self.run_for(seconds)
-        self.assertEqual(is_tried, self.guarding.is_admitted(X, SERVICE))
+        self.assertEqual(is_tried, self.guard.is_admitted(X, SERVICE))
 
     def test_a_suspect_is_tried_once_at_a_time(self) -> None:
         self.list_targets(6)
         callback = mock.Mock()
-        self.guarding.on_trial = callback
+        self.guard.on_trial = callback
         for number in range(2):
-            self.guarding.target_ended(report(number))
-        self.assertTrue(self.guarding.begin(TargetId('t3'), X))
+            self.guard.target_ended(report(number))
+        self.assertTrue(self.guard.begin(TargetId('t3'), X))
         callback.assert_called_once_with(X)
-        self.assertFalse(self.guarding.is_admitted(X, SERVICE))
-        self.guarding.finish(TargetId('t3'), X)
-        self.assertTrue(self.guarding.is_admitted(X, SERVICE))
-        self.guarding.record_peer_trial(X)
-        self.assertFalse(self.guarding.is_admitted(X, SERVICE))
+        self.assertFalse(self.guard.is_admitted(X, SERVICE))
+        self.guard.finish(TargetId('t3'), X)
+        self.assertTrue(self.guard.is_admitted(X, SERVICE))
+        self.guard.record_peer_trial(X)
+        self.assertFalse(self.guard.is_admitted(X, SERVICE))
         self.run_for(guard.PEER_TRIAL_SECONDS)
-        self.assertTrue(self.guarding.is_admitted(X, SERVICE))
+        self.assertTrue(self.guard.is_admitted(X, SERVICE))
 
     def test_contents_of_one_crash_go_to_separate_targets(self) -> None:
         """Guard against blaming a request that runs beside the cause twice."""
-        self.guarding.target_ended(report(0, 'x', 'a'))
-        self.guarding.begin(TargetId('t1'), X)
+        self.guard.target_ended(report(0, 'x', 'a'))
+        self.guard.begin(TargetId('t1'), X)
         other = ContentDigest('a')
-        self.assertEqual({'t1'}, self.guarding.elsewhere(other))
-        self.assertEqual(frozenset(), self.guarding.elsewhere(X))
-        self.guarding.finish(TargetId('t1'), X)
-        self.assertEqual(frozenset(), self.guarding.elsewhere(other))
+        self.assertEqual({'t1'}, self.guard.elsewhere(other))
+        self.assertEqual(frozenset(), self.guard.elsewhere(X))
+        self.guard.finish(TargetId('t1'), X)
+        self.assertEqual(frozenset(), self.guard.elsewhere(other))
 
     def test_suspects_do_not_share_a_target(self) -> None:
         for number in range(2):
-            self.guarding.target_ended(report(number, 'x', 'a'))
-        self.guarding.begin(TargetId('t1'), X)
+            self.guard.target_ended(report(number, 'x', 'a'))
+        self.guard.begin(TargetId('t1'), X)
         other = ContentDigest('a')
-        self.assertEqual({'t1'}, self.guarding.barred(other))
-        self.assertEqual(frozenset(), self.guarding.barred(X))
+        self.assertEqual({'t1'}, self.guard.barred(other))
+        self.assertEqual(frozenset(), self.guard.barred(X))
         clear = ContentDigest('c')
-        self.assertEqual(frozenset(), self.guarding.barred(clear))
-        self.assertEqual({'t1': 1}, self.guarding.others(clear))
+        self.assertEqual(frozenset(), self.guard.barred(clear))
+        self.assertEqual({'t1': 1}, self.guard.others(clear))
 
     def test_a_completed_run_identifies_the_cause(self) -> None:
         """Guard against a quarantine that waits for another crash.
@@ -122,11 +122,11 @@
         Three targets crash under two contents, one of which then completes.
         """
         callback = mock.Mock()
-        self.guarding.on_quarantined = callback
+        self.guard.on_quarantined = callback
         for number in range(3):
-            self.guarding.target_ended(report(number, 'x', 'a'))
+            self.guard.target_ended(report(number, 'x', 'a'))
         callback.assert_not_called()
-        self.guarding.record_completion(ContentDigest('a'))
+        self.guard.record_completion(ContentDigest('a'))
         callback.assert_called_once_with(X)
 
     # Failed runs whose targets can still crash, earlier crashes, and whether
@@ -137,20 +137,20 @@
     ) -> None:
         """Guard against retries at all targets while the first one crashes."""
         for number in range(ends):
-            self.guarding.target_ended(report(number))
+            self.guard.target_ended(report(number))
         for number in range(runs):
             target = TargetId(f'u{number}')
-            now = self.guarding.now()
-            self.guarding.record_abandoned_run(
+            now = self.guard.now()
+            self.guard.record_abandoned_run(
                 target, X, RequestId('r'), True, now
             )
-        self.assertEqual(waits, self.guarding.is_unsettled(X))
+        self.assertEqual(waits, self.guard.is_unsettled(X))
 
     def test_a_completed_content_is_not_reported(self) -> None:
         callback = mock.Mock()
-        self.guarding.on_crash = callback
-        self.guarding.record_completion(X)
-        self.guarding.target_ended(report(0, 'x', 'a'))
+        self.guard.on_crash = callback
+        self.guard.record_completion(X)
+        self.guard.target_ended(report(0, 'x', 'a'))
         (sent,), _ = callback.call_args
         self.assertEqual(('a',), sent.contents)
 
@@ -282,12 +282,12 @@
     def setUp(self) -> None:
         super().setUp()
         self.known = self.state('a')
-        self.guarding = guard.ContentGuard(self.known, self.clock)
+        self.guard = guard.ContentGuard(self.known, self.clock)
         self.memory = self.store()
-        self.kept = records.QuarantineRecords(
-            self.known, self.guarding, self.memory, self.clock, lambda: 1000.0
+        self.records = records.QuarantineRecords(
+            self.known, self.guard, self.memory, self.clock, lambda: 1000.0
         )
-        self.guarding.on_quarantined = self.kept.write
+        self.guard.on_quarantined = self.records.write
 
     def record(self, until: float) -> state_module.QuarantineRecord:
         return state_module.QuarantineRecord(
@@ -299,10 +299,10 @@
 
     def end_targets(self) -> None:
         for number in range(3):
-            self.guarding.target_ended(report(number))
+            self.guard.target_ended(report(number))
 
     def test_a_quarantine_is_recorded_once(self) -> None:
-        self.guarding.set_name(X, 'h/p')
+        self.guard.set_name(X, 'h/p')
         self.end_targets()
         self.run_for(0.5)
         value = self.keys.entries_by_key[keys.quarantine(X)].value
@@ -326,18 +326,14 @@
 
         No instance that saw a crash knows of all three.
         """
-        self.guarding.on_peer_quarantine = self.kept.write_later
-        self.guarding.record_peer_crashes(
-            report(number) for number in range(3)
-        )
+        self.guard.on_peer_verdict = self.records.write_later
+        self.guard.record_peer_crashes(report(number) for number in range(3))
         self.run_for(records.RECORD_WAIT_SECONDS + 0.5)
         self.assertIn(keys.quarantine(X), self.keys.entries_by_key)
 
     def test_a_record_of_a_peer_is_not_written_again(self) -> None:
-        self.guarding.on_peer_quarantine = self.kept.write_later
-        self.guarding.record_peer_crashes(
-            report(number) for number in range(3)
-        )
+        self.guard.on_peer_verdict = self.records.write_later
+        self.guard.record_peer_crashes(report(number) for number in range(3))
         self.known.quarantined_by_content[X] = self.record(1060.0)
         self.run_for(records.RECORD_WAIT_SECONDS + 0.5)
         self.assertEqual([], self.memory.calls)
@@ -346,15 +342,15 @@
     @params((1060.0, Verdict.QUARANTINED), (999.0, Verdict.CLEAR))
     def test_records_of_peers(self, until: float, expected: Verdict) -> None:
         self.known.quarantined_by_content[X] = self.record(until)
-        self.kept.update()
-        self.assertEqual(expected, self.guarding.ledger.verdict(X))
+        self.records.update()
+        self.assertEqual(expected, self.guard.ledger.verdict(X))
 
     def test_a_record_that_is_removed_releases(self) -> None:
         self.known.quarantined_by_content[X] = self.record(1060.0)
-        self.kept.update()
+        self.records.update()
         del self.known.quarantined_by_content[X]
-        self.kept.update()
-        self.assertEqual(Verdict.CLEAR, self.guarding.ledger.verdict(X))
+        self.records.update()
+        self.assertEqual(Verdict.CLEAR, self.guard.ledger.verdict(X))
 
     def test_a_write_removes_expired_records(self) -> None:
         old = ContentDigest('old')
@@ -368,38 +364,36 @@
         key = keys.quarantine(X)
         self.keys.put(key, msgspec.msgpack.encode(self.record(1060.0)))
         follow = observer.Observer(self.known, lambda: self.memory, self.clock)
-        follow.listen(self.kept.update)
+        follow.listen(self.records.update)
         self.finish(
             follow.followers_by_prefix[keys.FLEET_PREFIX]._read_pages()
         )
-        self.assertEqual(Verdict.QUARANTINED, self.guarding.ledger.verdict(X))
+        self.assertEqual(Verdict.QUARANTINED, self.guard.ledger.verdict(X))
 
     def test_an_operator_lists_and_releases(self) -> None:
         peers = mock.Mock()
-        answering = desk.QuarantineDesk(
-            self.guarding, self.kept, peers, self.clock
-        )
+        api = desk.QuarantineDesk(self.guard, self.records, peers, self.clock)
 
-        def ask(method: str, path: str) -> tuple[int, list]:
+        def call(method: str, path: str) -> tuple[int, list]:
             request = SmallRequest(method=method, target=path)
-            page = self.finish(answering.handle(request))
+            page = self.finish(api.handle(request))
             return page.status, msgspec.json.decode(page.body)
 
-        self.guarding.set_name(X, 'h/p')
+        self.guard.set_name(X, 'h/p')
         self.end_targets()
         self.run_for(0.5)
         self.known.quarantined_by_content[X] = self.record(1060.0)
-        status, shown = ask('GET', desk.PATH)
-        self.assertEqual((200, 'h/p'), (status, shown[0]['request']))
-        self.assertEqual(['t0', 't1', 't2'], shown[0]['targets'])
+        status, contents = call('GET', desk.PATH)
+        self.assertEqual((200, 'h/p'), (status, contents[0]['request']))
+        self.assertEqual(['t0', 't1', 't2'], contents[0]['targets'])
         for method, path, code in (
             ('DELETE', f'{desk.PATH}/none', errors.ResultCode.UNKNOWN_PATH),
             ('POST', f'{desk.PATH}/x', errors.ResultCode.WRONG_METHOD),
         ):
-            status, refused = ask(method, path)
+            status, refused = call(method, path)
             self.assertEqual(code, refused['code'])
             self.assertIn(status, (404, 405))
-        self.assertEqual((200, []), ask('DELETE', f'{desk.PATH}/x'))
+        self.assertEqual((200, []), call('DELETE', f'{desk.PATH}/x'))
         peers.send.assert_called_once_with(reports.EndMessage(released=(X,)))
-        self.assertEqual(Verdict.CLEAR, self.guarding.ledger.verdict(X))
+        self.assertEqual(Verdict.CLEAR, self.guard.ledger.verdict(X))
         self.assertNotIn(keys.quarantine(X), self.keys.entries_by_key)
--- a/packages/yuccarill-daemon/tests/gateway/test_usage.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_usage.py
@@ -167,22 +167,22 @@
         for each in following:
             each.addErrback(lambda failure: failure.trap(Exception))
             self.addCleanup(each.cancel)
-        found = Instance(state, store, usage, following)
-        self.instances_by_name[name] = found
+        instance = Instance(state, store, usage, following)
+        self.instances_by_name[name] = instance
         usage.start()
-        return found
+        return instance
 
     def wall(self, name: str) -> float:
         return START + self.clock.seconds() + self.clock_error_by_name[name]
 
     def kill(self, name: str) -> None:
         """Stop all activity of a process."""
-        found = self.instances_by_name[name]
-        found.is_dead = True
-        found.store.is_silent = True
-        found.usage.counter.stop()
-        found.usage.reporter.stop()
-        for each in found.following:
+        instance = self.instances_by_name[name]
+        instance.is_dead = True
+        instance.store.is_silent = True
+        instance.usage.counter.stop()
+        instance.usage.reporter.stop()
+        for each in instance.following:
             each.cancel()
 
     def restart(self, name: str) -> None:
@@ -226,10 +226,10 @@
 
     def count_difference(self, window: int) -> int:
         """Return by how many requests a report differs from those sent."""
-        told = self.platform.counts_by_window.get(window, {})
-        true = self.began_by_window.get(window, {})
+        reported = self.platform.counts_by_window.get(window, {})
+        begun = self.began_by_window.get(window, {})
         return sum(
-            abs(told.get(each, 0) - true.get(each, 0)) for each in 'xyz'
+            abs(reported.get(each, 0) - begun.get(each, 0)) for each in 'xyz'
         )
 
     def late_windows(self, windows: set[int]) -> list[int]:
@@ -262,8 +262,8 @@
 class Links:
     """Carry calls to the platform and between the instances."""
 
-    def __init__(self, found: UsageWorld, name: str) -> None:
-        self._world = found
+    def __init__(self, usage_world: UsageWorld, name: str) -> None:
+        self._world = usage_world
         self._name = name
 
     async def exchange(
@@ -372,11 +372,11 @@
 
     def run_with_fault(self, fault: dict[str, object]) -> None:
         self.pass_time(14.0)
-        kept = {name: getattr(self.platform, name) for name in fault}
+        old_values = {name: getattr(self.platform, name) for name in fault}
         for name, value in fault.items():
             setattr(self.platform, name, value)
         self.pass_time(6.0)
-        for name, value in kept.items():
+        for name, value in old_values.items():
             setattr(self.platform, name, value)
         self.pass_time(30.0)
 
--- a/packages/yuccarill-daemon/tests/gateway/test_watched_calls.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_watched_calls.py
@@ -48,24 +48,26 @@
 class WatchedCallsTest(world.WorldTest):
     def send(self, end: TargetAnswer | calls.CallFailed) -> Verdict:
         """Return the verdict on a content with one earlier crash."""
-        guarding = guard.ContentGuard(self.state('a'), self.clock)
-        guarding.target_ended(
+        content_guard = guard.ContentGuard(self.state('a'), self.clock)
+        content_guard.target_ended(
             CrashReport(target=TargetId('t0'), contents=(CALL.content,))
         )
         plain = Calls(end)
         watched = watched_calls.WatchedCalls(
             plain,
-            target_ends.TargetEnds(plain, guarding, self.clock),
-            guarding,
+            target_ends.TargetEnds(plain, content_guard, self.clock),
+            content_guard,
         )
         try:
             self.finish(watched.send(TARGET, CALL, Instant(1.0)))
         except calls.CallFailed:
             pass
         self.assertEqual(
-            frozenset(), guarding.elsewhere(RequestId('another')), 'it runs'
+            frozenset(),
+            content_guard.elsewhere(RequestId('another')),
+            'it runs',
         )
-        return guarding.ledger.verdict(CALL.content)
+        return content_guard.ledger.verdict(CALL.content)
 
     # An answer, and whether it shows that a target can complete the request.
     @params(
