--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/admission.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/admission.py
@@ -28,10 +28,10 @@
     from yuccarill.daemon.gateway.accounts.look import ConfigurationLook
     from yuccarill.daemon.gateway.state import GatewayState
 
-# Retry-After for a key that cannot be verified now, in seconds.
+# Retry-After, in seconds, until a key can be verified or a configuration read.
 RETRY_AFTER = 0.3
-# Seconds that a job call waits for the first configuration, and between polls
-# for it.
+# Seconds that a call to the job API waits for the first configuration, and
+# between checks for it.
 CONFIGURATION_SECONDS = 1.0
 POLL_SECONDS = 0.05
 
@@ -62,10 +62,10 @@
         return await self._admit(request, route.is_open)
 
     async def admit_job_call(self, request: ClientRequest) -> ClientRequest:
-        """Return a job call with its account set; raises as `admit`.
+        """Return a call to the job API with its account set.
 
-        Raises NoConfiguration if none arrives in time: a call admitted without
-        an account would be told that its job does not exist.
+        Raises as `admit`, or NoConfiguration if no configuration arrives in
+        time: without an account, the answer would be that no such job exists.
         """
         table = await self._table()
         return await self._admit(request, table.is_open_to_jobs(request.host))
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/look.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/look.py
@@ -22,12 +22,12 @@
 
 log = logs.for_part('accounts')
 
-# Reads per second of all instances together, so that a client that sends
-# unknown keys cannot overload the store.
+# Maximum reads per second of all instances together: a client that sends
+# unknown keys must not overload the store.
 FLEET_READS_PER_SECOND = 400.0
 # Minimum seconds between two reads of one instance.
 MIN_INTERVAL_SECONDS = 0.25
-# Requests that can wait for one read; further ones are refused as not run.
+# Requests that can wait for one read; further requests are refused as not run.
 MAX_WAITING = 256
 
 
@@ -46,26 +46,26 @@
         self._on_read = on_read
         self._clock = clock
         self._next_at = 0.0
-        self._waiting: list[defer.Deferred[LookupResult]] = []
+        self._waiters: list[defer.Deferred[LookupResult]] = []
 
     async def look(self) -> LookupResult:
         """Return the result of a read that starts after this call."""
-        if len(self._waiting) >= MAX_WAITING:
-            log.warning('Key lookup refused: too many are waiting.')
+        if len(self._waiters) >= MAX_WAITING:
+            log.warning('Key lookup refused: too many lookups are waiting.')
             return LookupResult.FAILED
-        waiting: defer.Deferred[LookupResult] = defer.Deferred()
-        self._waiting.append(waiting)
-        if len(self._waiting) == 1:
+        waiter: defer.Deferred[LookupResult] = defer.Deferred()
+        self._waiters.append(waiter)
+        if len(self._waiters) == 1:
             reading = defer.Deferred.fromCoroutine(self._read())
             reading.addErrback(self._fail_waiting)
-        return await waiting
+        return await waiter
 
     async def _read(self) -> None:
         delay = self._next_at - self._clock.seconds()
         if delay > 0.0:
             await task.deferLater(self._clock, delay)
         self._next_at = self._clock.seconds() + self._read_interval()
-        waiting, self._waiting = self._waiting, []
+        waiters, self._waiters = self._waiters, []
         result = LookupResult.FAILED
         try:
             entry = await self._store.get(keys.CONFIGURATION)
@@ -75,9 +75,9 @@
             result = LookupResult.ANSWERED
             if entry is not None:
                 self._on_read(entry)
-        for each in waiting:
-            if not each.called:
-                each.callback(result)
+        for waiter in waiters:
+            if not waiter.called:
+                waiter.callback(result)
 
     def _read_interval(self) -> float:
         instances = len(self._state.instances_by_id)
@@ -85,7 +85,7 @@
 
     def _fail_waiting(self, failure: Any) -> None:
         log.error('Key lookup failed.', cause=failure.getTraceback())
-        waiting, self._waiting = self._waiting, []
-        for each in waiting:
-            if not each.called:
-                each.callback(LookupResult.FAILED)
+        waiters, self._waiters = self._waiters, []
+        for waiter in waiters:
+            if not waiter.called:
+                waiter.callback(LookupResult.FAILED)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/desk.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/desk.py
@@ -26,8 +26,8 @@
 PATH = '/quarantine/contents'
 
 
-class QuarantineDesk:
-    """Handle operators' requests on the peer port, closed to clients."""
+class QuarantineApi:
+    """Handle requests of operators on the peer port, closed to clients."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
     async def _release(self, content: ContentDigest) -> Page:
         if content not in self._guard.ledger.quarantined():
             return _error_page(
-                errors.UnknownPath('This content is not in quarantine.')
+                errors.UnknownPath('This content is not quarantined.')
             )
         self._reports.send(end_messages.EndMessage(released=(content,)))
         try:
@@ -80,7 +80,7 @@
             store_module.StoreUnclear,
             store_module.StoreConflict,
         ) as error:
-            # The record restores the quarantine when it is read again.
+            # An instance that reads the record later quarantines the content.
             log.warning(
                 'Quarantine record not removed.',
                 content=content,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/end_messages.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/end_messages.py
@@ -1,4 +1,4 @@
-"""Define the messages on crashes that instances exchange."""
+"""Define the messages on crashed targets that instances exchange."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Quarantined(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold a quarantined content and the seconds until it expires."""
+    """Hold a quarantined content and the seconds until its quarantine ends."""
 
     content: ContentDigest
     seconds: float
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/guard.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/guard.py
@@ -67,14 +67,14 @@
         # Callbacks for events that peers report.
         self.on_peer_verdict: Callable[[ContentDigest], None] = lambda c: None
         self.on_peer_crash: Callable[[CrashReport], None] = lambda report: None
-        # Runs of this instance whose content is not clear.
+        # Active runs, by this instance, of contents that are not clear.
         self._runs = suspect_runs.SuspectRuns()
         self.abandoned = abandoned.AbandonedRuns()
         self.doubts = unconfirmed_losses.UnconfirmedLosses()
         self._last_target_guard = last_target_guard.LastTargetGuard(
             self.ledger, self.doubts
         )
-        # Suspects that peers run now.
+        # Times until which suspects that peers have sent are held back.
         self._held_until_by_content: dict[ContentDigest, Instant] = {}
         self._names_by_content: dict[ContentDigest, str] = {}
         self._logged: set[ContentDigest] = set()
@@ -141,7 +141,7 @@
         return self._runs.targets_with(self.ledger.suspects() - {content})
 
     def begin(self, target: TargetId, content: ContentDigest) -> bool:
-        """Record a run unless its content is clear; return whether it was."""
+        """Record a run and return True, unless its content is clear."""
         verdict = self.ledger.verdict(content)
         if verdict is Verdict.CLEAR:
             return False
@@ -257,7 +257,7 @@
 
     def _may_start_trial(self, content: ContentDigest) -> bool:
         if self._runs.is_running(content) or self.is_unsettled(content):
-            # One trial at a time limits the targets that a suspect crashes.
+            # One run at a time limits the targets that a suspect crashes.
             return False
         now = self.now()
         return now >= self._held_until_by_content.get(content, now)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/parts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/parts.py
@@ -31,7 +31,7 @@
         state: GatewayState,
         calls: Calls,
         store: Store,
-        links: Connections,
+        connections: Connections,
         clock: Any,
     ) -> None:
         self.guard = guard.ContentGuard(state, clock)
@@ -42,9 +42,9 @@
             state, self.guard, store, clock
         )
         self._reports = reports.EndReports(
-            state, self.guard, peer_call.PeerCalls(links, clock), clock
+            state, self.guard, peer_call.PeerCalls(connections, clock), clock
         )
-        self._operator_api = desk.QuarantineDesk(
+        self._operator_api = desk.QuarantineApi(
             self.guard, self.records, self._reports, clock
         )
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/records.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/records.py
@@ -29,16 +29,16 @@
 
 # Seconds before a failed write of a record is retried.
 RETRY_SECONDS = 0.5
-# Seconds that a quarantine derived from peers' reports waits for its record.
-# The instance that saw the last crash can have missed the earlier ones and
-# write no record; then another instance has to.
+# Seconds to wait for a peer to write the record of a quarantine that follows
+# from reports of peers. The instance that detected the last crash writes no
+# record if it missed the earlier crashes.
 RECORD_WAIT_SECONDS = 1.0
 # Expired records removed per write; the platform accepts 32 keys per call.
 MAX_REMOVALS_PER_WRITE = 16
 
 
 class QuarantineRecords:
-    """Write quarantines found here and apply the ones found by peers.
+    """Write the quarantines of this instance and apply those of its peers.
 
     Guards against the loss of all quarantines when all instances are killed at
     once. Nothing is written for a content that is not quarantined.
@@ -80,7 +80,7 @@
         writing.addErrback(self._log_failure)
 
     def write_later(self, content: ContentDigest) -> None:
-        """Write a quarantine found by a peer unless the peer writes it."""
+        """Write a record after a delay unless a peer has written it."""
         if content in self._state.quarantined_by_content:
             return
         self._clock.callLater(RECORD_WAIT_SECONDS, self._write_absent, content)
@@ -88,8 +88,8 @@
     def _write_absent(self, content: ContentDigest) -> None:
         if content not in self._guard.ledger.quarantined():
             return
-        # Only the watchers write it, to limit conflicting writes: they are the
-        # first to see changes in the store.
+        # To limit conflicts, only the watchers write: they are the first to
+        # see changes in the store.
         writers = watchers.watchers(
             self._state.cores_by_name(), self._state.centres_by_name()
         )
@@ -132,7 +132,7 @@
                     removals=self._expired_keys(),
                 )
             except store_module.StoreConflict:
-                # A peer wrote it, or an earlier attempt of this one succeeded.
+                # A peer wrote the record, or an earlier attempt succeeded.
                 return
             except (
                 store_module.StoreRefused,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/reports.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/reports.py
@@ -40,7 +40,7 @@
 # Seconds after which a message is dropped; the peer reads the store later.
 TTL_SECONDS = 10.0
 # Seconds from the start to the first request for earlier reports, and between
-# attempts. Short: until then this instance can send a request that crashes.
+# attempts. Short: until then this instance can send quarantined requests.
 FETCH_INTERVAL_SECONDS = 0.25
 MAX_FETCHES = 20
 # Seconds between removals of expired quarantines.
@@ -75,8 +75,8 @@
         self._clock = clock
         self._outboxes_by_peer: dict[InstanceId, _Outbox] = {}
         self._call_slots = defer.DeferredSemaphore(MAX_CONCURRENT_CALLS)
-        self._expiring = task.LoopingCall(guard.expire)
-        self._expiring.clock = clock
+        self._expiry_loop = task.LoopingCall(guard.expire)
+        self._expiry_loop.clock = clock
 
     def start(self) -> None:
         """Start the exchange and fetch earlier reports from a peer."""
@@ -84,7 +84,7 @@
         self._guard.on_lost_calls = self._send_losses
         self._guard.on_completed = self._send_completion
         self._guard.on_trial = self._send_trial
-        self._expiring.start(EXPIRE_SECONDS, now=False)
+        self._expiry_loop.start(EXPIRE_SECONDS, now=False)
         fetching = defer.Deferred.fromCoroutine(self._fetch_earlier())
         fetching.addErrback(self._log_failure)
 
@@ -187,7 +187,7 @@
                 await task.deferLater(self._clock, RETRY_SECONDS)
                 continue
             del messages[:count]
-            # Contents that completed a run at the peer.
+            # The peer answers with the contents that completed a run there.
             for content in answer.completed:
                 self._guard.record_completion(content)
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/target_ends.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/target_ends.py
@@ -33,11 +33,11 @@
     target: ListedTarget
     # In the order of loss.
     requests_by_content: dict[ContentDigest, RequestId]
-    waiting: list[defer.Deferred[bool]]
+    waiters: list[defer.Deferred[bool]]
 
 
-# Seconds from giving a call up to the check of its target, which can crash
-# after this instance stops waiting and restarts within seconds.
+# Seconds after giving up a call at which its target is checked: the target
+# can still crash under the call, and restarts within seconds of a crash.
 CHECK_SECONDS = 1.5
 
 
@@ -69,13 +69,13 @@
         if loss is not None and loss.target.is_same_start(target):
             # All connections of a process close together: one check is enough.
             loss.requests_by_content[content] = request
-            loss.waiting.append(ended)
+            loss.waiters.append(ended)
             return await ended
         loss = _LostCalls(target, {content: request}, [ended])
         self._losses_by_target[target.id] = loss
         # The check continues if the call that started it is cancelled: the
         # target may have crashed all the same.
-        check = defer.Deferred.fromCoroutine(self._check(loss))
+        check = defer.Deferred.fromCoroutine(self._check_lost_calls(loss))
         check.addErrback(self._handle_check_failure, loss)
         return await ended
 
@@ -137,11 +137,11 @@
     def _log_check_failure(self, failure: Any) -> None:
         log.error('Target exit check failed.', cause=failure.getTraceback())
 
-    async def _check(self, loss: _LostCalls) -> None:
+    async def _check_lost_calls(self, loss: _LostCalls) -> None:
         target = loss.target
         has_ended = await self._calls.has_ended(target)
         abandoned = self._pop_abandoned(target.id, self._now())
-        # Lost calls come first, since reports are truncated.
+        # Lost calls come first: a truncated report keeps its first contents.
         loss.requests_by_content |= {
             content: request
             for content, request in abandoned.items()
@@ -188,14 +188,14 @@
             reports = doubts.reports(content, now)
             if len(reports) >= last_target_guard.LOST_TARGETS:
                 log.info(
-                    'Calls lost at several targets without a response since.',
+                    'Calls lost at several targets; none answered since.',
                     content=content,
                     targets=tuple(each.target for each in reports),
                 )
                 self._guard.on_lost_calls(reports)
 
     def started(self, target: ListedTarget) -> None:
-        """Handle a target process that is newly listed."""
+        """Report losses that a newly listed process confirms as crashes."""
         now = self._now()
         for loss in self._guard.doubts.pop_confirmed(target, now):
             self._report_confirmed(loss, now)
@@ -227,5 +227,5 @@
     def _resolve(self, loss: _LostCalls, has_ended: bool) -> None:
         if self._losses_by_target.get(loss.target.id) is loss:
             del self._losses_by_target[loss.target.id]
-        for waiting in loss.waiting:
-            waiting.callback(has_ended)
+        for waiter in loss.waiters:
+            waiter.callback(has_ended)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/watched_calls.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/watched_calls.py
@@ -23,7 +23,7 @@
 
 
 class WatchedCalls:
-    """Send calls by `Calls` and report lost connections to the crash guard."""
+    """Send calls and report lost connections to the crash guard."""
 
     def __init__(
         self, calls: Calls, ends: TargetEnds, guard: ContentGuard
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/clock.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/clock.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Seconds after its last message for which an instance's clock counts.
+# Seconds for which the last wall time that an instance sent is used.
 CLOCK_TTL_SECONDS = 60.0
 
 
@@ -27,7 +27,7 @@
 
     def __init__(self, wall: Callable[[], float] = time.time) -> None:
         self._wall = wall
-        # Seconds to add to the monotonic clock.
+        # Seconds from the monotonic clock to the fleet's time.
         self._offset: float | None = None
         self._offsets_by_instance: dict[InstanceId, tuple[float, Instant]] = {}
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/counter.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/counter.py
@@ -33,8 +33,8 @@
 # since its last message.
 SEND_SECONDS = 0.3
 ANSWER_SECONDS = 0.8
-# Messages per second from all instances without new counts together; they
-# carry the wall clocks.
+# Messages per second of all instances together while none has new counts; the
+# messages keep the wall clocks known.
 IDLE_MESSAGES_PER_SECOND = 20.0
 MIN_IDLE_SECONDS = 2.0
 
@@ -78,7 +78,7 @@
         if self._ticker.running:
             self._ticker.stop()
 
-    def began(self, account: AccountName, at: Instant) -> None:
+    def count_request(self, account: AccountName, at: Instant) -> None:
         """Count a request in the window in which it began to run."""
         age = self._clock.seconds() - at
         began_at = WallTime(self._fleet_clock.now() - age)
@@ -87,7 +87,7 @@
             meters.USAGE_COUNTED.inc()
             return
         meters.USAGE_LOST.inc()
-        log.warning('Usage lost: its window is reported.', window=window)
+        log.warning('Usage lost: window already closed.', window=window)
 
     def _tick(self) -> None:
         lost = self.counts.drop_excess()
@@ -114,7 +114,7 @@
         return bool(self._clock.seconds() >= self._sent_at + idle)
 
     async def send(self) -> None:
-        """Send all counts that are not reported yet to the duty's holder."""
+        """Send all unreported counts to the instance that reports them."""
         holder = self._reporter.holder()
         if holder is None:
             return
@@ -162,4 +162,4 @@
 
     def _log_failure(self, failure: Any) -> None:
         if not failure.check(defer.CancelledError):
-            log.error('Usage not sent.', cause=failure.getTraceback())
+            log.error('Usage sending failed.', cause=failure.getTraceback())
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/messages.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/messages.py
@@ -24,9 +24,9 @@
 
 
 class CountAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the holder's time and the last reported window."""
+    """Hold the fleet's time and the last closed window."""
 
-    # The wall time agreed by the fleet.
+    # The wall time that the reporting instance derived for the fleet.
     now: WallTime
     # The last window that accepts no more counts.
     closed_through: WindowNumber
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/parts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/parts.py
@@ -34,7 +34,7 @@
         settings: UsageSettings,
         state: GatewayState,
         store: Store,
-        links: Connections,
+        connections: Connections,
         holders: HolderCalls,
         clock: Any,
     ) -> None:
@@ -54,7 +54,7 @@
             state,
             self.duty,
             records.UsageRecords(reporter.DUTY, store),
-            billing.Billing(links, settings.address, clock),
+            billing.Billing(connections, settings.address, clock),
             fleet_clock,
             clock,
         )
@@ -63,7 +63,7 @@
             state,
             fleet_clock,
             self.reporter,
-            peer_call.PeerCalls(links, clock),
+            peer_call.PeerCalls(connections, clock),
             clock,
         )
 
@@ -75,7 +75,7 @@
     def began(self, account: AccountName | None, at: Instant | None) -> None:
         """Count a request that began to run for a client account."""
         if account is not None and at is not None:
-            self.counter.began(account, at)
+            self.counter.count_request(account, at)
 
     def handles(self, path: str) -> bool:
         """Tell whether a path of the peer port belongs to usage."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/records.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/records.py
@@ -27,7 +27,7 @@
 
     # The first window without a recorded report.
     following: WindowNumber
-    # The last window whose report was sent and answered.
+    # The last window whose report was accepted or refused.
     sent_through: WindowNumber
     sources_by_window: dict[WindowNumber, dict[Incarnation, Counts]] = {}
 
@@ -88,7 +88,7 @@
         """Write the report of a window once, before it is sent.
 
         Later holders of the duty send the same report. Idempotent. Raises
-        ReportConflict if another one exists, or an error of `Store.transact`.
+        ReportConflict if a different report exists, or as `Store.transact`.
         """
         key = keys.usage_report(window)
         value = msgspec.msgpack.encode(report)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/reporter.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/reporter.py
@@ -1,4 +1,4 @@
-"""Report the usage of each window once, while this instance has the duty."""
+"""Report the usage of each window once, from one instance at a time."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 SETTLE_SECONDS = 2.5
 # Seconds for which a new holder waits for the counts of all instances.
 GATHER_SECONDS = 1.5
-# Seconds between writes of open counts; newer ones are lost if all instances
+# Seconds between writes of open counts; newer counts are lost if all instances
 # are killed at once.
 SAVE_SECONDS = 1.0
 # Seconds before a failed report is sent again.
@@ -71,10 +71,10 @@
         self._fleet_clock = fleet_clock
         self._clock = clock
         self._totals = counts_module.UsageTotals()
-        # Revision of the duty under which the fields below were read.
+        # Duty revision at which the fields below were read from the store.
         self._read_revision: Revision | None = None
-        self._gathered_at = 0.0
-        self._following = WindowNumber(0)
+        self._gather_until = 0.0
+        self._open_from = WindowNumber(0)
         self._sent_through = WindowNumber(0)
         self._reports_by_window: dict[
             WindowNumber, records_module.UsageReport
@@ -120,13 +120,13 @@
         still_open = {
             window: counts
             for window, counts in message.counts_by_window.items()
-            if window >= self._following
+            if window >= self._open_from
         }
         if self._totals.merge_source(message.source, still_open):
             self._is_unsaved = True
         return messages.CountAnswer(
             now=self._fleet_clock.now(),
-            closed_through=WindowNumber(self._following - 1),
+            closed_through=WindowNumber(self._open_from - 1),
         )
 
     async def handle(self, request: SmallRequest) -> Page:
@@ -154,7 +154,7 @@
         return reports.ShownUsage(
             holder=self.holder(),
             is_here=self._is_ready(),
-            following=self._following,
+            following=self._open_from,
             sent_through=self._sent_through,
             reports=tuple(
                 reports.ShownReport(
@@ -186,16 +186,16 @@
             window = self._first_unsent()
             if window is not None and self._may_send():
                 await self._send(window)
-            elif window is None and self._is_due():
+            elif window is None and self._is_report_due():
                 await self._record(revision)
             elif self._is_unsaved and self._clock.seconds() >= self._save_at:
                 await self._save(revision)
         except store_module.StoreConflict:
-            log.warning('Usage not written: the duty was lost.')
+            log.warning('Usage not written: the reporting duty was lost.')
             self._duty.give_up(revision)
         except (store_module.StoreRefused, store_module.StoreUnclear) as error:
             # Retried at the next step.
-            log.info('Usage not written.', cause=str(error))
+            log.info('Usage not read or written.', cause=str(error))
 
     async def _read(self, revision: Revision) -> None:
         stored = await self._records.read()
@@ -204,17 +204,17 @@
         self._pending_report = None
         self._totals = counts_module.UsageTotals()
         if stored.open is None:
-            self._following = self._policy.window_at(self._fleet_clock.now())
-            self._sent_through = WindowNumber(self._following - 1)
+            self._open_from = self._policy.window_at(self._fleet_clock.now())
+            self._sent_through = WindowNumber(self._open_from - 1)
         else:
-            self._following = stored.open.following
+            self._open_from = stored.open.following
             self._sent_through = stored.open.sent_through
             self._totals.merge(stored.open.sources_by_window)
-        self._gathered_at = self._clock.seconds() + GATHER_SECONDS
+        self._gather_until = self._clock.seconds() + GATHER_SECONDS
         self._read_revision = revision
         log.info(
             'Usage reporting started.',
-            following=self._following,
+            following=self._open_from,
             sent_through=self._sent_through,
             counted=sum(
                 sum(self._totals.totals(w).values())
@@ -234,14 +234,14 @@
             self._clock.seconds() >= self._send_at and self._duty.may_order()
         )
 
-    def _is_due(self) -> bool:
-        if self._clock.seconds() < self._gathered_at:
+    def _is_report_due(self) -> bool:
+        if self._clock.seconds() < self._gather_until:
             return False
-        end = self._policy.end(self._following)
+        end = self._policy.end(self._open_from)
         return self._fleet_clock.now() >= end + SETTLE_SECONDS
 
     async def _record(self, revision: Revision) -> None:
-        window = self._following
+        window = self._open_from
         if self._pending_report is None or self._pending_report[0] != window:
             report = records_module.UsageReport(
                 counts=self._totals.totals(window),
@@ -255,11 +255,11 @@
                 revision, window, report, self._snapshot(following)
             )
         except records_module.ReportConflict:
-            log.error('Another usage report exists; reloading.', window=window)
+            log.error('A different report exists; reloading.', window=window)
             self._read_revision = None
             return
         self._pending_report = None
-        self._following = following
+        self._open_from = following
         self._totals.close(following)
         self._reports_by_window[window] = report
         self._reports_by_window.pop(
@@ -270,7 +270,7 @@
         self._save_at = self._clock.seconds() + SAVE_SECONDS
         self._is_unsaved = False
         try:
-            await self._records.save(revision, self._snapshot(self._following))
+            await self._records.save(revision, self._snapshot(self._open_from))
         except BaseException:
             self._is_unsaved = True
             raise
@@ -319,4 +319,4 @@
 
     def _log_failure(self, failure: Any) -> None:
         if not failure.check(defer.CancelledError):
-            log.error('Usage not reported.', cause=failure.getTraceback())
+            log.error('Usage reporting failed.', cause=failure.getTraceback())
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/engine_requests.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/engine_requests.py
@@ -1,4 +1,4 @@
-"""Follow version changes by trainers and retirements by operators."""
+"""Follow requests for weight versions and for retirements of instances."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class EngineRequests:
-    """Track the versions that trainers request; confirm retirements.
+    """Track the versions that trainers request and confirm retirements.
 
     Only a duty holder follows these entries, to save the cost of a watch per
     instance for versions that change every few seconds.
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/retirement.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/retirement.py
@@ -1,4 +1,4 @@
-"""Answer operators' requests to retire a disk instance."""
+"""Confirm requests of operators to retire an instance with a disk."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
                 log.info('Retirement completed.', instance=instance)
                 return
             except store_module.StoreConflict:
-                # Another instance has confirmed it.
+                # Another instance has confirmed the retirement.
                 return
             except (store_module.StoreRefused, store_module.StoreUnclear):
                 await task.deferLater(self._clock, RETRY_SECONDS)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/weight_switcher.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/weight_switcher.py
@@ -1,4 +1,4 @@
-"""Order engines to switch weights while the service's duty is held."""
+"""Order engines to switch weights while this instance has the duty."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 log = logs.for_part('weights')
 
-# Seconds that active runs have to end before a switch, and between checks.
+# Seconds to wait for active runs to end before a switch, and between checks.
 DRAIN_SECONDS = 0.8
 DRAIN_POLL_SECONDS = 0.05
 # Timeout of an order or a report.
@@ -37,7 +37,7 @@
 # Seconds between reports while weights load; short, to limit idle time.
 REPORT_SECONDS = 0.2
 # Maximum age of the store's confirmation of the duty when an order is sent;
-# shorter than the wait of a successor.
+# shorter than the wait of a new holder, so that only one gives orders.
 MAX_DUTY_AGE_SECONDS = 0.5
 # Seconds after which an unconfirmed switch is ordered again.
 SWITCH_SECONDS = 6.0
@@ -90,8 +90,8 @@
                 versions_by_model, self._queue, self._now()
             ),
         )
-        # All are marked before the first one starts: the switch of an idle
-        # engine calls `update` at once, which would order the others twice.
+        # All are marked before any switch starts: the switch of an idle engine
+        # calls `update` at once, which would order the other engines twice.
         for switch in switches:
             engine = self._fleet.engines_by_id[switch.engine]
             engine.switching_models.add(switch.model)
@@ -164,7 +164,7 @@
                 return
             is_lost = new_report.orders_accepted == report.orders_accepted
             if is_lost and not new_report.is_busy and not report.is_busy:
-                # Reports lag: a later one confirms that the order was lost.
+                # Reports lag: an order counts as lost only after a delay.
                 if self._now() > give_up_at - SWITCH_SECONDS + 1.5:
                     return
 
--- a/packages/yuccarill-daemon/tests/gateway/test_quarantine.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_quarantine.py
@@ -215,7 +215,7 @@
         self.assertEqual({Verdict.QUARANTINED}, self.verdicts())
 
     def test_an_unavailable_peer_gets_reports_later(self) -> None:
-        # Until each instance has fetched the earlier reports.
+        # Wait until each instance has fetched the earlier reports.
         self.run_for(0.5)
         self.peers.away = {'c'}
         for number in range(3):
@@ -233,7 +233,7 @@
             world.list_instance(self.guards_by_name['a']._state, name)
             self.peers.silent.add(name)
         for name in 'bc':
-            # Last in the order of sending.
+            # Messages go to the responsive peers last.
             known = self.guards_by_name['a']._state.instances_by_id
             known[name] = known.pop(name)
         for number in range(3):
@@ -372,7 +372,7 @@
 
     def test_an_operator_lists_and_releases(self) -> None:
         peers = mock.Mock()
-        api = desk.QuarantineDesk(self.guard, self.records, peers, self.clock)
+        api = desk.QuarantineApi(self.guard, self.records, peers, self.clock)
 
         def call(method: str, path: str) -> tuple[int, list]:
             request = SmallRequest(method=method, target=path)
--- a/packages/yuccarill-daemon/tests/gateway/test_usage.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_usage.py
@@ -126,11 +126,11 @@
             float
         )
         self.generator = random.Random(1)
-        # Requests that began, by window and account.
+        # Number of requests that began, by window and account.
         self.began_by_window: dict[int, dict[str, int]] = {}
         for name in NAMES:
             self.start(name)
-        # Until all instances know each other.
+        # Wait until all instances know each other.
         self.pass_time(2.0, rate=0.0)
 
     def start(self, name: str) -> Instance:
@@ -292,7 +292,7 @@
         return http_exchange.Reply(head=head, body=page.body)
 
 
-class CalmTest(UsageWorld):
+class NoFaultTest(UsageWorld):
     def test_each_window_is_reported_once_and_in_time(self) -> None:
         self.pass_time(40.0)
         self.assert_reported()
@@ -340,7 +340,7 @@
         self.pass_time(13.0)
         self.kill(self.other())
         self.pass_time(30.0)
-        # Counts since its last message to the holder.
+        # Counts of the killed process since its last message to the holder.
         self.assert_reported(lost=2)
 
     def test_a_rolling_restart(self) -> None:
@@ -450,7 +450,7 @@
 class ClockTest(UsageWorld):
     """Wall clocks jump, while windows follow the fleet's time."""
 
-    # Whose clocks jump, and the jump in seconds.
+    # Instances whose clocks jump, and the jump in seconds.
     @params(
         ('holder', 2.0),
         ('holder', -2.0),
@@ -480,7 +480,7 @@
         name = self.other()
         self.clock_error_by_name[name] = 2.0
         self.restart(name)
-        # Until an answer of the holder arrives, it counts by its own clock.
+        # Until the holder answers, the process counts by its own wall clock.
         self.pass_time(1.0, rate=0.0)
         self.pass_time(30.0)
         self.assert_reported(lost=2)
