--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/attempts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/attempts.py
@@ -1,4 +1,4 @@
-"""Try a call on targets until one answers."""
+"""Retry and hedge a call on targets until one answers."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
     from yuccarill.core.config.inventory import Target
     from yuccarill.daemon.adapters.target import TargetAdapter
 
-# Seconds past its caller's deadline for which a sent call that must not
-# run again is listened to, so that its outcome can be asked for.
+# How long to wait past the caller's deadline for the answer to a
+# non-repeatable call, so that the caller can query its outcome later.
 OUTCOME_SECONDS = 30.0
 _UNAVAILABLE = 503
 
 
 class Call(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold one call of a plain service."""
+    """Describe one call to a service."""
 
     request_id: RequestId
     service: ServiceName
@@ -51,16 +51,16 @@
 
 
 class AttemptController:
-    """Run calls on targets and say truly how their attempts ended."""
+    """Run calls on targets and report whether they may have run."""
 
     def __init__(
         self,
-        all_lines: lines.Lines,
+        queues: lines.CallQueues,
         targets: TargetAdapter,
         now: Callable[[], Instant],
         clock: Any,
     ) -> None:
-        self._lines = all_lines
+        self._queues = queues
         self._targets = targets
         self._now = now
         self._clock = clock
@@ -68,21 +68,21 @@
     async def run(self, call: Call, is_repeatable: bool) -> Answer:
         """Return the answer of the first target that gives one.
 
-        Raises an error that says not run only if no attempt sent a byte.
+        Raises an error with `not_run` set only if no attempt sent a byte.
         """
-        line = self._lines.of_service(call.service)
-        caller = self._lines.caller(call.caller)
+        queue = self._queues.for_service(call.service)
+        caller = self._queues.caller(call.caller)
         entry = lines.Entry(caller=caller, deadline=call.deadline)
         if self._now() >= call.deadline:
             raise errors.DeadlinePassed(
                 'The deadline passed before the call was sent.',
                 retry_after=1.0,
             )
-        await line.enter(entry)
+        await queue.enter(entry)
         try:
-            return await _Race(
+            return await _CallAttempts(
                 self._targets,
-                line,
+                queue,
                 entry,
                 call,
                 is_repeatable,
@@ -90,16 +90,16 @@
                 self._clock,
             ).run()
         finally:
-            line.leave()
+            queue.leave()
 
 
-class _Race:
-    """Make attempts, one after or beside another, for one answer."""
+class _CallAttempts:
+    """Make sequential or parallel attempts at one call."""
 
     def __init__(
         self,
         targets: TargetAdapter,
-        line: lines.Line,
+        queue: lines.CallQueue,
         entry: lines.Entry,
         call: Call,
         is_repeatable: bool,
@@ -107,64 +107,63 @@
         clock: Any,
     ) -> None:
         self._targets = targets
-        self._line = line
+        self._queue = queue
         self._entry = entry
         self._call = call
         self._is_repeatable = is_repeatable
         self._now = now
         self._clock = clock
         self._tried: frozenset[TargetId] = frozenset()
-        self._open: list[defer.Deferred[None]] = []
+        self._pending: list[defer.Deferred[None]] = []
         self._timers: list[Any] = []
-        self._last: errors.YuccarillError | None = None
+        self._last_error: errors.YuccarillError | None = None
         self._may_have_run = False
         self._running = 0
         self._result: defer.Deferred[Answer] = defer.Deferred()
 
     async def run(self) -> Answer:
-        """Return the first answer."""
-        self._launch()
+        self._start_attempt()
         try:
             return await self._result
         finally:
             for timer in self._timers:
                 if timer.active():
                     timer.cancel()
-            for work in self._open:
+            for work in self._pending:
                 work.cancel()
 
-    def _launch(self) -> bool:
-        target = self._line.choose(self._tried, self._entry)
+    def _start_attempt(self) -> bool:
+        target = self._queue.choose(self._tried, self._entry)
         if target is None:
             if not self._running:
-                self._end()
+                self._fail_call()
             return False
         self._tried |= {target.id}
-        work = defer.ensureDeferred(self._attempt(target))
+        work = defer.ensureDeferred(self._run_attempt(target))
         if not work.called:
-            self._open.append(work)
-            work.addBoth(self._close, work)
+            self._pending.append(work)
+            work.addBoth(self._remove_pending, work)
             if self._is_repeatable:
-                self._set_timers(len(self._open))
+                self._set_timers(len(self._pending))
         return True
 
-    def _close(self, result: Any, work: defer.Deferred[None]) -> None:
-        if work in self._open:
-            self._open.remove(work)
+    def _remove_pending(self, result: Any, work: defer.Deferred[None]) -> None:
+        if work in self._pending:
+            self._pending.remove(work)
 
-    async def _attempt(self, target: Engine | Target) -> None:
+    async def _run_attempt(self, target: Engine | Target) -> None:
         step = Step.QUEUED
 
-        def note(reached: Step) -> None:
+        def record_step(reached: Step) -> None:
             nonlocal step
             step = max(step, reached)
 
-        begun_at = self._now()
-        self._line.send(target.id)
+        started_at = self._now()
+        self._queue.record_send(target.id)
         self._running += 1
         try:
             reply = await self._targets.call(
-                target.address, self._request(), note
+                target.address, self._request(), record_step
             )
         except Exception as cause:
             self._running -= 1
@@ -172,21 +171,21 @@
             if not isinstance(cause, errors.YuccarillError):
                 error = errors.OutcomeUnknown(f'The call failed: {cause!r}.')
             if self._result.called:
-                self._line.give_up(target.id)
+                self._queue.cancel_attempt(target.id)
                 return
-            self._fail(target.id, begun_at, step, error)
+            self._handle_failure(target.id, started_at, step, error)
             return
         self._running -= 1
         if reply.answer.status == _UNAVAILABLE:
-            self._line.fail(target.id, begun_at, Failure.REFUSED)
+            self._queue.record_failure(target.id, started_at, Failure.REFUSED)
         else:
-            self._line.answer(target.id, begun_at, reply.report)
+            self._queue.record_answer(target.id, started_at, reply.report)
         if not self._result.called:
             self._result.callback(reply.answer)
 
     def _request(self) -> TargetRequest:
         call = self._call
-        late = 0.0 if self._is_repeatable else OUTCOME_SECONDS
+        extra_seconds = 0.0 if self._is_repeatable else OUTCOME_SECONDS
         return TargetRequest(
             request_id=call.request_id,
             path=call.path,
@@ -196,25 +195,25 @@
             priority=self._entry.priority,
             attempt=len(self._tried),
             connect_by=call.deadline,
-            answer_by=Instant(call.deadline + late),
+            answer_by=Instant(call.deadline + extra_seconds),
         )
 
-    def _fail(
+    def _handle_failure(
         self,
         target: TargetId,
-        begun_at: Instant,
+        started_at: Instant,
         step: Step,
         error: errors.YuccarillError,
     ) -> None:
-        self._line.fail(target, begun_at, self._failure(step))
-        self._last = error
+        self._queue.record_failure(target, started_at, self._failure_of(step))
+        self._last_error = error
         self._may_have_run |= attempt_module.may_have_run(step)
-        if self._may_again() and self._again(metrics.Metric.CALLS_RETRIES):
+        if self._may_add() and self._add_attempt(metrics.Metric.CALLS_RETRIES):
             return
         if not self._running:
-            self._end()
+            self._fail_call()
 
-    def _failure(self, step: Step) -> Failure:
+    def _failure_of(self, step: Step) -> Failure:
         if not attempt_module.may_have_run(step):
             return Failure.NOT_CONNECTED
         if self._now() < self._call.deadline:
@@ -222,8 +221,8 @@
         metrics.count(metrics.Metric.CALLS_SILENT)
         return Failure.TIMED_OUT
 
-    def _may_again(self) -> bool:
-        dispatcher = self._line.dispatcher
+    def _may_add(self) -> bool:
+        dispatcher = self._queue.dispatcher
         return (
             not self._result.called
             and self._now() < self._call.deadline
@@ -231,46 +230,46 @@
             and len(self._tried) < dispatcher.policy.attempts
         )
 
-    def _again(self, metric: metrics.Metric) -> bool:
-        budget = self._line.dispatcher.retries
+    def _add_attempt(self, metric: metrics.Metric) -> bool:
+        budget = self._queue.dispatcher.retries
         if metric is metrics.Metric.CALLS_HEDGES:
-            budget = self._line.dispatcher.hedges
+            budget = self._queue.dispatcher.hedges
         if not budget.withdraw():
             return False
         metrics.count(metric)
-        return self._launch()
+        return self._start_attempt()
 
-    def _set_timers(self, number: int) -> None:
-        dispatcher = self._line.dispatcher
+    def _set_timers(self, pending: int) -> None:
+        dispatcher = self._queue.dispatcher
         now = self._now()
         left = max(1, dispatcher.policy.attempts - len(self._tried) + 1)
-        until = deadlines.attempt_deadline(
+        attempt_by = deadlines.attempt_deadline(
             now, self._call.deadline, left, dispatcher.limit.unloaded
         )
-        if until < self._call.deadline:
-            self._later(until - now, metrics.Metric.CALLS_RETRIES)
+        if attempt_by < self._call.deadline:
+            self._add_later(attempt_by - now, metrics.Metric.CALLS_RETRIES)
         hedge = dispatcher.hedge_after()
-        if hedge is not None and self._entry.is_urgent and number == 1:
-            self._later(hedge, metrics.Metric.CALLS_HEDGES)
+        if hedge is not None and self._entry.is_urgent and pending == 1:
+            self._add_later(hedge, metrics.Metric.CALLS_HEDGES)
 
-    def _later(self, seconds: float, metric: metrics.Metric) -> None:
-        """Make another attempt beside one that has not answered yet."""
-        # The first one goes on: most slow calls are long ones, which a
-        # second try from the start would only make later.
+    def _add_later(self, seconds: float, metric: metrics.Metric) -> None:
+        """Schedule an attempt in parallel to a pending one."""
+        # The pending attempt continues: most slow calls are long ones, which a
+        # restart would only delay further.
         self._timers.append(
             self._clock.callLater(
                 seconds,
-                lambda: self._may_again() and self._again(metric),
+                lambda: self._may_add() and self._add_attempt(metric),
             )
         )
 
-    def _end(self) -> None:
+    def _fail_call(self) -> None:
         if self._result.called:
             return
         if self._may_have_run:
             metrics.count(metrics.Metric.CALLS_UNKNOWN)
-            # The last attempt may not have run while an earlier one did.
-            text = self._last.message if self._last else ''
+            # An earlier attempt may have run even if the last one did not.
+            text = self._last_error.message if self._last_error else ''
             self._result.errback(
                 errors.OutcomeUnknown(
                     f'{text} The call may have run.', retry_after=1.0
@@ -278,9 +277,9 @@
             )
             return
         self._result.errback(
-            self._last
+            self._last_error
             or errors.NoTarget(
-                f'No target of {self._call.service} is left to try.',
+                f'No other target of {self._call.service} is available.',
                 retry_after=1.0,
             )
         )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/calls.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/calls.py
@@ -1,4 +1,4 @@
-"""Take callers' requests to the part that runs them."""
+"""Route callers' requests to the controller that runs them."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class CallController:
-    """Route calls and keep the promises made about them."""
+    """Route calls and enforce at-most-once execution where needed."""
 
     def __init__(
         self,
@@ -56,9 +56,9 @@
         clock: Any = reactor,
     ) -> None:
         self._blackboard = blackboard
-        self._lines = lines.Lines(blackboard, now, clock, policy)
+        self._queues = lines.CallQueues(blackboard, now, clock, policy)
         self._attempts = attempts.AttemptController(
-            self._lines, targets, now, clock
+            self._queues, targets, now, clock
         )
         self._once = once.OnceController(
             blackboard,
@@ -71,13 +71,13 @@
         )
         self._homes = homes.HomeController(blackboard, self._once, peers, now)
         self._generations = generations.GenerationController(
-            self._lines, engines, now
+            self._queues, engines, now
         )
         self._active = 0
 
     @property
     def active(self) -> int:
-        """Count the requests in flight."""
+        """Return the number of requests in flight."""
         return self._active + self._once.active
 
     def new_ticket(self) -> Ticket:
@@ -85,21 +85,21 @@
         return self._once.new_ticket()
 
     def refuse_waiting(self) -> None:
-        """Refuse the calls of which no byte was sent to a target."""
-        self._lines.refuse_waiting()
+        """Refuse the queued calls, of which no byte was sent."""
+        self._queues.refuse_waiting()
 
     async def run(self, call: Call) -> Answer:
-        """Run a call, whose path was checked, and return its answer."""
+        """Run a call with a validated path and return its answer."""
         self._active += 1
         try:
             if call.ticket is not None:
-                # The ticket says that the caller wants it once, also where
-                # a configuration that is behind calls the path repeatable.
+                # A ticket requires at-most-once execution, even if an outdated
+                # configuration lists the path as repeatable.
                 return await self._homes.run(call)
             service = self._service(call.service)
             if not paths.is_repeatable(call.path, service.not_repeatable):
                 raise errors.RequestError(
-                    'This call runs at most once and needs a ticket; take '
+                    'This call runs at most once and needs a ticket; get '
                     'one from GET /v1/addresses.'
                 )
             return await self._attempts.run(call, is_repeatable=True)
@@ -107,7 +107,7 @@
             self._active -= 1
 
     async def outcome(self, ticket: str, request_id: RequestId) -> Outcome:
-        """Tell what became of a non-repeatable request."""
+        """Return the outcome of a non-repeatable request."""
         return await self._homes.outcome(ticket, request_id)
 
     async def handle(
@@ -134,12 +134,12 @@
             self._active -= 1
 
     def _service(self, name: ServiceName) -> Service:
-        head = self._blackboard.snapshot
-        if head is None:
+        snapshot = self._blackboard.snapshot
+        if snapshot is None:
             raise errors.NoConfiguration(
-                'No configuration is known yet; try again.', retry_after=1.0
+                'No configuration is loaded yet; try again.', retry_after=1.0
             )
-        service = head.services_by_name.get(name)
+        service = snapshot.services_by_name.get(name)
         if service is None:
             raise errors.UnknownService(
                 f'Service {name} is not in the inventory; check its name.'
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/generations.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/generations.py
@@ -1,4 +1,4 @@
-"""Stream model calls from engines, and go on elsewhere when one is cut."""
+"""Stream model calls and resume interrupted ones on other engines."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 
     def __init__(
         self,
-        all_lines: lines.Lines,
+        queues: lines.CallQueues,
         engines: EngineAdapter,
         now: Callable[[], Instant],
     ) -> None:
-        self._lines = all_lines
+        self._queues = queues
         self._engines = engines
         self._now = now
 
@@ -49,40 +49,40 @@
         seconds: float,
         on_chunk: Callable[[Chunk], None],
     ) -> None:
-        """Stream one generation, resumed on other engines if it is cut.
+        """Stream one generation, resumed on other engines if interrupted.
 
-        Raises AnswerCut if no engine could finish it in time, Overloaded
-        or NoTarget if none began.
+        Raises AnswerCut if no engine finishes it in time, Overloaded or
+        NoTarget if none starts it.
         """
-        line = self._lines.of_model(model)
+        queue = self._queues.for_model(model)
         entry = lines.Entry(
-            caller=self._lines.caller(caller),
+            caller=self._queues.caller(caller),
             deadline=Instant(self._now() + seconds),
         )
-        await line.enter(entry)
+        await queue.enter(entry)
         try:
             generation = _Generation(
-                self._engines, line, entry, request, on_chunk, self._now
+                self._engines, queue, entry, request, on_chunk, self._now
             )
             await generation.start()
         finally:
-            line.leave()
+            queue.leave()
 
 
 class _Generation:
-    """Make one answer, on one engine after another."""
+    """Stream one answer from one engine after another."""
 
     def __init__(
         self,
         engines: EngineAdapter,
-        line: lines.Line,
+        queue: lines.CallQueue,
         entry: lines.Entry,
         request: dict[str, Any],
         on_chunk: Callable[[Chunk], None],
         now: Callable[[], Instant],
     ) -> None:
         self._engines = engines
-        self._line = line
+        self._queue = queue
         self._entry = entry
         self._request = request
         self._on_chunk = on_chunk
@@ -91,12 +91,12 @@
         self._is_stopped = False
 
     def start(self) -> defer.Deferred[None]:
-        """Run until the answer is whole or the caller is gone."""
+        """Run until the answer is complete or the caller cancels."""
         running = defer.ensureDeferred(self._run())
 
         def stop(_: object) -> None:
-            # Cancelling an attempt looks like a cut stream to it. Nobody
-            # waits for the rest, so no other engine may go on with it.
+            # An attempt can not tell cancellation from an interrupted stream.
+            # No other engine may resume an answer that the caller abandoned.
             self._is_stopped = True
             running.cancel()
 
@@ -105,51 +105,51 @@
         return result
 
     async def _run(self) -> None:
-        tried: frozenset[TargetId] = frozenset()
-        last: errors.YuccarillError = errors.NoTarget(
-            'No engine of the model is left to try.', retry_after=1.0
+        tried_ids: frozenset[TargetId] = frozenset()
+        last_error: errors.YuccarillError = errors.NoTarget(
+            'No other engine of the model is available.', retry_after=1.0
         )
-        for number in range(MAX_ATTEMPTS):
-            engine = self._line.choose(
-                tried, self._entry, self._request['prompt']
+        for attempt_number in range(MAX_ATTEMPTS):
+            engine = self._queue.choose(
+                tried_ids, self._entry, self._request['prompt']
             )
             if engine is None or self._now() >= self._entry.deadline:
                 break
-            if number and not self._may_go_on():
+            if attempt_number and not self._may_resume_or_retry():
                 break
-            tried |= {engine.id}
+            tried_ids |= {engine.id}
             try:
-                await self._attempt(engine)
+                await self._run_attempt(engine)
                 return
             except errors.YuccarillError as error:
-                last = error
+                last_error = error
             if self._is_stopped:
                 break
-        if self._tokens and last.not_run:
-            raise errors.AnswerCut(last.message) from last
-        raise last
+        if self._tokens and last_error.not_run:
+            raise errors.AnswerCut(last_error.message) from last_error
+        raise last_error
 
-    def _may_go_on(self) -> bool:
-        # Tokens that were made are lost unless another engine goes on from
-        # them, so a begun answer needs no place in the budget.
+    def _may_resume_or_retry(self) -> bool:
+        # Generated tokens are lost unless another engine resumes from them, so
+        # resuming an answer does not use the retry budget.
         if self._tokens:
             metrics.count(metrics.Metric.CALLS_RESUMED)
             return True
-        if self._line.dispatcher.retries.withdraw():
+        if self._queue.dispatcher.retries.withdraw():
             metrics.count(metrics.Metric.CALLS_RETRIES)
             return True
         return False
 
-    async def _attempt(self, engine: Engine | Target) -> None:
-        begun_at = self._now()
+    async def _run_attempt(self, engine: Engine | Target) -> None:
+        started_at = self._now()
         report: LoadReport | None = None
-        is_over = False
+        is_recorded = False
 
-        def note(received: LoadReport) -> None:
+        def record_report(received: LoadReport) -> None:
             nonlocal report
             report = received
 
-        self._line.send(engine.id)
+        self._queue.record_send(engine.id)
         try:
             await self._engines.generate(
                 engine.address,
@@ -158,25 +158,25 @@
                     'priority': self._entry.priority,
                     'resume_tokens': tuple(self._tokens),
                 },
-                self._entry.deadline - begun_at,
-                self._take,
-                note,
+                self._entry.deadline - started_at,
+                self._handle_chunk,
+                record_report,
             )
-            is_over = True
-            self._line.answer(engine.id, begun_at, report)
+            is_recorded = True
+            self._queue.record_answer(engine.id, started_at, report)
         except errors.YuccarillError as error:
-            is_over = True
+            is_recorded = True
             failure = (
                 Failure.REFUSED if error.not_run else Failure.DISCONNECTED
             )
-            self._line.fail(engine.id, begun_at, failure)
+            self._queue.record_failure(engine.id, started_at, failure)
             raise
         finally:
-            if not is_over:
-                self._line.give_up(engine.id)
+            if not is_recorded:
+                self._queue.cancel_attempt(engine.id)
 
-    def _take(self, chunk: Chunk) -> None:
-        # Handed on before they count as made: a chunk that its receiver
-        # refuses is not part of the answer.
+    def _handle_chunk(self, chunk: Chunk) -> None:
+        # The tokens count only once delivered: a chunk that the receiver
+        # rejects is not part of the answer.
         self._on_chunk(chunk)
         self._tokens.extend(chunk.tokens)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/homes.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/homes.py
@@ -1,4 +1,4 @@
-"""Pass non-repeatable calls to their ticket's home."""
+"""Forward non-repeatable calls to the instance that issued their ticket."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
     from yuccarill.daemon.controllers.once import OnceController
     from yuccarill.daemon.peers.peers import Peers
 
-# Held back from the time passed on, so that the home's own verdict is back
-# before this instance gives up on it.
+# Subtracted from the forwarded deadline, so that the reply of the home arrives
+# before this instance times out.
 RETURN_SECONDS = 0.02
 QUERY_SECONDS = 2.0
 
 
 class HomeController:
-    """Reach the instance that alone may start a request."""
+    """Forward calls to their home, the only instance that may run them."""
 
     def __init__(
         self,
         blackboard: Blackboard,
-        here: OnceController,
+        local: OnceController,
         peers: Peers,
         now: Callable[[], Instant],
     ) -> None:
         self._blackboard = blackboard
-        self._here = here
+        self._local = local
         self._peers = peers
         self._now = now
 
@@ -46,7 +46,7 @@
         """Run a call at its home and return its answer."""
         home = ticket_module.parse(call.ticket or '').home
         if home == self._blackboard.own_instance.id:
-            return await self._here.run(call)
+            return await self._local.run(call)
         request = messages.CallRequest(
             ticket=str(call.ticket),
             request_id=call.request_id,
@@ -59,42 +59,44 @@
             caller=call.caller,
         )
         seconds = max(0.0, call.deadline - self._now())
-        reply = await self._ask(home, request, seconds)
+        reply = await self._send(home, request, seconds)
         if isinstance(reply, messages.CallAnswer):
             return Answer(reply.status, reply.content_type, reply.body)
-        raise _refusal(reply)
+        raise _to_error(reply)
 
     async def outcome(
         self, ticket: str, request_id: RequestId
     ) -> once.Outcome:
-        """Ask a request's home what became of it."""
+        """Return the outcome of a request, as known to its home."""
         home = ticket_module.parse(ticket).home
         if home == self._blackboard.own_instance.id:
-            return self._here.outcome(ticket, request_id)
+            return self._local.outcome(ticket, request_id)
         query = messages.OutcomeQuery(ticket=ticket, request_id=request_id)
-        reply = await self._ask(home, query, QUERY_SECONDS)
+        reply = await self._send(home, query, QUERY_SECONDS)
         if not isinstance(reply, messages.OutcomeReply):
-            raise _refusal(reply)
-        kept = reply.answer
-        answer = kept and Answer(kept.status, kept.content_type, kept.body)
+            raise _to_error(reply)
+        stored = reply.answer
+        answer = stored and Answer(
+            stored.status, stored.content_type, stored.body
+        )
         return once.Outcome(reply.outcome, answer)
 
     async def handle(
         self, body: messages.CallRequest | messages.OutcomeQuery
     ) -> messages.Body:
-        """Answer a peer that passed on a call or asks for its outcome."""
-        # The stream turns any error into a refusal of its own; only one
-        # made here is the home's verdict on the call.
+        """Answer a peer that forwards a call or queries its outcome."""
+        # The stream turns any error into a generic refusal. CallRefusal marks
+        # an error as the result of the call at its home.
         try:
             match body:
                 case messages.CallRequest():
-                    answer = await self._here.run(self._call(body))
-                    return _message(answer)
+                    answer = await self._local.run(self._to_call(body))
+                    return _to_message(answer)
                 case messages.OutcomeQuery(ticket=ticket):
-                    found = self._here.outcome(ticket, body.request_id)
-                    kept = found.answer and _message(found.answer)
+                    known = self._local.outcome(ticket, body.request_id)
+                    stored = known.answer and _to_message(known.answer)
                     return messages.OutcomeReply(
-                        outcome=found.outcome, answer=kept
+                        outcome=known.outcome, answer=stored
                     )
         except errors.YuccarillError as error:
             return messages.CallRefusal(
@@ -103,7 +105,7 @@
                 retry_after=error.retry_after,
             )
 
-    def _call(self, body: messages.CallRequest) -> Call:
+    def _to_call(self, body: messages.CallRequest) -> Call:
         return Call(
             request_id=body.request_id,
             service=body.service,
@@ -116,14 +118,14 @@
             caller=body.caller,
         )
 
-    async def _ask(
+    async def _send(
         self, home: InstanceId, body: messages.Body, seconds: float
     ) -> messages.Body:
         peer = self._blackboard.instances_by_id.get(home)
         if peer is None:
             raise errors.OutcomeUnknown(
                 'The instance that issued the ticket is gone; an earlier '
-                'try may have run.'
+                'attempt may have run.'
             )
         try:
             reply: messages.Body = await self._peers.request(
@@ -131,15 +133,15 @@
             )
             return reply
         except errors.YuccarillError as error:
-            # Even if nothing was sent now, an earlier try may have reached
-            # the home, which alone knows.
+            # The home may have received an earlier attempt, even if nothing
+            # was sent now.
             raise errors.OutcomeUnknown(
-                f'{error.message} An earlier try may have run.',
+                f'{error.message} An earlier attempt may have run.',
                 retry_after=1.0,
             ) from error
 
 
-def _message(answer: Answer) -> messages.CallAnswer:
+def _to_message(answer: Answer) -> messages.CallAnswer:
     return messages.CallAnswer(
         status=answer.status,
         content_type=answer.content_type,
@@ -147,9 +149,11 @@
     )
 
 
-def _refusal(reply: messages.Body) -> errors.YuccarillError:
+def _to_error(reply: messages.Body) -> errors.YuccarillError:
     if isinstance(reply, messages.CallRefusal):
         return errors.error_class_by_code(reply.code)(
             reply.text, reply.retry_after
         )
-    return errors.OutcomeUnknown('The home sent a reply of another kind.')
+    return errors.OutcomeUnknown(
+        'The issuer of the ticket sent a reply of an unexpected type.'
+    )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/lines.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/lines.py
@@ -1,4 +1,4 @@
-"""Let calls of one service or model in, and tell them their targets."""
+"""Queue calls of each service or model and choose their targets."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True, kw_only=True):
-    """Say who asks, and until when."""
+    """Describe the caller and the deadline of a queued call."""
 
     caller: Caller
     deadline: Instant
@@ -51,8 +51,8 @@
         return _PRIORITIES[self.caller.caller_class]
 
 
-class Line:
-    """Drive the dispatcher of one service or model."""
+class CallQueue:
+    """Admit and dispatch the calls of one service or model."""
 
     def __init__(
         self,
@@ -68,57 +68,57 @@
         self._clock = clock
         self._is_admitting = False
         self._snapshot: Snapshot | None = None
-        self._waiting: set[admission.QueuedCall[defer.Deferred[None]]] = set()
+        self._queued: set[admission.QueuedCall[defer.Deferred[None]]] = set()
         self._targets_by_id: dict[TargetId, Engine | Target] = {}
         self.dispatcher = dispatcher.Dispatcher[defer.Deferred[None]](
             policy, random.Random()
         )
 
     async def enter(self, entry: Entry) -> None:
-        """Wait until a call may go on; leave() must follow.
+        """Wait until a call is admitted; leave() must follow.
 
-        Raises Overloaded, at once or as soon as it would be late.
+        Raises Overloaded as soon as the call can not meet its deadline.
         """
-        self._follow()
+        self._update_targets()
         admitted: defer.Deferred[None] = defer.Deferred()
-        waiting = admission.QueuedCall(
+        queued = admission.QueuedCall(
             admitted,
             entry.caller.id,
             entry.caller.caller_class,
             entry.caller.share,
             entry.deadline,
         )
-        begun_at = self._now()
-        self._waiting.add(waiting)
-        for refused in self.dispatcher.offer(waiting, begun_at):
+        started_at = self._now()
+        self._queued.add(queued)
+        for refused in self.dispatcher.offer(queued, started_at):
             self._refuse(refused)
         self._admit()
         timer = None
-        if waiting.is_queued:
-            patience = entry.deadline - self.dispatcher.expected_latency
-            left = max(_MIN_SECONDS, patience - begun_at)
-            timer = self._clock.callLater(left, self._give_up, waiting)
+        if queued.is_queued:
+            start_by = entry.deadline - self.dispatcher.expected_latency
+            left = max(_MIN_SECONDS, start_by - started_at)
+            timer = self._clock.callLater(left, self._withdraw, queued)
         try:
             await admitted
         finally:
-            # A caller that went away must not be admitted later: nobody
-            # would free its place.
-            self._waiting.discard(waiting)
-            self.dispatcher.withdraw(waiting)
+            # A caller that disconnected must not be admitted later: nobody
+            # would release its slot.
+            self._queued.discard(queued)
+            self.dispatcher.withdraw(queued)
             if timer is not None and timer.active():
                 timer.cancel()
-        metrics.timing(metrics.Metric.CALLS_WAIT, self._now() - begun_at)
+        metrics.timing(metrics.Metric.CALLS_WAIT, self._now() - started_at)
 
     def leave(self) -> None:
-        """Free the place of a call that entered."""
+        """Release the slot of an admitted call."""
         self.dispatcher.release()
         self._admit()
 
     def refuse_waiting(self) -> None:
-        """Refuse the calls that wait, as this instance ends."""
-        for waiting in list(self._waiting):
-            if waiting.is_queued:
-                self._give_up(waiting)
+        """Refuse the queued calls, as this instance stops."""
+        for queued in list(self._queued):
+            if queued.is_queued:
+                self._withdraw(queued)
 
     def choose(
         self,
@@ -127,40 +127,40 @@
         prefix: str | None = None,
     ) -> Engine | Target | None:
         """Return a target for the next attempt, or none."""
-        self._follow()
+        self._update_targets()
         target = self.dispatcher.pool.choose(
             self._now(), tried, entry.is_urgent, prefix
         )
         return None if target is None else self._targets_by_id[target]
 
-    def send(self, target: TargetId) -> None:
-        """Count an attempt from before its first byte."""
+    def record_send(self, target: TargetId) -> None:
+        """Count an attempt; called before its first byte is sent."""
         self._blackboard.in_flight_by_id[target] += 1
         self.dispatcher.pool.record_send(target)
         metrics.count(metrics.Metric.CALLS_ATTEMPTS)
 
-    def answer(
-        self, target: TargetId, begun_at: Instant, report: LoadReport | None
+    def record_answer(
+        self, target: TargetId, started_at: Instant, report: LoadReport | None
     ) -> None:
-        """Learn from an attempt that was answered."""
+        """Record the latency and load report of an answered attempt."""
         self._blackboard.in_flight_by_id[target] -= 1
         now = self._now()
-        self.dispatcher.record_answer(target, now - begun_at, report, now)
+        self.dispatcher.record_answer(target, now - started_at, report, now)
 
-    def fail(
-        self, target: TargetId, begun_at: Instant, failure: Failure
+    def record_failure(
+        self, target: TargetId, started_at: Instant, failure: Failure
     ) -> None:
-        """Learn from an attempt that failed."""
+        """Record a failed attempt."""
         self._blackboard.in_flight_by_id[target] -= 1
         now = self._now()
-        self.dispatcher.record_failure(target, failure, now - begun_at, now)
+        self.dispatcher.record_failure(target, failure, now - started_at, now)
 
-    def give_up(self, target: TargetId) -> None:
-        """Take back an attempt that was not needed any more."""
+    def cancel_attempt(self, target: TargetId) -> None:
+        """Discard an attempt that is no longer needed."""
         self._blackboard.in_flight_by_id[target] -= 1
         self.dispatcher.pool.cancel_attempt(target)
 
-    def _follow(self) -> None:
+    def _update_targets(self) -> None:
         snapshot = self._blackboard.snapshot
         if snapshot is None or snapshot is self._snapshot:
             return
@@ -168,46 +168,48 @@
         self._targets_by_id = {t.id: t for t in self._find(snapshot)}
         centres = {t.id: t.data_centre for t in self._targets_by_id.values()}
         self.dispatcher.pool.update(
-            centres, self._blackboard.own_instance.data_centre, self._now()
+            centres,
+            self._blackboard.own_instance.data_centre,
+            self._now(),
         )
 
     def _admit(self) -> None:
-        # A call that ends at once frees its place within this loop; were
-        # the next let in from there, a long queue would nest too deep.
+        # A call that ends at once releases its slot in this loop; admitting
+        # the next call from there would recurse as deep as the queue.
         if self._is_admitting:
             return
         self._is_admitting = True
         try:
-            while self._admit_some():
+            while self._admit_batch():
                 pass
         finally:
             self._is_admitting = False
 
-    def _admit_some(self) -> bool:
-        admitted, given_up = self.dispatcher.admit(self._now())
-        for waiting in given_up:
-            self._refuse(waiting)
-        for waiting in admitted:
-            waiting.item.callback(None)
-        return bool(admitted or given_up)
+    def _admit_batch(self) -> bool:
+        admitted, expired = self.dispatcher.admit(self._now())
+        for queued in expired:
+            self._refuse(queued)
+        for queued in admitted:
+            queued.item.callback(None)
+        return bool(admitted or expired)
 
-    def _give_up(self, waiting: admission.QueuedCall[Any]) -> None:
-        self.dispatcher.withdraw(waiting)
-        self._refuse(waiting)
+    def _withdraw(self, queued: admission.QueuedCall[Any]) -> None:
+        self.dispatcher.withdraw(queued)
+        self._refuse(queued)
 
-    def _refuse(self, waiting: admission.QueuedCall[Any]) -> None:
+    def _refuse(self, queued: admission.QueuedCall[Any]) -> None:
         metrics.count(metrics.Metric.CALLS_REFUSED)
-        wait = self.dispatcher.retry_after(waiting)
-        waiting.item.errback(
+        retry_after = self.dispatcher.retry_after(queued)
+        queued.item.errback(
             errors.Overloaded(
-                'More is asked for than the targets bear; come back later.',
-                retry_after=wait,
+                'The targets are overloaded; retry after the given delay.',
+                retry_after=retry_after,
             )
         )
 
 
-class Lines:
-    """Hold the line of each service and model."""
+class CallQueues:
+    """Hold the queue of each service and model."""
 
     def __init__(
         self,
@@ -220,11 +222,11 @@
         self._now = now
         self._clock = clock
         self._policy = policy
-        self._lines_by_service: dict[ServiceName, Line] = {}
-        self._lines_by_model: dict[ModelName, Line] = {}
+        self._queues_by_service: dict[ServiceName, CallQueue] = {}
+        self._queues_by_model: dict[ModelName, CallQueue] = {}
 
-    def of_service(self, name: ServiceName) -> Line:
-        """Return the line of a service of the inventory.
+    def for_service(self, name: ServiceName) -> CallQueue:
+        """Return the queue of a service in the inventory.
 
         Raises NoConfiguration, UnknownService.
         """
@@ -232,53 +234,57 @@
             raise errors.UnknownService(
                 f'Service {name} is not in the inventory; check its name.'
             )
-        if name not in self._lines_by_service:
-            self._lines_by_service[name] = self._line(
+        if name not in self._queues_by_service:
+            self._queues_by_service[name] = self._new_queue(
                 lambda snapshot: snapshot.targets_by_service.get(name, ())
             )
-        return self._lines_by_service[name]
+        return self._queues_by_service[name]
 
-    def of_model(self, name: ModelName) -> Line:
-        """Return the line of a model of the inventory.
+    def for_model(self, name: ModelName) -> CallQueue:
+        """Return the queue of a model in the inventory.
 
         Raises NoConfiguration, UnknownService.
         """
         if name not in self._snapshot().engines_by_model:
             raise errors.UnknownService(f'No engine runs model {name}.')
-        if name not in self._lines_by_model:
-            self._lines_by_model[name] = self._line(
+        if name not in self._queues_by_model:
+            self._queues_by_model[name] = self._new_queue(
                 lambda snapshot: snapshot.engines_by_model.get(name, ())
             )
-        return self._lines_by_model[name]
+        return self._queues_by_model[name]
 
     def refuse_waiting(self) -> None:
-        """Refuse all calls that wait."""
-        for lines_by_name in (self._lines_by_service, self._lines_by_model):
-            for line in lines_by_name.values():
-                line.refuse_waiting()
+        """Refuse all queued calls."""
+        for queues_by_name in (self._queues_by_service, self._queues_by_model):
+            for queue in queues_by_name.values():
+                queue.refuse_waiting()
 
     def caller(self, caller: CallerId | None) -> Caller:
-        """Return what the inventory says of a caller."""
+        """Return the inventory entry of a caller, or the default one."""
         callers_by_id = self._snapshot().callers_by_id
         if caller is not None and caller in callers_by_id:
             return callers_by_id[caller]
-        # All callers that nobody described share one part.
+        # All callers missing from the inventory share one quota.
         return _UNKNOWN_CALLER
 
-    def _line(
+    def _new_queue(
         self, find: Callable[[Snapshot], Sequence[Engine | Target]]
-    ) -> Line:
-        return Line(
-            self._blackboard, find, self._policy, self._now, self._clock
+    ) -> CallQueue:
+        return CallQueue(
+            self._blackboard,
+            find,
+            self._policy,
+            self._now,
+            self._clock,
         )
 
     def _snapshot(self) -> Snapshot:
-        head = self._blackboard.snapshot
-        if head is None:
+        snapshot = self._blackboard.snapshot
+        if snapshot is None:
             raise errors.NoConfiguration(
-                'No configuration is known yet; try again.', retry_after=1.0
+                'No configuration is loaded yet; try again.', retry_after=1.0
             )
-        return head
+        return snapshot
 
 
 _UNKNOWN_CALLER = Caller(id=CallerId(''))
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/once.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/once.py
@@ -1,4 +1,4 @@
-"""Run non-repeatable calls at most once, at their ticket's home."""
+"""Run non-repeatable calls at most once, on their ticket's issuer."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """Tell what became of a request."""
+    """Describe the outcome of a request."""
 
     outcome: str
     answer: Answer | None = None
 
 
 class OnceController:
-    """Start each request at most once and share its one answer."""
+    """Run each request at most once and share its answer among retries."""
 
     def __init__(
         self,
@@ -63,8 +63,8 @@
         self._incarnation = incarnation
         self._attempts = attempts
         self._now = now
-        # The wall clock may be set back, which would revive a ticket whose
-        # records are gone; the monotonic clock carries on from its start.
+        # Setting the wall clock back would revive a ticket whose records were
+        # deleted, so wall time is derived from the monotonic clock.
         self._wall_offset = wall_now() - now()
         self._clock = clock
         self._ledger = Ledger(limits)
@@ -76,57 +76,59 @@
     def new_ticket(self) -> Ticket:
         """Issue a ticket of this incarnation."""
         return self._ledger.issue(
-            self._blackboard.own_instance.id, self._incarnation, self._wall()
+            self._blackboard.own_instance.id,
+            self._incarnation,
+            self._wall(),
         )
 
     async def run(self, call: Call) -> Answer:
-        """Return the one answer of a call whose ticket is ours.
+        """Return the answer to a call whose ticket was issued here.
 
-        Raises the error that the call's one run ended with, TicketError,
-        or OutcomeUnknown if the answer is not there by the deadline.
+        Raises the error that the call ended with, TicketError, or
+        OutcomeUnknown if no answer arrives by the deadline.
         """
-        ticket = self._own_ticket(call.ticket)
+        ticket = self._parse_own_ticket(call.ticket)
         key = (ticket, call.request_id)
         record = self._ledger.begin(*key, _digest(call), self._wall())
         if record is None:
-            # The run belongs to no caller's connection: the caller whose
-            # try began it may go away while another waits for its answer.
-            defer.ensureDeferred(self._work(call, key))
+            # The run is tied to no connection: the caller that started it may
+            # disconnect while another one waits for the answer.
+            defer.ensureDeferred(self._execute(call, key))
             record = self._ledger.find(*key)
         assert record is not None
         if record.stage is RecordState.RUNNING:
             return await self._wait(key, call.deadline)
-        return _verdict(record)
+        return _final_answer(record)
 
     def outcome(self, ticket_text: str, request_id: RequestId) -> Outcome:
-        """Tell what became of a request whose ticket is ours.
+        """Return the outcome of a request whose ticket was issued here.
 
         Raises TicketError, TicketExpired, OutcomeUnknown.
         """
-        ticket = self._own_ticket(ticket_text)
+        ticket = self._parse_own_ticket(ticket_text)
         record = self._ledger.find(ticket, request_id)
         if record is not None:
             return Outcome(record.stage.value, record.answer)
         if self._wall() >= ticket.expires_at:
             raise errors.TicketExpired(
-                'The ticket has expired and its requests are forgotten.'
+                'The ticket has expired; its outcomes were deleted.'
             )
-        # A try that is still on its way may start it, so this says nothing
-        # for good; a repeat under the same ticket is safe.
+        # An attempt in transit may still start the request, so this outcome is
+        # not final; a retry with the same ticket is safe.
         return Outcome(UNSEEN)
 
-    def _own_ticket(self, text: str | None) -> Ticket:
+    def _parse_own_ticket(self, text: str | None) -> Ticket:
         ticket = ticket_module.parse(text or '')
         if ticket.incarnation != self._incarnation:
-            # The memory that knew this ticket's requests is gone, and one
-            # of them may have run. Running it here could charge twice.
+            # The earlier process lost the records of this ticket; one of its
+            # requests may have run, and a second run could charge twice.
             raise errors.OutcomeUnknown(
                 'The instance that issued the ticket has restarted; an '
-                'earlier try may have run.'
+                'earlier attempt may have run.'
             )
         return ticket
 
-    async def _work(self, call: Call, key: _Key) -> None:
+    async def _execute(self, call: Call, key: _Key) -> None:
         stage, answer = RecordState.UNKNOWN, None
         error = errors.YuccarillError('Internal error; the call may have run.')
         self.active += 1
@@ -139,7 +141,7 @@
                 RecordState.NOT_RUN if failure.not_run else RecordState.UNKNOWN
             )
         except Exception as failure:
-            log.error('Call failed.', cause=repr(failure))
+            log.error('Call failed unexpectedly.', cause=repr(failure))
         finally:
             self.active -= 1
         self._ledger.finish(*key, stage, answer)
@@ -151,38 +153,38 @@
 
     def _wait(self, key: _Key, deadline: Instant) -> defer.Deferred[Answer]:
         waiter: defer.Deferred[Answer] = defer.Deferred(
-            lambda given_up: self._forget(key, given_up)
+            lambda cancelled: self._drop_waiter(key, cancelled)
         )
         self._waiters_by_key[key].append(waiter)
         left = max(0.0, deadline - self._now())
-        return waiter.addTimeout(left, self._clock, _still_running)
+        return waiter.addTimeout(left, self._clock, _raise_still_running)
 
-    def _forget(self, key: _Key, waiter: defer.Deferred[Answer]) -> None:
+    def _drop_waiter(self, key: _Key, waiter: defer.Deferred[Answer]) -> None:
         self._waiters_by_key[key].remove(waiter)
 
     def _wall(self) -> WallTime:
         return WallTime(self._now() + self._wall_offset)
 
 
-def _verdict(record: Record) -> Answer:
+def _final_answer(record: Record) -> Answer:
     if record.answer is not None:
         return record.answer
     match record.stage:
         case RecordState.ANSWERED:
             raise errors.OutcomeUnknown(
-                'The call ran and was answered; the answer is not kept.'
+                'The call ran and was answered; the answer is not stored.'
             )
         case RecordState.NOT_RUN:
             raise errors.NotRun(
-                'The call was refused and has not run; number a new try anew.'
+                'The call was refused and has not run; retry with a new ID.'
             )
         case _:
-            raise errors.OutcomeUnknown('An earlier try may have run.')
+            raise errors.OutcomeUnknown('An earlier attempt may have run.')
 
 
-def _still_running(result: object, seconds: float) -> None:
+def _raise_still_running(result: object, seconds: float) -> None:
     raise errors.OutcomeUnknown(
-        'The call is still running; ask for its outcome.',
+        'The call is still running; query its outcome later.',
         retry_after=REPEAT_SECONDS,
     )
 
