--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/configuration.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/configuration.py
@@ -1,4 +1,4 @@
-"""Apply operators' changes and follow the configuration."""
+"""Apply operators' changes and track the configuration in force."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 log = logs.for_part('config')
 
-SETTLE_AGAIN_SECONDS = 1.0
+RESOLVE_RETRY_SECONDS = 1.0
 MAX_REFUSALS = 100
 
 
@@ -50,7 +50,7 @@
 
 
 class ConfigurationController:
-    """Keep the configuration in force and answer operators about it."""
+    """Apply configuration changes and serve their audit trail."""
 
     def __init__(
         self,
@@ -67,8 +67,8 @@
         self._intake = configuration_intake.ConfigurationIntake(
             blackboard, dissemination, peers, runner, clock
         )
-        # Refused applies cost no write to the platform; each instance keeps
-        # its own last ones, and the log has them all.
+        # Refused changes are not written to the platform: each instance keeps
+        # its latest ones, and the log contains all of them.
         self.refusals: collections.deque[Refusal] = collections.deque(
             maxlen=MAX_REFUSALS
         )
@@ -90,7 +90,7 @@
     def handle(
         self, body: messages.ConfigurationFetch
     ) -> messages.ConfigurationDocument:
-        """Answer a peer that needs the whole document."""
+        """Return the whole configuration document for a peer."""
         return self._intake.document(body)
 
     async def apply(
@@ -100,10 +100,10 @@
         document: object,
         change_id: ChangeId | None = None,
     ) -> apply_module.ApplyResult:
-        """Check a document and make it the next revision.
+        """Validate a document and store it as the next revision.
 
-        The same change id never makes two revisions. Raises as
-        `core.config.apply.apply` does.
+        Idempotent by change id. Raises the errors of
+        `core.config.apply.apply`.
         """
         change_id = change_id or ChangeId(uuid.uuid4().hex)
         try:
@@ -119,14 +119,14 @@
                 apply_module.apply(request, self._blackboard.snapshot), request
             )
         except errors.YuccarillError as error:
-            self._note_refusal(author, base, change_id, error)
+            self._record_refusal(author, base, change_id, error)
             raise
 
     async def audit(self, last: Revision | None = None) -> documents.AuditPage:
-        """Return a page of the audit trail, the newest if none is named.
+        """Return the audit page that ends at a revision, or the newest one.
 
-        The page before it ends with its `previous`. Raises
-        StoreUnavailable, or RequestError if there is no such page.
+        The previous page ends at `previous` of the page. Raises
+        StoreUnavailable, or RequestError if the page does not exist.
         """
         if last is not None:
             return await self._runner.run(documents.read_page(last))
@@ -143,7 +143,7 @@
         try:
             result: apply_module.ApplyResult = await self._runner.run(decision)
         except errors.ApplyOutcomeUnknown:
-            defer.ensureDeferred(self._settle_later(request))
+            defer.ensureDeferred(self._resolve_later(request))
             raise
         if result.head.changes:
             self._dissemination.publish(
@@ -158,13 +158,13 @@
         )
         return result
 
-    async def _settle_later(self, request: apply_module.ApplyRequest) -> None:
-        # The operator was told that the outcome is unknown. Until the head's
-        # version moves, the lost write could still arrive; fencing it as
-        # soon as the service answers keeps that time short.
+    async def _resolve_later(self, request: apply_module.ApplyRequest) -> None:
+        # The operator got "outcome unknown": the lost write can still arrive
+        # until the version of the head changes. Fencing it as soon as the
+        # store answers shortens that time.
         while True:
             await task.deferLater(
-                self._clock, SETTLE_AGAIN_SECONDS, lambda: None
+                self._clock, RESOLVE_RETRY_SECONDS, lambda: None
             )
             try:
                 await self._runner.run(
@@ -174,17 +174,18 @@
                 continue
             except errors.YuccarillError as error:
                 log.info(
-                    'Unknown change settled: not applied.',
+                    'Unknown change outcome resolved: not applied.',
                     change_id=request.change_id,
                     cause=error.message,
                 )
                 return
             log.info(
-                'Unknown change settled: applied.', change_id=request.change_id
+                'Unknown change outcome resolved: applied.',
+                change_id=request.change_id,
             )
             return
 
-    def _note_refusal(
+    def _record_refusal(
         self,
         author: str,
         base: Revision,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/configuration_intake.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/configuration_intake.py
@@ -32,31 +32,31 @@
 log = logs.for_part('config')
 
 RETRY_SECONDS = 0.5
-# Waits between tries to fetch a document; they double up to the most.
-CATCH_UP_SECONDS = 0.2
-CATCH_UP_MOST_SECONDS = 2.0
+# Delays between fetch attempts double from the minimum to the maximum.
+CATCH_UP_MIN_SECONDS = 0.2
+CATCH_UP_MAX_SECONDS = 2.0
 FETCH_SECONDS = 0.8
-PEERS_A_FETCH = 2
-# Rounds of asking peers before an instance that is no watcher asks the
-# platform.
-PEER_ROUNDS = 3
+PEERS_PER_FETCH = 2
+# Fetch rounds after which an instance that is no watcher loads from the
+# platform as well.
+PEER_ONLY_ROUNDS = 3
 PEERS_AT_START = 5
 
 
-def _catch_up_wait(rounds: int) -> float:
-    # A document that this program can't read stays one. Asking for it five
-    # times a second, all instances would load the platform past its rate.
-    return min(CATCH_UP_MOST_SECONDS, CATCH_UP_SECONDS * 2**rounds)
+def _catch_up_delay(rounds: int) -> float:
+    # Without backoff, a document that this program version can not read would
+    # make all instances exceed the platform's rate limit.
+    return min(CATCH_UP_MAX_SECONDS, CATCH_UP_MIN_SECONDS * 2**rounds)
 
 
 def to_record(head: Head) -> Record:
-    """Return what instances pass on of a head."""
+    """Return the record by which instances disseminate a head."""
     body = head_module.encode(head_module.trim_for_peers(head))
     return Record(head_module.HEAD_KEY, head.revision, body)
 
 
 def from_entry(_: str, entry: Entry) -> Record | None:
-    """Make a record of the head's key, versioned by its revision."""
+    """Return the head as a record, versioned by its revision."""
     if entry.is_absent:
         return None
     head = head_module.decode(entry.value)
@@ -64,7 +64,7 @@
 
 
 class ConfigurationIntake:
-    """Follow heads by deltas and fetch whole documents over gaps."""
+    """Apply configuration deltas and fetch whole documents after gaps."""
 
     def __init__(
         self,
@@ -82,10 +82,10 @@
         self._follower = follower.Follower()
         self._gate = startup_gate.StartupGate()
         self._is_catching_up = False
-        dissemination.subscribe(head_module.HEAD_KEY, self._take_record)
+        dissemination.subscribe(head_module.HEAD_KEY, self._handle_record)
 
     async def start(self) -> None:
-        """Ask the platform and peers until one of them has answered."""
+        """Load the configuration from the platform or from peers."""
         while self._blackboard.snapshot is None:
             loaded = await self._load()
             if loaded is not None:
@@ -93,37 +93,41 @@
                 if loaded.head.changes:
                     self._dissemination.publish(to_record(loaded.head))
                 self._put_in_force()
-                # Whatever is applied from now on comes as a record.
+                # Later changes arrive as disseminated records.
                 return
-            self._gate.record_peer_answers(await self._ask_peers())
+            self._gate.record_peer_answers(await self._poll_peers())
             self._put_in_force()
             await self._sleep(RETRY_SECONDS)
 
     def document(
-        self, asked: messages.ConfigurationFetch
+        self, partners: messages.ConfigurationFetch
     ) -> messages.ConfigurationDocument:
-        """Return the configuration held, for a peer that lacks it."""
+        """Return the configuration of this instance, for a peer."""
         held = self._follower.snapshot
-        if held is None or held.revision <= asked.above:
-            raise errors.NoConfiguration('No newer configuration is held.')
+        if held is None or held.revision <= partners.above:
+            raise errors.NoConfiguration(
+                'This instance has no newer configuration.'
+            )
         return messages.ConfigurationDocument(
             change=msgspec.json.encode(held.change),
             inventory=reader.to_json(held.inventory),
         )
 
-    def _take_record(self, record: Record) -> None:
+    def _handle_record(self, record: Record) -> None:
         try:
-            offered = self._follower.offer(head_module.decode(record.body))
+            outcome = self._follower.offer(head_module.decode(record.body))
         except msgspec.MsgspecError as error:
-            log.error('Head not read.', cause=str(error))
-            offered = follower.OfferOutcome.GAP
+            log.error(
+                'Configuration head can not be decoded.', cause=str(error)
+            )
+            outcome = follower.OfferOutcome.GAP
         self._put_in_force()
-        if offered is follower.OfferOutcome.GAP and not self._is_catching_up:
+        if outcome is follower.OfferOutcome.GAP and not self._is_catching_up:
             self._is_catching_up = True
             defer.ensureDeferred(self._catch_up())
 
     @property
-    def _known(self) -> int:
+    def _known_revision(self) -> int:
         record = self._dissemination.newest(head_module.HEAD_KEY)
         return 0 if record is None else record.version
 
@@ -133,7 +137,7 @@
         if held is None or held is current:
             return
         if current is None and not self._gate.is_ready(
-            held.revision, self._known
+            held.revision, self._known_revision
         ):
             return
         self._blackboard.snapshot = held
@@ -142,25 +146,25 @@
     async def _catch_up(self) -> None:
         try:
             rounds = 0
-            while self._follower.revision < self._known:
+            while self._follower.revision < self._known_revision:
                 is_found = await self._fetch_from_peers()
-                # A change too large for a delta leaves everybody with a gap
-                # at once. If all turned to the platform, it would answer
-                # two calls an instance; the watchers fetch it for the rest.
+                # A change too large for a delta leaves a gap on all instances
+                # at once; only watchers load it from the platform, to limit
+                # its load. The others fetch it from watchers.
                 if not is_found and self._may_load(rounds):
                     await self._load()
                 self._put_in_force()
                 rounds += 1
-                if self._follower.revision < self._known:
-                    await self._sleep(_catch_up_wait(rounds))
+                if self._follower.revision < self._known_revision:
+                    await self._sleep(_catch_up_delay(rounds))
         finally:
             self._is_catching_up = False
 
     def _may_load(self, rounds: int) -> bool:
-        return self._dissemination.is_watcher or rounds >= PEER_ROUNDS
+        return self._dissemination.is_watcher or rounds >= PEER_ONLY_ROUNDS
 
     async def _fetch_from_peers(self) -> bool:
-        for peer in self._dissemination.sources()[:PEERS_A_FETCH]:
+        for peer in self._dissemination.sources()[:PEERS_PER_FETCH]:
             try:
                 reply = await self._peers.request(
                     peer,
@@ -172,10 +176,14 @@
                 )
                 inventory = reader.from_json(reply.inventory)
             except (errors.YuccarillError, msgspec.MsgspecError) as error:
-                log.debug('Not fetched.', peer=peer.id, cause=str(error))
+                log.debug(
+                    'Configuration not fetched from peer.',
+                    peer=peer.id,
+                    cause=str(error),
+                )
                 continue
             self._install(change, inventory)
-            if self._follower.revision >= self._known:
+            if self._follower.revision >= self._known_revision:
                 return True
         return False
 
@@ -196,23 +204,26 @@
         change: head_module.Change,
         inventory: inventory_module.Inventory,
     ) -> None:
-        offered = self._follower.install(change, inventory)
-        if offered is follower.OfferOutcome.GAP:
+        outcome = self._follower.install(change, inventory)
+        if outcome is follower.OfferOutcome.GAP:
             log.error(
-                'Document does not fit its digest; run one version of the '
-                'program everywhere.',
+                'Document does not match its digest; run the same program '
+                'version on all instances.',
                 revision=change.revision,
             )
 
-    async def _ask_peers(self) -> int:
-        asked = self._dissemination.partners()[:PEERS_AT_START]
+    async def _poll_peers(self) -> int:
+        partners = self._dissemination.partners()[:PEERS_AT_START]
         results = await defer.DeferredList(
-            [defer.ensureDeferred(self._ask(peer)) for peer in asked],
+            [
+                defer.ensureDeferred(self._exchange_with(peer))
+                for peer in partners
+            ],
             consumeErrors=True,
         )
         return sum(answered for _, answered in results)
 
-    async def _ask(self, peer: Instance) -> bool:
+    async def _exchange_with(self, peer: Instance) -> bool:
         try:
             await self._dissemination.exchange_with(peer)
         except errors.YuccarillError:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/decisions.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/decisions.py
@@ -1,4 +1,4 @@
-"""Run decisions that wait for the key-value service."""
+"""Run decision procedures against the key-value store."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 
 
 class DecisionRunner:
-    """Carry out a decision's actions and return its result."""
+    """Execute the store actions that a decision procedure yields."""
 
     def __init__(self, key_value: KeyValueAdapter, clock: Any) -> None:
         self._key_value = key_value
         self._clock = clock
 
     async def run(self, decision: store_actions.StoreProcedure[Any]) -> Any:
-        """Run a decision to its end; raises what it raises."""
+        """Run a decision to its end; errors that it raises propagate."""
         outcome: store_actions.Outcome = None
         while True:
             try:
                 action = decision.send(outcome)
             except StopIteration as end:
                 return end.value
-            outcome = await self._act(action)
+            outcome = await self._execute(action)
 
-    async def _act(
+    async def _execute(
         self, action: store_actions.Action
     ) -> store_actions.Outcome:
         try:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/disk_store.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/disk_store.py
@@ -1,4 +1,4 @@
-"""Keep other instances' samples on the disk of this one."""
+"""Store samples of other instances on the local disk."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 
 log = logs.for_part('storage')
 
-# Batches that arrive within this time share one sync of the disk.
+# Batches that arrive within this time share one disk sync.
 SYNC_SECONDS = 0.02
-TIDY_SECONDS = 60.0
-# A reply stays well below the longest frame between instances.
+REFRESH_SECONDS = 60.0
+# Well below the maximum frame size between instances.
 MAX_REPLY_BYTES = 4 << 20
 MAX_SWAPS = 8
 
 
 class DiskStore:
-    """Answer requests to keep, return and forget samples."""
+    """Answer requests to store, return and delete samples."""
 
     def __init__(
         self, disk_log: DiskLog, ledger: StepLedger, clock: Any = reactor
@@ -43,10 +43,10 @@
         self._log = disk_log
         self._ledger = ledger
         self._clock = clock
-        self._waiting: list[defer.Deferred[None]] = []
+        self._pending: list[defer.Deferred[None]] = []
 
     async def handle(self, body: messages.DiskRequest) -> messages.Body:
-        """Answer one request.
+        """Answer a peer's request.
 
         Raises DiskFull.
         """
@@ -57,7 +57,7 @@
                 names = self._log.versions_by_id(trainer, step)
                 return messages.SamplesListed(ids=tuple(names))
             case messages.SamplesRead():
-                return self._found(body)
+                return self._read_samples(body)
             case messages.SamplesDrop(trainer=trainer, step=step):
                 self._log.drop(trainer, step)
         return messages.Done()
@@ -65,17 +65,17 @@
     async def follow(self) -> None:
         """Drop the samples of closed steps until the process ends.
 
-        A holder asks for it when it closes a step; a request that was lost,
-        or a step that came back from the disk at a restart, is met here.
+        Covers steps whose SamplesDrop request was lost and closed steps
+        that a restart loaded from the disk.
         """
         while True:
             try:
-                await self.tidy()
+                await self.drop_closed()
             except errors.StoreUnavailable as error:
-                log.warning('Closed steps not known.', cause=error.message)
-            await task.deferLater(self._clock, TIDY_SECONDS, lambda: None)
+                log.warning('Trainer progress not read.', cause=error.message)
+            await task.deferLater(self._clock, REFRESH_SECONDS, lambda: None)
 
-    async def tidy(self) -> None:
+    async def drop_closed(self) -> None:
         """Drop the samples of closed steps.
 
         Raises StoreUnavailable.
@@ -100,26 +100,28 @@
                 for sample in body.samples
             ]
         )
-        if not self._waiting:
+        if not self._pending:
             self._clock.callLater(SYNC_SECONDS, self._sync)
         done: defer.Deferred[None] = defer.Deferred()
-        self._waiting.append(done)
+        self._pending.append(done)
         await done
 
     def _sync(self) -> None:
-        waiting, self._waiting = self._waiting, []
+        pending, self._pending = self._pending, []
         outcome: Any = None
         try:
             self._log.sync()
         except OSError as error:
-            outcome = errors.DiskFull(f'The disk failed: {error}.')
-        for done in waiting:
+            outcome = errors.DiskFull(f'Syncing the disk failed: {error}.')
+        for done in pending:
             if outcome is None:
                 done.callback(None)
             else:
                 done.errback(outcome)
 
-    def _found(self, body: messages.SamplesRead) -> messages.SamplesFound:
+    def _read_samples(
+        self, body: messages.SamplesRead
+    ) -> messages.SamplesFound:
         found: list[messages.KeptSample] = []
         size = 0
         for name in body.ids:
@@ -136,7 +138,7 @@
 
 
 class DiskRegistry:
-    """Know which instances keep samples, by one key of the store."""
+    """Track the disk instances, listed under one key of the store."""
 
     def __init__(
         self,
@@ -150,24 +152,24 @@
         self._disks_by_id: dict[InstanceId, Disk] = {}
 
     def known(self) -> list[Disk]:
-        """Return the disks as last read."""
+        """Return the disks of the last refresh."""
         return list(self._disks_by_id.values())
 
     def usable(self) -> set[InstanceId]:
-        """Return the instances that may be given new samples."""
+        """Return the instances that can store new samples."""
         return {instance.id for instance in self._membership.live()}
 
-    async def follow(self, mine: Disk | None) -> None:
-        """Enter this instance's disk and read the others' until the end."""
+    async def follow(self, own: Disk | None) -> None:
+        """Register the own disk, if any, and refresh the list periodically."""
         while True:
             try:
-                await self.refresh(mine)
+                await self.refresh(own)
             except errors.PlatformError as error:
-                log.warning('Disks not read.', cause=error.message)
-            await task.deferLater(self._clock, TIDY_SECONDS, lambda: None)
+                log.warning('Disk list not read.', cause=error.message)
+            await task.deferLater(self._clock, REFRESH_SECONDS, lambda: None)
 
-    async def refresh(self, mine: Disk | None = None) -> None:
-        """Read the disks, entering this instance's if it is missing.
+    async def refresh(self, own: Disk | None = None) -> None:
+        """Read the disk list and register the own disk if it is missing.
 
         Raises StoreUnavailable.
         """
@@ -175,9 +177,9 @@
             entry = await self._key_value.get(replicas.DISKS_KEY)
             disks = _decode(entry.value)
             self._disks_by_id = {disk.instance: disk for disk in disks}
-            if mine is None or self._disks_by_id.get(mine.instance) == mine:
+            if own is None or self._disks_by_id.get(own.instance) == own:
                 return
-            self._disks_by_id[mine.instance] = mine
+            self._disks_by_id[own.instance] = own
             value = msgspec.json.encode(list(self._disks_by_id.values()))
             try:
                 await self._key_value.swap(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/dissemination.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/dissemination.py
@@ -1,4 +1,4 @@
-"""Spread versioned records from a few watchers to every instance."""
+"""Disseminate versioned records from watchers to all instances."""
 
 from __future__ import annotations
 
@@ -27,23 +27,23 @@
 log = logs.for_part('dissemination')
 
 RETRY_SECONDS = 0.5
-# Between two exchanges of versions; a lost copy is made good within three
-# of them even if the first partners do not answer.
+# Interval between version exchanges; a lost record is recovered within three
+# of them, even if the first partners do not answer.
 EXCHANGE_MIN_SECONDS = 0.5
 EXCHANGE_MAX_SECONDS = 1.0
 SEND_SECONDS = 0.5
-PARTNERS_A_ROUND = 3
+PARTNERS_PER_ROUND = 3
 
 
 def from_entry(key: str, entry: Entry) -> Record | None:
-    """Make a record of a platform key, versioned as the platform does."""
+    """Return a platform key's value as a record of the same version."""
     if entry.is_absent:
         return None
     return Record(key, entry.version, entry.value)
 
 
 class DisseminationController:
-    """Publish records, pass them on and hand them to subscribers."""
+    """Publish and forward records and notify their subscribers."""
 
     def __init__(
         self,
@@ -59,18 +59,18 @@
         self._generator = generator
         self._clock = clock
         self._callbacks_by_key: dict[str, list[Callable[[Record], None]]] = {}
-        self._waiting_for_duty: list[defer.Deferred[None]] = []
+        self._waiting_for_watch: list[defer.Deferred[None]] = []
         self._disseminator = disseminator.Disseminator(
             me, membership.live, generator
         )
 
     @property
     def is_watcher(self) -> bool:
-        """Tell whether this instance watches keys for its data centre."""
+        """Return whether this instance watches keys for its data centre."""
         return self._disseminator.position.is_watcher
 
     def partners(self) -> list[Instance]:
-        """Return the few peers to ask, in an order drawn anew."""
+        """Return the exchange partners in random order."""
         return self._disseminator.exchange_order()
 
     def sources(self) -> list[Instance]:
@@ -78,11 +78,11 @@
         return self._disseminator.fetch_order()
 
     def publish(self, record: Record) -> None:
-        """Spread a record that was made here."""
-        self._pass_on(record, self._disseminator.publish(record))
+        """Disseminate a record created by this instance."""
+        self._forward(record, self._disseminator.publish(record))
 
     def subscribe(self, key: str, callback: Callable[[Record], None]) -> None:
-        """Call back with each newer record of a key, and a known one."""
+        """Call back with the known record of a key and each newer one."""
         self._callbacks_by_key.setdefault(key, []).append(callback)
         known = self._disseminator.records.get(key)
         if known is not None:
@@ -97,28 +97,28 @@
         key: str,
         to_record: Callable[[str, Entry], Record | None] = from_entry,
     ) -> None:
-        """Watch a platform key for as long as it is this one's duty."""
+        """Watch a platform key whenever this instance is a watcher."""
         version = 0
         while True:
-            await self._until_watcher()
+            await self._wait_until_watcher()
             try:
                 entry = await self._key_value.watch(key, version)
             except errors.StoreUnavailable as error:
-                log.warning('Key not watched.', key=key, cause=error.message)
+                log.warning('Key watch failed.', key=key, cause=error.message)
                 await self._sleep(RETRY_SECONDS)
                 continue
             version = entry.version
             try:
                 record = to_record(key, entry)
             except ValueError as error:
-                # One value that can't be read must not end the watch.
-                log.error('Value not read.', key=key, cause=str(error))
+                # A malformed value must not end the watch.
+                log.error('Value is malformed.', key=key, cause=str(error))
                 continue
             if record is not None:
                 self.receive(record)
 
     async def follow(self) -> None:
-        """Compare versions with partners until the process ends."""
+        """Exchange versions with partners periodically."""
         while True:
             await self.exchange()
             self._start_watches()
@@ -129,19 +129,19 @@
             )
 
     async def exchange(self) -> bool:
-        """Compare versions with one partner; tell whether one answered."""
-        for partner in self.partners()[:PARTNERS_A_ROUND]:
+        """Exchange with one partner; return whether any answered."""
+        for partner in self.partners()[:PARTNERS_PER_ROUND]:
             try:
                 await self.exchange_with(partner)
                 return True
             except errors.YuccarillError:
-                # The next partner is asked at once: a wait for the next
-                # round would add up past the time promised.
+                # Asking the next partner only in the next round would exceed
+                # the promised propagation time.
                 continue
         return False
 
     async def exchange_with(self, partner: Instance) -> None:
-        """Compare versions with a partner and level them.
+        """Exchange newer records with a partner in both directions.
 
         Raises NotRun or PeerUnavailable.
         """
@@ -161,23 +161,23 @@
     def handle(
         self, body: messages.RecordOffer | messages.RecordExchange
     ) -> messages.Body:
-        """Answer a peer."""
+        """Answer a peer's offer or exchange request."""
         match body:
             case messages.RecordOffer(records=records):
                 for record in records:
                     self.receive(record)
                 return messages.Done()
-            case messages.RecordExchange(versions_by_key=theirs):
-                found = self._disseminator.records.compare(theirs)
+            case messages.RecordExchange(versions_by_key=versions_by_key):
+                found = self._disseminator.records.compare(versions_by_key)
                 return messages.RecordExchanged(
                     records=found.newer_here, wanted=found.newer_there
                 )
 
     def receive(self, record: Record) -> None:
-        """Take a record if it is newer and pass it on."""
-        self._pass_on(record, self._disseminator.receive(record))
+        """Store and forward a record if it is newer."""
+        self._forward(record, self._disseminator.receive(record))
 
-    def _pass_on(
+    def _forward(
         self, record: Record, receivers: list[Instance] | None
     ) -> None:
         if receivers is None:
@@ -193,25 +193,27 @@
         try:
             callback(record)
         except Exception as error:
-            log.error('Record not used.', key=record.key, cause=repr(error))
+            log.error(
+                'Record callback failed.', key=record.key, cause=repr(error)
+            )
 
     async def _send(self, receiver: Instance, record: Record) -> None:
         offer = messages.RecordOffer(records=(record,))
         try:
             await self._peers.request(receiver, offer, SEND_SECONDS)
         except Exception as error:
-            # The receiver's other parent or its next exchange brings it.
+            # The record also arrives from another parent or an exchange.
             log.debug('Record not sent.', to=receiver.id, cause=repr(error))
 
-    async def _until_watcher(self) -> None:
+    async def _wait_until_watcher(self) -> None:
         while not self.is_watcher:
             waiting: defer.Deferred[None] = defer.Deferred()
-            self._waiting_for_duty.append(waiting)
+            self._waiting_for_watch.append(waiting)
             await waiting
 
     def _start_watches(self) -> None:
         if self.is_watcher:
-            started, self._waiting_for_duty = self._waiting_for_duty, []
+            started, self._waiting_for_watch = self._waiting_for_watch, []
             for waiting in started:
                 waiting.callback(None)
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/finishing.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/finishing.py
@@ -1,4 +1,4 @@
-"""Score generated samples and have disks keep them."""
+"""Score generated samples and store them on disk instances."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
     from yuccarill.daemon.adapters.scorer import ScorerAdapter
     from yuccarill.daemon.controllers.sample_store import SampleStore
 
-SCORE_TRIES = 8
+MAX_SCORE_ATTEMPTS = 8
 SCORE_RETRY_SECONDS = 0.5
 
 
 class SampleFinisher:
-    """Carry samples from their last token to the disks."""
+    """Score and store samples whose generation is complete."""
 
     def __init__(
         self,
@@ -42,21 +42,21 @@
         self._stages_by_work: dict[StepWork, dict[Place, SampleStage]] = (
             collections.defaultdict(dict)
         )
-        # Samples that are scored or stored right now.
+        # Number of samples being scored or stored.
         self.active = 0
 
     def stages_by_place(self, work: StepWork) -> dict[Place, SampleStage]:
-        """Return how far the samples are that have all their tokens."""
+        """Return the stages of the completely generated samples."""
         return self._stages_by_work.get(work, {})
 
-    def end(self, work: StepWork) -> None:
-        """Forget a step that needs nothing more."""
+    def forget(self, work: StepWork) -> None:
+        """Discard the state of a step that is finished or closed."""
         self._stages_by_work.pop(work, None)
 
     async def finish(self, work: StepWork, sample: Sample) -> bool:
-        """Fill a sample's place; return False if its step closed meanwhile.
+        """Score and store a sample; return False if its step was closed.
 
-        Raises GroupFailed if the scorer gave no score.
+        Raises GroupFailed if the scorer returned no score.
         """
         place = sample_module.place_of(sample.id)
         stages_by_place = self._stages_by_work[work]
@@ -76,11 +76,11 @@
             stages_by_place.pop(place, None)
 
     async def _score(self, work: StepWork, sample: Sample) -> Sample | None:
-        # A scorer that fails or is late is asked again: the tokens stand,
-        # and making them anew would cost far more.
+        # Retries the scorer after a failure or timeout: generating the tokens
+        # again would cost far more.
         place = sample_module.place_of(sample.id)
-        last = 'it was not asked'
-        for number in range(SCORE_TRIES):
+        last_error = 'the scorer was not called'
+        for attempt_number in range(MAX_SCORE_ATTEMPTS):
             if not work.is_open:
                 return None
             stages_by_place = self._stages_by_work[work]
@@ -91,12 +91,12 @@
                 )
                 return msgspec.structs.replace(sample, score=score)
             except errors.YuccarillError as error:
-                last = error.message
+                last_error = error.message
             stages_by_place[place] = SampleStage.GENERATED
             await task.deferLater(
-                self._clock, SCORE_RETRY_SECONDS * number, lambda: None
+                self._clock, SCORE_RETRY_SECONDS * attempt_number, lambda: None
             )
-        raise errors.GroupFailed(last)
+        raise errors.GroupFailed(last_error)
 
     def _scorer_address(self, work: StepWork) -> str:
         head = self._blackboard.snapshot
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/fresh_samples.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/fresh_samples.py
@@ -1,4 +1,4 @@
-"""Know trainers' newest versions and replace samples too old for them."""
+"""Track trainers' newest versions and replace stale samples."""
 
 from __future__ import annotations
 
@@ -19,26 +19,25 @@
 
 
 class FreshSamples:
-    """Hold steps' samples within their trainers' staleness bounds."""
+    """Enforce the staleness bounds of trainers on the samples of steps."""
 
     def __init__(self, blackboard: Blackboard, maker: SampleMaker) -> None:
         self._blackboard = blackboard
         self._maker = maker
-        # The newest version that each trainer announced, here or, as far
-        # as the store was asked, elsewhere.
+        # The newest version announced to this instance or read from the store.
         self._newest_by_trainer: dict[TrainerId, WeightVersion] = {}
 
     def trainer(self, trainer_id: TrainerId) -> Trainer:
-        """Return a trainer as the configuration in force has it.
+        """Return a trainer of the configuration in force.
 
         Raises NoConfiguration or UnknownTrainer.
         """
-        head = self._blackboard.snapshot
-        if head is None:
+        snapshot = self._blackboard.snapshot
+        if snapshot is None:
             raise errors.NoConfiguration(
-                'No configuration is known yet; try again.', retry_after=1.0
+                'No configuration is loaded yet; try again.', retry_after=1.0
             )
-        for trainer in head.inventory.trainers:
+        for trainer in snapshot.inventory.trainers:
             if trainer.id == trainer_id:
                 return trainer
         raise errors.UnknownTrainer(
@@ -46,22 +45,24 @@
         )
 
     def newest(self, trainer_id: TrainerId) -> WeightVersion:
-        """Return the newest version known of a trainer, 0 if none is."""
+        """Return a trainer's newest known version, or 0 if unknown."""
         return self._newest_by_trainer.get(trainer_id, WeightVersion(0))
 
     def raise_newest(
         self, trainer_id: TrainerId, version: WeightVersion
     ) -> WeightVersion:
-        """Take a version if it is newer; return the newest."""
+        """Record a version if it is newer; return the newest."""
         known = self._newest_by_trainer.get(trainer_id, version)
         self._newest_by_trainer[trainer_id] = max(known, version)
         return self._newest_by_trainer[trainer_id]
 
-    def renew(
+    def replace_stale(
         self, trainer: Trainer, work: StepWork, newest: WeightVersion
     ) -> None:
-        """Drop the samples too old for a version; have them made anew."""
+        """Drop and regenerate the samples that are too old for a version."""
         stale = work.drop_stale(newest, trainer.staleness_bound)
         if stale:
-            log.info('Samples too old.', step=work.step, count=len(stale))
-            self._maker.again(work, stale)
+            log.info(
+                'Stale samples dropped.', step=work.step, count=len(stale)
+            )
+            self._maker.requeue(work, stale)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/leases.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/leases.py
@@ -1,4 +1,4 @@
-"""Hold leases on shards of duties, by calls to the store and to peers."""
+"""Hold leases on shards of duties, using the store and peers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from yuccarill.core.dissemination.record import Record
 from yuccarill.core import errors
 from yuccarill.core.ids import Instant
-from yuccarill.core.leases import lease_manager as keeper_module
+from yuccarill.core.leases import lease_manager as manager_module
 from yuccarill.core.leases import operations
 from yuccarill.core.leases import policy as policy_module
 from yuccarill.core.leases import shards
@@ -40,25 +40,25 @@
 log = logs.for_part('leases')
 
 TICK_SECONDS = 0.25
-# For how long a new instance waits to learn of others before it takes
-# shards as if there were none.
-ALONE_SECONDS = 2.0
+# How long a starting instance waits to discover peers before it acquires
+# shards as the only instance.
+DISCOVERY_SECONDS = 2.0
 PEER_SECONDS = 1.0
-# For how long an invited instance keeps a session for what it is given.
-INVITED_SECONDS = 10.0
+# How long an invited instance keeps a session open for transferred shards.
+INVITE_SECONDS = 10.0
 RELEASE_SECONDS = 6.0
-SHORT_SECONDS = 0.02
+POLL_SECONDS = 0.02
 
 
 def boot_seconds() -> Instant:
-    """Return seconds of a clock that runs on while the machine sleeps."""
-    # The monotonic clock stands still while a machine is suspended. Its
-    # lease would seem unspent on waking, after a successor has begun.
+    """Return seconds of a clock that includes suspended time."""
+    # The monotonic clock stops during suspension: after resuming, a lease
+    # would seem valid although a successor has taken over.
     return Instant(time.clock_gettime(time.CLOCK_BOOTTIME))
 
 
 class LeaseController:
-    """Tell which duties this instance may act on and who holds others."""
+    """Acquire, renew and transfer leases and look up their holders."""
 
     def __init__(
         self,
@@ -81,11 +81,11 @@
         self._clock = clock
         self._now = now
         self._is_store_failing = False
-        self._alone_until = Instant(now() + ALONE_SECONDS)
-        # Duties whose shard stays while they are in the middle of work;
-        # set by those who do the work. A graceful shutdown gives all.
+        self._discovery_until = Instant(now() + DISCOVERY_SECONDS)
+        # Returns the duties whose shards stay here while work is in progress.
+        # A graceful shutdown transfers all shards.
         self.busy_duties: Callable[[], list[str]] = list
-        self._keeper = keeper_module.LeaseManager(
+        self._manager = manager_module.LeaseManager(
             blackboard.own_instance.id,
             incarnation,
             policy or policy_module.LeasePolicy(),
@@ -93,16 +93,16 @@
         )
 
     def epoch_for(self, duty: str) -> Epoch | None:
-        """Return the epoch for an order sent right now, or none.
+        """Return the epoch for an order sent right now, or None.
 
-        Ask right before each order; the answer holds for this turn of the
-        loop only.
+        Call right before each order: the result is valid only for the
+        current iteration of the event loop.
         """
-        return self._keeper.epoch_of(shards.shard_of(duty), self._now())
+        return self._manager.epoch_of(shards.shard_of(duty), self._now())
 
     def holder_of(self, duty: str) -> Instance | None:
-        """Return the instance that holds a duty, as far as known here."""
-        holder = self._keeper.holder_of(shards.shard_of(duty))
+        """Return the instance known to hold a duty, or None."""
+        holder = self._manager.holder_of(shards.shard_of(duty))
         if holder == self._blackboard.own_instance.id:
             return self._blackboard.own_instance
         if holder is None:
@@ -110,77 +110,79 @@
         return self._blackboard.instances_by_id.get(holder)
 
     def held(self) -> list[ShardNumber]:
-        """Return the shards that this instance may act on right now."""
+        """Return the shards with a valid lease of this instance."""
         now = self._now()
         return [
             shard
-            for shard in self._keeper.held()
-            if self._keeper.epoch_of(shard, now) is not None
+            for shard in self._manager.held()
+            if self._manager.epoch_of(shard, now) is not None
         ]
 
     async def follow(self) -> None:
-        """Keep leases until the process ends."""
+        """Maintain leases until the process ends."""
         key = table_module.TABLE_KEY
-        self._dissemination.subscribe(key, self._take_record)
+        self._dissemination.subscribe(key, self._handle_record)
         defer.ensureDeferred(self._dissemination.watch(key)).addErrback(
-            self._broken
+            self._log_failure
         )
         while True:
             self.tick()
             await self._sleep(TICK_SECONDS)
 
     def tick(self) -> None:
-        """Begin all calls that are due."""
+        """Start all store and peer calls that are due."""
         now = self._now()
         live = [instance.id for instance in self._membership.live()]
-        if not live and now < self._alone_until:
+        if not live and now < self._discovery_until:
             return
-        self._keeper.set_live(live)
+        self._manager.set_live(live)
         if self._blackboard.is_leaving:
-            self._keeper.begin_leaving()
-        for operation in self._keeper.next_operations(now):
+            self._manager.begin_leaving()
+        for operation in self._manager.next_operations(now):
             self._spawn(self._run(operation))
-        for ask in self._keeper.due_transfer_requests(now):
-            self._spawn(self._ask(ask))
+        for wanted in self._manager.due_transfer_requests(now):
+            self._spawn(self._request_shards(wanted))
 
     async def handle(
         self, body: messages.LeaseAsk | messages.LeaseInvite
     ) -> messages.Body:
-        """Answer a peer."""
+        """Answer a peer's request for shards or for a session."""
         match body:
             case messages.LeaseInvite():
-                return messages.LeaseSession(session=await self._session())
+                return messages.LeaseSession(
+                    session=await self._open_session()
+                )
             case messages.LeaseAsk():
-                return await self._give(body)
+                return await self._transfer(body)
 
     async def release_all(self) -> None:
-        """Hand all shards over and end the session, on a graceful stop."""
-        heirs_by_shard = self._keeper.next_holders()
-        log.info('Handing shards over.', shards=len(heirs_by_shard))
-        sessions_by_id = await self._invite(set(heirs_by_shard.values()))
-        self._keeper.transfer(
+        """Transfer all shards and close the session, on graceful shutdown."""
+        successors_by_shard = self._manager.next_holders()
+        log.info('Shard transfer started.', shards=len(successors_by_shard))
+        sessions_by_id = await self._invite(set(successors_by_shard.values()))
+        self._manager.transfer(
             {
-                shard: sessions_by_id.get(heir) if heir else None
-                for shard, heir in heirs_by_shard.items()
+                shard: sessions_by_id.get(successor) if successor else None
+                for shard, successor in successors_by_shard.items()
             }
         )
         deadline = self._now() + RELEASE_SECONDS
-        while self._now() < deadline and not self._keeper.close():
+        while self._now() < deadline and not self._manager.close():
             self.tick()
-            await self._sleep(SHORT_SECONDS)
-        log.info('Shards handed over.', left=len(self._keeper.held()))
+            await self._sleep(POLL_SECONDS)
+        log.info('Shard transfer finished.', left=len(self._manager.held()))
 
     async def _run(self, operation: operations.Operation) -> None:
-        version = self._keeper.table.version
-        outcome = await self._call(operation)
+        version = self._manager.table.version
+        outcome = await self._call_store(operation)
         if not isinstance(outcome, operations.Unknown):
             self._is_store_failing = False
-        self._keeper.complete(operation, outcome, self._now())
-        if self._keeper.table.version > version:
+        self._manager.complete(operation, outcome, self._now())
+        if self._manager.table.version > version:
             self._publish()
         self.tick()
 
-    async def _call(
+    async def _call_store(
         self, operation: operations.Operation
     ) -> operations.Outcome:
         try:
@@ -195,106 +197,118 @@
         except errors.StoreConflict:
             return operations.Conflict()
         except Exception as error:
-            # A call that never completed would keep its lane for good, and
-            # the session would lapse: any failure counts as not known.
-            self._note_failure(operation, error)
+            # Any failure counts as an unknown outcome: an operation that never
+            # completes would block later ones, and the session would expire.
+            self._log_store_error(operation, error)
             return operations.Unknown()
 
-    def _note_failure(
+    def _log_store_error(
         self, operation: operations.Operation, error: Exception
     ) -> None:
-        # Calls are tried again several times a second in an outage.
+        # Logs only the first failure of an outage.
         if not self._is_store_failing:
             log.warning(
-                'Store call not known to have worked; trying on.',
+                'Outcome of a store call is unknown; retrying.',
                 step=operation.step.value,
                 cause=str(error),
             )
         self._is_store_failing = True
 
-    async def _ask(self, ask: keeper_module.TransferRequest) -> None:
-        holder = self._blackboard.instances_by_id.get(ask.holder)
+    async def _request_shards(
+        self, wanted: manager_module.TransferRequest
+    ) -> None:
+        holder = self._blackboard.instances_by_id.get(wanted.holder)
         if holder is None:
             return
         request = messages.LeaseAsk(
             instance=self._blackboard.own_instance.id,
-            session=ask.session,
-            shards=ask.shards,
+            session=wanted.session,
+            shards=wanted.shards,
         )
         try:
             reply = await self._peers.request(holder, request, PEER_SECONDS)
         except errors.YuccarillError as error:
-            log.debug('Shards not given.', by=ask.holder, cause=error.message)
+            log.debug(
+                'Shard transfer request failed.',
+                by=wanted.holder,
+                cause=error.message,
+            )
             return
         for record in reply.records:
             self._dissemination.receive(record)
 
-    async def _give(self, ask: messages.LeaseAsk) -> messages.Body:
+    async def _transfer(self, wanted: messages.LeaseAsk) -> messages.Body:
         busy = frozenset(map(shards.shard_of, self.busy_duties()))
-        given = self._keeper.transfer_requested(
-            Holder(ask.instance, ask.session), ask.shards, busy
+        moving = self._manager.transfer_requested(
+            Holder(wanted.instance, wanted.session), wanted.shards, busy
         )
         deadline = self._now() + PEER_SECONDS / 2
-        while self._now() < deadline and set(given) & set(self._keeper.held()):
+        while self._now() < deadline and set(moving) & set(
+            self._manager.held()
+        ):
             self.tick()
-            await self._sleep(SHORT_SECONDS)
+            await self._sleep(POLL_SECONDS)
         return messages.RecordOffer(records=(self._record(),))
 
-    async def _session(self) -> SessionId | None:
+    async def _open_session(self) -> SessionId | None:
         deadline = self._now() + PEER_SECONDS / 2
-        self._keeper.keep_session_open(Instant(self._now() + INVITED_SECONDS))
+        self._manager.keep_session_open(Instant(self._now() + INVITE_SECONDS))
         while self._now() < deadline:
             self.tick()
-            session = self._keeper.usable_session(self._now())
+            session = self._manager.usable_session(self._now())
             if session is not None:
                 return session
-            await self._sleep(SHORT_SECONDS)
+            await self._sleep(POLL_SECONDS)
         return None
 
     async def _invite(
-        self, heirs: set[InstanceId | None]
+        self, successors: set[InstanceId | None]
     ) -> dict[InstanceId, Holder]:
         instances = [
             instance
             for instance in self._membership.live()
-            if instance.id in heirs
+            if instance.id in successors
         ]
         found = await defer.gatherResults(
             [defer.ensureDeferred(self._invite_one(i)) for i in instances]
         )
         return {holder.instance: holder for holder in found if holder}
 
-    async def _invite_one(self, heir: Instance) -> Holder | None:
+    async def _invite_one(self, successor: Instance) -> Holder | None:
         try:
             reply = await self._peers.request(
-                heir, messages.LeaseInvite(), PEER_SECONDS
+                successor, messages.LeaseInvite(), PEER_SECONDS
             )
         except errors.YuccarillError as error:
-            log.warning('No heir.', instance=heir.id, cause=error.message)
+            log.warning(
+                'Instance did not accept a shard transfer.',
+                instance=successor.id,
+                cause=error.message,
+            )
             return None
         if reply.session is None:
             return None
-        return Holder(heir.id, reply.session)
+        return Holder(successor.id, reply.session)
 
     def _publish(self) -> None:
         self._dissemination.publish(self._record())
 
     def _record(self) -> Record:
-        tables = self._keeper.table
+        table = self._manager.table
         return Record(
             table_module.TABLE_KEY,
-            tables.version,
-            table_module.encode(tables.table),
+            table.version,
+            table_module.encode(table.table),
         )
 
-    def _take_record(self, record: Record) -> None:
-        self._keeper.offer_table(record.version, record.body)
+    def _handle_record(self, record: Record) -> None:
+        self._manager.offer_table(record.version, record.body)
 
     def _spawn(self, work: Any) -> None:
-        defer.ensureDeferred(work).addErrback(self._broken)
+        defer.ensureDeferred(work).addErrback(self._log_failure)
 
-    def _broken(self, failure: object) -> None:
-        log.error('A lease call failed.', cause=str(failure)[:500])
+    def _log_failure(self, failure: object) -> None:
+        log.error('Lease task failed.', cause=str(failure)[:500])
 
     def _sleep(self, seconds: float) -> defer.Deferred[None]:
         return task.deferLater(self._clock, seconds, lambda: None)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/membership.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/membership.py
@@ -1,4 +1,4 @@
-"""Know which instances there are and which may be given work."""
+"""Track the member instances and which can take new work."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class MembershipController:
-    """Keep a view of the members and show it on the blackboard."""
+    """Maintain the view of members and publish it to the blackboard."""
 
     def __init__(
         self,
@@ -48,14 +48,14 @@
         self._blackboard = blackboard
         self._instance_list = instance_list
         self._clock = clock
-        self._chance = random.Random(incarnation)
+        self._random = random.Random(incarnation)
         me = member_module.from_instance(
             blackboard.own_instance, incarnation, int(time.time() * 1000)
         )
         self._view = view_module.View(me)
-        self._listing = list_merger.ListMerger(self._view)
+        self._list_merger = list_merger.ListMerger(self._view)
         self._probes = probing.ProbeController(
-            self._view, peers, self._chance, clock
+            self._view, peers, self._random, clock
         )
         self._read_at = Instant(clock.seconds())
         self._was_reader = False
@@ -64,66 +64,65 @@
         self._live: list[Instance] = []
         self._is_reading = False
         self._is_list_down = False
-        self._shown_changes = 0
+        self._published_changes = 0
 
     async def follow(self) -> None:
-        """Read the list and probe until the process ends."""
-        # Instances started together would all probe at the same instants.
-        await self._pause(self._chance.uniform(0.0, TICK_SECONDS))
+        """Read the instance list and probe members periodically."""
+        # Avoids simultaneous probes by instances started together.
+        await self._pause(self._random.uniform(0.0, TICK_SECONDS))
         while True:
             self.step()
             await self._pause(TICK_SECONDS)
 
     def step(self) -> None:
-        """Read the list if it is due and probe the neighbours once."""
+        """Read the instance list if due and probe each neighbour once."""
         if self._is_read_due():
             defer.ensureDeferred(self._read())
         self._probes.tick()
-        self._show()
+        self._publish_view()
 
     def live(self) -> list[Instance]:
-        """Return the instances that may be given new work.
+        """Return the instances that can take new work.
 
-        The same list as long as nothing changes; not to be altered.
+        The list is cached until the view changes; do not modify it.
         """
-        # Others ask several times a second, and each time would build an
-        # object for each member.
+        # Cached: callers ask several times a second, and each call would
+        # create an object per member.
         if self._live_changes != self._view.change_count:
             self._live_changes = self._view.change_count
             self._live = [m.as_instance() for m in self._view.live()]
         return self._live
 
     def answer_valid_until(self, validity: float) -> WallTime:
-        """Return until when callers may keep an answer given now."""
+        """Return until when callers may cache an answer returned now."""
         valid_until = WallTime(time.time() + validity)
-        # A leaving instance would wait for its own answers without end if
-        # each moved the time until which it has to serve.
+        # A leaving instance serves until its answers expire; extending the
+        # time with each answer would keep it from ever stopping.
         return min(valid_until, self._blackboard.serves_until or valid_until)
 
     def leave(self) -> None:
-        """Tell all instances to give this one no new work."""
+        """Announce to all instances that this one is leaving."""
         self._view.leave()
         self._probes.spread([self._view.me])
-        self._show()
+        self._publish_view()
 
     async def handle(
         self,
         body: messages.Probe | messages.IndirectProbe | messages.ViewRequest,
     ) -> messages.Body:
-        """Answer a peer's question about members."""
+        """Answer a probe or a view request of a peer."""
         match body:
             case messages.Probe():
-                reply = self._probes.take_probe(body)
-                self._show()
+                reply = self._probes.handle_probe(body)
+                self._publish_view()
                 return reply
             case messages.IndirectProbe():
-                return await self._probes.take_indirect(body)
+                return await self._probes.handle_indirect_probe(body)
             case messages.ViewRequest():
-                return self._probes.take_view_request()
+                return self._probes.handle_view_request()
 
     def _is_read_due(self) -> bool:
-        # Ranking the data centre's instances costs more than all the rest
-        # of an idle second; it changes with the view alone.
+        # Ranking instances is expensive and changes only with the view.
         if self._ranked_changes != self._view.change_count:
             self._ranked_changes = self._view.change_count
             is_reader = list_merger.is_reader(self._view)
@@ -138,22 +137,25 @@
         try:
             instances = await self._instance_list.read()
         except errors.StoreUnavailable as error:
-            # The last view stays, corrected by probes.
+            # The last view remains in use, updated by probes.
             if not self._is_list_down:
-                log.warning('List not read; look at it.', cause=error.message)
+                log.warning(
+                    'Instance list not read; check the list.',
+                    cause=error.message,
+                )
             self._is_list_down = True
         else:
             self._is_list_down = False
-            self._probes.spread(self._listing.merge(instances))
-            self._probes.look_again(self._listing.relisted)
+            self._probes.spread(self._list_merger.merge(instances))
+            self._probes.probe_again(self._list_merger.relisted)
         self._is_reading = False
         now = Instant(self._clock.seconds())
-        self._read_at = list_merger.next_read_at(self._view, now, self._chance)
+        self._read_at = list_merger.next_read_at(self._view, now, self._random)
 
-    def _show(self) -> None:
-        if self._shown_changes == self._view.change_count:
+    def _publish_view(self) -> None:
+        if self._published_changes == self._view.change_count:
             return
-        self._shown_changes = self._view.change_count
+        self._published_changes = self._view.change_count
         members = self._view.members_by_id
         self._blackboard.members_by_id = members
         self._blackboard.instances_by_id = {
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/rollouts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/rollouts.py
@@ -222,7 +222,7 @@
     def _renew(
         self, trainer: Trainer, work: StepWork, newest: WeightVersion
     ) -> None:
-        self._fresh_samples.renew(trainer, work, newest)
+        self._fresh_samples.replace_stale(trainer, work, newest)
 
     def _open_work(self, trainer_id: TrainerId) -> list[StepWork]:
         return [
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/sampling.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/sampling.py
@@ -101,7 +101,7 @@
         self._scheduler.open_step(trainer, work)
         self.pump()
 
-    def again(self, work: StepWork, places: Iterable[Place]) -> None:
+    def requeue(self, work: StepWork, places: Iterable[Place]) -> None:
         """Fill places whose samples were dropped."""
         self._scheduler.requeue_places(work, places)
         self.pump()
@@ -109,7 +109,7 @@
     def end(self, work: StepWork) -> None:
         """Cut off what is made for a step that needs nothing more."""
         self._on_change_by_work.pop(work, None)
-        self._finisher.end(work)
+        self._finisher.forget(work)
         self._scheduler.close_step(work)
         self.pump()
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_decider.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_decider.py
@@ -116,7 +116,7 @@
             return True
         trainer = self._fresh_samples.trainer(work.trainer)
         newest = claimed.claim.newest_version
-        self._fresh_samples.renew(trainer, work, newest)
+        self._fresh_samples.replace_stale(trainer, work, newest)
         if not work.is_whole:
             return False
         await self._keep_again(work)
--- a/packages/yuccarill-daemon/tests/controllers/test_rollout_faults.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_rollout_faults.py
@@ -254,7 +254,7 @@
         with self.assertRaises(errors.StepClosed):
             world.run(trainer.holder.submit(TRAINER, request()))
         for disk in world.disks_by_id.values():
-            world.run(disk.store.tidy())
+            world.run(disk.store.drop_closed())
             self.assertEqual([], disk.log.steps())
 
     def _check_attribution(self, sample: Any) -> None:
--- a/packages/yuccarill-daemon/tests/controllers/test_sample_store.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_sample_store.py
@@ -133,12 +133,12 @@
         self.assertEqual([], self.first.log.steps())
         self.assertEqual([], self.second.log.steps())
         self.assertNotEqual([], self.other.log.steps())
-        self.world.run(self.other.store.tidy())
+        self.world.run(self.other.store.drop_closed())
         self.assertEqual([], self.other.log.steps())
 
     def test_open_step_is_not_tidied(self) -> None:
         self.world.run(self.holder.submit(TRAINER, request()))
-        self.world.run(self.other.store.tidy())
+        self.world.run(self.other.store.drop_closed())
         self.assertNotEqual([], self.other.log.steps())
 
     def _manifest(self) -> dict[str, list[str]]:
