--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/attempts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/attempts.py
@@ -279,7 +279,7 @@
         self._result.errback(
             self._last_error
             or errors.NoTarget(
-                f'No other target of {self._call.service} is available.',
+                f'No target of {self._call.service} is available.',
                 retry_after=1.0,
             )
         )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/configuration_intake.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/configuration_intake.py
@@ -100,14 +100,12 @@
             await self._sleep(RETRY_SECONDS)
 
     def document(
-        self, partners: messages.ConfigurationFetch
+        self, request: messages.ConfigurationFetch
     ) -> messages.ConfigurationDocument:
         """Return the configuration of this instance, for a peer."""
         held = self._follower.snapshot
-        if held is None or held.revision <= partners.above:
-            raise errors.NoConfiguration(
-                'This instance has no newer configuration.'
-            )
+        if held is None or held.revision <= request.above:
+            raise errors.NoConfiguration('No newer configuration is known.')
         return messages.ConfigurationDocument(
             change=msgspec.json.encode(held.change),
             inventory=reader.to_json(held.inventory),
@@ -117,9 +115,7 @@
         try:
             outcome = self._follower.offer(head_module.decode(record.body))
         except msgspec.MsgspecError as error:
-            log.error(
-                'Configuration head can not be decoded.', cause=str(error)
-            )
+            log.error('Configuration head is malformed.', cause=str(error))
             outcome = follower.OfferOutcome.GAP
         self._put_in_force()
         if outcome is follower.OfferOutcome.GAP and not self._is_catching_up:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/generations.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/generations.py
@@ -107,7 +107,7 @@
     async def _run(self) -> None:
         tried_ids: frozenset[TargetId] = frozenset()
         last_error: errors.YuccarillError = errors.NoTarget(
-            'No other engine of the model is available.', retry_after=1.0
+            'No engine of the model is available.', retry_after=1.0
         )
         for attempt_number in range(MAX_ATTEMPTS):
             engine = self._queue.choose(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/rollouts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/rollouts.py
@@ -1,4 +1,4 @@
-"""Take trainers' steps and deliver each of them once."""
+"""Accept trainers' steps and deliver one sample set for each."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 
 log = logs.for_part('rollouts')
 
-# Until a leaving holder's shard is worked on by the next one.
+# Time until the next holder takes over the shard of a leaving one.
 HAND_OVER_SECONDS = 1.0
 
 
 class RolloutController:
-    """Hold the steps that this instance works on."""
+    """Run the steps assigned to this instance."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
     async def submit(
         self, trainer_id: TrainerId, request: StepRequest
     ) -> None:
-        """Start a step unless it has been started.
+        """Start a step unless it is already started.
 
         Raises StepClosed, StepConflict or UnknownTrainer.
         """
@@ -84,20 +84,20 @@
                 f'Step {request.step} has {request.size} samples, too many '
                 'for one manifest; split the step.'
             )
-        work = self._begin(trainer, request)
+        work = self._start_work(trainer, request)
         try:
             await self._register(work, request)
         except errors.StoreUnavailable as error:
-            # Samples may be made without the store, only not delivered.
-            # The claim is made up for when the step is fetched.
-            log.warning('Step not claimed yet.', cause=error.message)
+            # Samples can be generated but not delivered without the store. The
+            # next fetch retries the claim.
+            log.warning('Step claim delayed.', cause=error.message)
             work.waits_for = 'the key-value service, to be claimed'
         except errors.RolloutError as error:
             self._forget(work, error)
             raise
 
     async def fetch(self, trainer_id: TrainerId, step: StepNumber) -> bytes:
-        """Return a step's bytes, the same each time.
+        """Return a step's bytes, identical at each fetch.
 
         Raises UnknownStep, StepPending, StepClosed, GroupFailed or
         SamplesLost.
@@ -108,7 +108,7 @@
         return await self._delivery.fetch(work)
 
     def busy_duties(self) -> list[str]:
-        """Return the duties with a step that has no manifest yet."""
+        """Return the duties that have a step without a manifest."""
         return [
             shards.trainer_duty(work.trainer)
             for work in self._work_by_key.values()
@@ -116,43 +116,43 @@
         ]
 
     def open_steps(self, trainer_id: TrainerId) -> tuple[StepNumber, ...]:
-        """Return a trainer's steps that this instance works on."""
+        """Return a trainer's open steps on this instance."""
         return tuple(work.step for work in self._open_work(trainer_id))
 
     def stages(
         self, trainer_id: TrainerId, step: StepNumber
     ) -> collections.Counter[SampleStage]:
-        """Return how many of a step's samples are at each stage here."""
+        """Count a step's samples on this instance by stage."""
         work = self._work_by_key.get((trainer_id, step))
         return self._maker.stages(work) if work else collections.Counter()
 
     async def announce(
         self, trainer_id: TrainerId, version: WeightVersion
     ) -> WeightVersion:
-        """Take a trainer's newest version; what is now too old is made anew.
+        """Record a trainer's newest version and regenerate stale samples.
 
-        Raises StoreUnavailable; the version counts here all the same.
+        Raises StoreUnavailable after applying the version locally.
         """
         trainer = self._trainer(trainer_id)
         newest = self._fresh_samples.raise_newest(trainer_id, version)
         self._maker.raise_newest(trainer_id, newest)
         for work in self._open_work(trainer_id):
-            self._renew(trainer, work, newest)
+            self._replace_stale(trainer, work, newest)
         known = await self._ledger.announce(trainer_id, version)
         return self._fresh_samples.raise_newest(trainer_id, known)
 
     async def acknowledge(
         self, trainer_id: TrainerId, step: StepNumber
     ) -> None:
-        """Close a step that its trainer has taken.
+        """Close a step that its trainer has received.
 
         Raises StepConflict if it has not been delivered, StoreUnavailable.
         """
-        standing = await self._ledger.read(trainer_id, step)
-        if not isinstance(standing, records.Manifest | records.Closed):
+        record = await self._ledger.read(trainer_id, step)
+        if not isinstance(record, records.Manifest | records.Closed):
             raise errors.StepConflict(
                 f'Step {step} has not been delivered; fetch it, or delete '
-                'it to give it up.'
+                'it to abandon it.'
             )
         await self.delete(trainer_id, step)
 
@@ -167,7 +167,7 @@
             self._forget(work, errors.StepClosed(f'Step {step} is closed.'))
         await self._store.drop(trainer_id, step)
 
-    def _begin(self, trainer: Trainer, request: StepRequest) -> StepWork:
+    def _start_work(self, trainer: Trainer, request: StepRequest) -> StepWork:
         key = (trainer.id, request.step)
         work = self._work_by_key.get(key)
         if work is not None and work.error is None:
@@ -178,7 +178,8 @@
             return work
         if self._blackboard.is_leaving:
             raise errors.NotRun(
-                'This instance leaves and starts no step; submit it again.',
+                'This instance is shutting down and starts no step; submit '
+                'it again.',
                 retry_after=HAND_OVER_SECONDS,
             )
         if work is not None:
@@ -188,16 +189,16 @@
         )
         self._work_by_key[key] = work
         log.info('Step started.', trainer=trainer.id, step=request.step)
-        defer.ensureDeferred(self._start(trainer, work))
+        defer.ensureDeferred(self._run_work(trainer, work))
         return work
 
-    async def _start(self, trainer: Trainer, work: StepWork) -> None:
-        # A holder that crashed left what it had finished on the disks.
+    async def _run_work(self, trainer: Trainer, work: StepWork) -> None:
+        # Reuses the samples that a crashed holder stored on disks.
         for finished in await self._store.recover(work.trainer, work.step):
             work.add_sample(finished)
         newest = self._fresh_samples.newest(trainer.id)
         work.drop_stale(newest, trainer.staleness_bound)
-        self._maker.make(trainer, work, self._changed)
+        self._maker.make(trainer, work, self._handle_change)
 
     async def _register(self, work: StepWork, request: StepRequest) -> None:
         if work.is_open and not self._decider.is_claimed(work):
@@ -207,19 +208,19 @@
         if request.newest_version > newest:
             await self.announce(work.trainer, request.newest_version)
 
-    def _changed(self, work: StepWork) -> None:
+    def _handle_change(self, work: StepWork) -> None:
         if work.error is not None:
             log.error('Step failed.', trainer=work.trainer, step=work.step)
             return
         trainer = self._trainer(work.trainer)
         if work.is_open:
             newest = self._fresh_samples.newest(work.trainer)
-            self._renew(trainer, work, newest)
+            self._replace_stale(trainer, work, newest)
 
     def _trainer(self, trainer_id: TrainerId) -> Trainer:
         return self._fresh_samples.trainer(trainer_id)
 
-    def _renew(
+    def _replace_stale(
         self, trainer: Trainer, work: StepWork, newest: WeightVersion
     ) -> None:
         self._fresh_samples.replace_stale(trainer, work, newest)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/sample_store.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/sample_store.py
@@ -1,4 +1,4 @@
-"""Put finished samples on disk instances and get them back."""
+"""Store finished samples on disk instances and load them."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 log = logs.for_part('rollouts')
 
-# Samples that finish within this time share a message and a sync.
+# Samples that finish within this time share a message and a disk sync.
 BATCH_SECONDS = 0.05
 BATCH_BYTES = 1 << 20
 READ_SAMPLES = 512
 
 
 class SampleStore:
-    """Keep each finished sample on two disks of different data centres."""
+    """Store each sample on two disks in different data centres."""
 
     def __init__(
         self, registry: DiskRegistry, ask: AskDisk, clock: Any = reactor
@@ -52,11 +52,11 @@
     async def keep(
         self, trainer: TrainerId, step: StepNumber, finished: Finished
     ) -> tuple[Disk, ...]:
-        """Return the disks that keep a sample once they have confirmed it.
+        """Store a sample; return the disks that confirmed it.
 
-        Fewer than two where fewer can be reached: waiting for a disk that
-        may never come back would stop the trainer, while a sample that is
-        lost before the decision is only made again.
+        Returns fewer than two disks if fewer are reachable: waiting for a
+        lost disk would block the trainer, while a sample lost before the
+        decision is regenerated.
         """
         key = (trainer, step)
         batch = self._batches_by_step.get(key)
@@ -73,13 +73,13 @@
         return kept
 
     def is_kept(self, disks: Iterable[Disk]) -> bool:
-        """Tell whether as many copies stand as the usable disks allow."""
+        """Return whether no usable disk can add a missing copy."""
         return not replicas.choose(
             'any', self._registry.known(), self._registry.usable(), disks
         )
 
     async def load(self, manifest: Manifest) -> dict[SampleId, bytes]:
-        """Return the samples of a manifest that its disks still have."""
+        """Return the samples of a manifest that its disks still store."""
         found: dict[SampleId, bytes] = {}
         for disk in manifest.stored_on:
             missing = [i for i in manifest.sample_ids if i not in found]
@@ -91,12 +91,12 @@
     async def recover(
         self, trainer: TrainerId, step: StepNumber
     ) -> list[Finished]:
-        """Return what the disks keep of a step that is not decided."""
+        """Return the samples of an undecided step that disks store."""
         found: dict[SampleId, Finished] = {}
-        asked = messages.SamplesList(trainer=trainer, step=step)
+        request = messages.SamplesList(trainer=trainer, step=step)
         for disk in self._usable():
             try:
-                listed = await self._ask(disk.instance, asked)
+                listed = await self._ask(disk.instance, request)
             except errors.YuccarillError:
                 continue
             missing = [name for name in listed.ids if name not in found]
@@ -105,13 +105,13 @@
         return list(found.values())
 
     async def drop(self, trainer: TrainerId, step: StepNumber) -> None:
-        """Free a closed step's place; a disk that is away finds out later."""
-        asked = messages.SamplesDrop(trainer=trainer, step=step)
+        """Drop a closed step's samples; unreachable disks do so later."""
+        request = messages.SamplesDrop(trainer=trainer, step=step)
         for disk in self._usable():
             try:
-                await self._ask(disk.instance, asked)
+                await self._ask(disk.instance, request)
             except errors.YuccarillError as error:
-                log.info('Samples not dropped.', cause=error.message)
+                log.info('Samples not deleted from disk.', cause=error.message)
 
     def _usable(self) -> list[Disk]:
         usable = self._registry.usable()
@@ -124,14 +124,16 @@
         position = 0
         while position < len(ids):
             part = tuple(ids[position : position + READ_SAMPLES])
-            asked = messages.SamplesRead(trainer=key[0], step=key[1], ids=part)
+            request = messages.SamplesRead(
+                trainer=key[0], step=key[1], ids=part
+            )
             try:
-                reply = await self._ask(disk, asked)
+                reply = await self._ask(disk, request)
             except errors.YuccarillError as error:
                 log.warning('Samples not read.', disk=disk, cause=str(error))
                 break
             found.extend(reply.samples)
-            # A reply that was full ends before the last name asked for.
+            # A size-limited reply ends before the last requested sample.
             last = reply.samples[-1].id if reply.samples else part[-1]
             position += part.index(last) + 1
         return found
@@ -145,7 +147,7 @@
     async def _keep_batch(
         self, key: StepKey, batch: _Batch
     ) -> tuple[Disk, ...]:
-        asked = messages.SamplesKeep(
+        request = messages.SamplesKeep(
             trainer=key[0],
             step=key[1],
             samples=tuple(
@@ -164,21 +166,21 @@
             )
             if not chosen:
                 return tuple(kept)
-            sent = [self._ask_one(disk, asked, failed) for disk in chosen]
+            sent = [self._ask_one(disk, request, failed) for disk in chosen]
             for disk in await defer.gatherResults(sent):
                 kept.extend([disk] if disk is not None else [])
 
     def _ask_one(
         self,
         disk: Disk,
-        asked: messages.SamplesKeep,
+        request: messages.SamplesKeep,
         failed: set[InstanceId],
     ) -> defer.Deferred[Disk | None]:
         async def ask() -> Disk | None:
             try:
-                await self._ask(disk.instance, asked)
+                await self._ask(disk.instance, request)
             except errors.YuccarillError as error:
-                log.warning('Samples not kept.', disk=disk, cause=str(error))
+                log.warning('Samples not stored.', disk=disk, cause=str(error))
                 failed.add(disk.instance)
                 return None
             return disk
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/sampling.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/sampling.py
@@ -1,4 +1,4 @@
-"""Carry out what the scheduler decides on samples."""
+"""Execute the scheduler's decisions on sample generation."""
 
 from __future__ import annotations
 
@@ -44,16 +44,16 @@
 
 log = logs.for_part('rollouts')
 
-# Of a whole generation; a stream without progress ends much earlier.
+# Per generation; a stalled stream times out much earlier.
 SAMPLE_SECONDS = 600.0
-# Engines serve lower values first; all callers' calls go before samples.
+# Engines serve lower values first; callers have lower ones than samples.
 PRIORITY = 20
-# Engines that rest and attempts that grow old are looked at this often.
+# Interval for rechecking paused engines and aging attempts.
 PUMP_SECONDS = 0.25
 
 
 class SampleMaker:
-    """Fill the places of steps."""
+    """Generate the samples of steps."""
 
     def __init__(
         self,
@@ -81,11 +81,11 @@
 
     @property
     def active(self) -> int:
-        """Return how many samples are generated, scored or stored now."""
+        """Return the number of samples being generated, scored or stored."""
         return self._generating + self._finisher.active
 
     async def follow(self) -> None:
-        """Look after attempts until the process ends."""
+        """Run the scheduler periodically until the process ends."""
         while True:
             self.pump()
             await task.deferLater(self._clock, PUMP_SECONDS, lambda: None)
@@ -96,51 +96,51 @@
         work: StepWork,
         on_change: Callable[[StepWork], None],
     ) -> None:
-        """Begin to fill a step's places; report each change of the work."""
+        """Start generating a step's samples; call back on each change."""
         self._on_change_by_work[work] = on_change
         self._scheduler.open_step(trainer, work)
         self.pump()
 
     def requeue(self, work: StepWork, places: Iterable[Place]) -> None:
-        """Fill places whose samples were dropped."""
+        """Regenerate dropped samples."""
         self._scheduler.requeue_places(work, places)
         self.pump()
 
     def end(self, work: StepWork) -> None:
-        """Cut off what is made for a step that needs nothing more."""
+        """Cancel the attempts of a step that needs no more samples."""
         self._on_change_by_work.pop(work, None)
         self._finisher.forget(work)
         self._scheduler.close_step(work)
         self.pump()
 
     def raise_newest(self, trainer: TrainerId, version: WeightVersion) -> None:
-        """Cut off what is too old for a trainer's newest version."""
+        """Cancel attempts too old for a trainer's newest version."""
         self._scheduler.raise_newest(trainer, version)
         self.pump()
 
     def stages(self, work: StepWork) -> collections.Counter[SampleStage]:
-        """Return how many of a step's samples are at each stage."""
+        """Count a step's samples by stage."""
         plan = self._scheduler.plan_of(work)
-        finishing = self._finisher.stages_by_place(work)
-        return stages.count(work, plan, finishing)
+        finishing_stages = self._finisher.stages_by_place(work)
+        return stages.count(work, plan, finishing_stages)
 
     def pump(self) -> None:
-        """Carry out what the scheduler decides now."""
-        # An attempt may end within the call that starts it and pump again.
+        """Start and cancel attempts as the scheduler decides."""
+        # An attempt that ends at once would run this method recursively.
         if self._is_pumping:
             return
         self._is_pumping = True
         try:
-            engines_by_id = self._set_engines()
+            engines_by_id = self._update_engines()
             while True:
                 orders = self._scheduler.next_orders(self._now())
                 if not orders.start and not orders.cancel:
                     break
-                self._carry_out(orders, engines_by_id)
+                self._execute(orders, engines_by_id)
         finally:
             self._is_pumping = False
 
-    def _carry_out(
+    def _execute(
         self, orders: scheduler.Orders, engines_by_id: dict[TargetId, Engine]
     ) -> None:
         for attempt in orders.cancel:
@@ -148,11 +148,11 @@
             if stream is not None:
                 stream.cancel()
         for attempt in orders.start:
-            self._begin(attempt, engines_by_id[attempt.engine])
+            self._start_attempt(attempt, engines_by_id[attempt.engine])
 
-    def _set_engines(self) -> dict[TargetId, Engine]:
-        head = self._blackboard.snapshot
-        engines = head.inventory.engines if head is not None else ()
+    def _update_engines(self) -> dict[TargetId, Engine]:
+        snapshot = self._blackboard.snapshot
+        engines = snapshot.inventory.engines if snapshot is not None else ()
         ids_by_model: dict[Any, list[TargetId]] = {}
         for engine in engines:
             ids_by_model.setdefault(engine.model, []).append(engine.id)
@@ -160,14 +160,14 @@
             self._scheduler.set_engines(model, ids)
         return {engine.id: engine for engine in engines}
 
-    def _begin(self, attempt: Attempt, engine: Engine) -> None:
-        stream = defer.ensureDeferred(self._run(attempt, engine))
+    def _start_attempt(self, attempt: Attempt, engine: Engine) -> None:
+        stream = defer.ensureDeferred(self._run_attempt(attempt, engine))
         if not stream.called:
             self._streams_by_attempt[attempt] = stream
-        stream.addErrback(self._broken, attempt.plan.work)
+        stream.addErrback(self._handle_error, attempt.plan.work)
         stream.addCallback(lambda _: self.pump())
 
-    async def _run(self, attempt: Attempt, engine: Engine) -> None:
+    async def _run_attempt(self, attempt: Attempt, engine: Engine) -> None:
         work = attempt.plan.work
         in_flight = self._blackboard.in_flight_by_id
         in_flight[engine.id] += 1
@@ -184,26 +184,26 @@
             self._streams_by_attempt.pop(attempt, None)
         if self._scheduler.finish_attempt(attempt, self._now()):
             finished = defer.ensureDeferred(self._finish(attempt))
-            finished.addErrback(self._broken, work)
+            finished.addErrback(self._handle_error, work)
 
     async def _generate(self, attempt: Attempt, engine: Engine) -> None:
         await self._engines.generate(
             engine.address,
             self._request(attempt),
             SAMPLE_SECONDS,
-            functools.partial(self._take_chunk, attempt),
-            functools.partial(self._take_report, attempt),
+            functools.partial(self._handle_chunk, attempt),
+            functools.partial(self._handle_report, attempt),
         )
         if not attempt.spans:
-            raise errors.AnswerCut(f'Engine {engine.id} made no token.')
+            raise errors.AnswerCut(f'Engine {engine.id} returned no token.')
 
     def _request(self, attempt: Attempt) -> dict[str, object]:
         group = attempt.plan.work.request.groups[attempt.place.group]
         return {
-            'request_id': self._name(attempt),
+            'request_id': self._sample_id(attempt),
             'priority': PRIORITY,
             'prompt': group.prompt,
-            # The members of a group differ by their seed alone.
+            # Only the seed differs between the members of a group.
             'seed': attempt.place.member,
             'max_tokens': group.max_tokens,
             'resume_tokens': [
@@ -211,26 +211,28 @@
             ],
         }
 
-    def _take_chunk(self, attempt: Attempt, chunk: Chunk) -> None:
+    def _handle_chunk(self, attempt: Attempt, chunk: Chunk) -> None:
         if chunk.weight_version is None:
-            raise errors.AnswerCut('The engine named no weight version.')
+            raise errors.AnswerCut('The engine sent no weight version.')
         attempt.spans = sample_module.append(
             attempt.spans, chunk.weight_version, chunk.tokens
         )
-        may_go_on = self._scheduler.record_progress(
+        may_continue = self._scheduler.record_progress(
             attempt, chunk.weight_version, len(chunk.tokens), self._now()
         )
-        if not may_go_on:
+        if not may_continue:
             self._clock.callLater(0, self.pump)
 
-    def _take_report(self, attempt: Attempt, report: load.LoadReport) -> None:
+    def _handle_report(
+        self, attempt: Attempt, report: load.LoadReport
+    ) -> None:
         if report.queued:
             self._scheduler.pause_engine(attempt, self._now())
 
     async def _finish(self, attempt: Attempt) -> None:
         work, group = attempt.plan.work, attempt.place.group
         sample = sample_module.Sample(
-            id=self._name(attempt), group=group, spans=attempt.spans
+            id=self._sample_id(attempt), group=group, spans=attempt.spans
         )
         try:
             is_finished = await self._finisher.finish(work, sample)
@@ -248,20 +250,20 @@
         if not work.is_open or work.give_up(group):
             return
         work.error = errors.GroupFailed(
-            f'Group {group} of step {work.step} can not be finished '
+            f'Group {group} of step {work.step} can not be completed '
             f'({cause}); submit the step again or delete it.'
         )
         log.error('Step failed.', trainer=work.trainer, cause=cause)
         self._report(work)
         self.end(work)
 
-    def _broken(self, failure: Any, work: StepWork) -> None:
+    def _handle_error(self, failure: Any, work: StepWork) -> None:
         if failure.check(defer.CancelledError):
             return
-        log.error('Sample broke off.', cause=str(failure)[:500])
+        log.error('Sample failed unexpectedly.', cause=str(failure)[:500])
         if work.is_open:
             work.error = errors.GroupFailed(
-                f'Step {work.step} broke off by a fault of this program.'
+                f'Step {work.step} failed with an internal error.'
             )
 
     def _report(self, work: StepWork) -> None:
@@ -269,7 +271,7 @@
         if on_change is not None:
             on_change(work)
 
-    def _name(self, attempt: Attempt) -> SampleId:
+    def _sample_id(self, attempt: Attempt) -> SampleId:
         work = attempt.plan.work
         return sample_module.sample_id(
             work.trainer,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/shutdown.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/shutdown.py
@@ -1,4 +1,4 @@
-"""Stop an instance without cutting off what is in flight."""
+"""Stop an instance without interrupting requests in flight."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class ShutdownController:
-    """Carry out the steps of one graceful shutdown."""
+    """Execute the steps of a graceful shutdown."""
 
     def __init__(
         self,
@@ -58,37 +58,37 @@
         self.ports: list[Any] = []
 
     async def stop(self) -> shutdown.StopOutcome:
-        """Stop gracefully; asked a second time, end soon."""
+        """Stop gracefully, or shorten a shutdown in progress."""
         if self._shutdown is not None:
-            log.warning('Second signal; ending soon.')
+            log.warning('Second stop signal received; shutdown shortened.')
             self._shutdown.shorten(self._now())
             self._site.is_refusing = True
             self._calls.refuse_waiting()
             return self._shutdown.outcome
-        walk = shutdown.Shutdown(self._policy, self._now())
-        self._shutdown = walk
-        while walk.step is not shutdown.StopStep.ENDED:
-            before = walk.step
-            if walk.advance(self._now(), self._in_flight()) is not before:
-                self._enter(walk)
+        state = shutdown.Shutdown(self._policy, self._now())
+        self._shutdown = state
+        while state.step is not shutdown.StopStep.ENDED:
+            previous = state.step
+            if state.advance(self._now(), self._in_flight()) is not previous:
+                self._start_step(state)
             await self._pause()
         await self._close()
-        log.info('Stopped.', outcome=walk.outcome.value)
-        return walk.outcome
+        log.info('Instance stopped.', outcome=state.outcome.value)
+        return state.outcome
 
-    def _enter(self, walk: shutdown.Shutdown) -> None:
-        log.info('Stop goes on.', step=walk.step.value)
-        match walk.step:
+    def _start_step(self, state: shutdown.Shutdown) -> None:
+        log.info('Shutdown step started.', step=state.step.value)
+        match state.step:
             case shutdown.StopStep.LEAVING:
-                left = walk.serves_until - self._now()
+                left = state.serves_until - self._now()
                 self._blackboard.serves_until = WallTime(time.time() + left)
                 self._blackboard.is_leaving = True
                 self._site.is_leaving = True
                 self._membership.leave()
             case shutdown.StopStep.HANDING_OVER:
                 released = defer.ensureDeferred(self._leases.release_all())
-                released.addErrback(self._not_released)
-                released.addBoth(self._handed_over)
+                released.addErrback(self._log_release_error)
+                released.addBoth(self._set_handed_over)
 
     def _in_flight(self) -> shutdown.InFlight:
         return shutdown.InFlight(
@@ -107,12 +107,12 @@
             await self._pause()
         await self._peers.close()
 
-    def _handed_over(self, _: object) -> None:
+    def _set_handed_over(self, _: object) -> None:
         self._is_handed_over = True
 
-    def _not_released(self, failure: Any) -> None:
-        # The shards' next holders wait for the session to run out.
-        log.error('Shards not handed over.', cause=failure.getErrorMessage())
+    def _log_release_error(self, failure: Any) -> None:
+        # The next holders wait until the session expires.
+        log.error('Shard transfer failed.', cause=failure.getErrorMessage())
 
     def _pause(self) -> defer.Deferred[None]:
         return task.deferLater(self._clock, CHECK_SECONDS, lambda: None)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_decider.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_decider.py
@@ -1,4 +1,4 @@
-"""Claim steps and decide which samples they are made of."""
+"""Claim steps and write the manifests of their samples."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
     from yuccarill.daemon.controllers.fresh_samples import FreshSamples
     from yuccarill.daemon.controllers.sample_store import SampleStore
 
-# A claim is lost to each announcement and to another holder's claim.
-DECIDE_TRIES = 3
+# Each announcement and each claim of another holder replaces the claim.
+MAX_DECIDE_ATTEMPTS = 3
 
 
 class StepDecider:
-    """Write the claims and manifests of the steps worked on here."""
+    """Write the claims and manifests of this instance's steps."""
 
     def __init__(
         self,
@@ -50,17 +50,17 @@
         self._claims_by_work: dict[StepWork, step_ledger.Claimed] = {}
 
     def is_claimed(self, work: StepWork) -> bool:
-        """Tell whether a claim of this instance stands, as far as known."""
+        """Return whether this instance is known to hold a step's claim."""
         return work in self._claims_by_work
 
     def forget(self, work: StepWork) -> None:
-        """Drop what is known of a step's claim."""
+        """Discard the known claim of a step."""
         self._claims_by_work.pop(work, None)
 
     async def claim(
         self, work: StepWork
     ) -> step_ledger.Claimed | records.Manifest:
-        """Claim a step, or take the manifest that another holder decided.
+        """Claim a step, or adopt the manifest of another holder.
 
         Raises ClaimLost, StepClosed, StepConflict or StoreUnavailable.
         """
@@ -76,11 +76,11 @@
         return claimed
 
     async def decide(self, work: StepWork) -> None:
-        """Give a step its manifest unless samples or the claim are missing.
+        """Write a step's manifest unless samples or the claim are missing.
 
         Raises StoreUnavailable.
         """
-        for _ in range(DECIDE_TRIES):
+        for _ in range(MAX_DECIDE_ATTEMPTS):
             if work.manifest is not None:
                 return
             try:
@@ -96,7 +96,7 @@
         epoch = self._epoch_for(shards.trainer_duty(work.trainer))
         if epoch is None:
             raise errors.ClaimLost(
-                f'This instance does not hold trainer {work.trainer} now; '
+                f'This instance has no lease on trainer {work.trainer}; '
                 'try again.',
                 retry_after=0.5,
             )
@@ -119,27 +119,27 @@
         self._fresh_samples.replace_stale(trainer, work, newest)
         if not work.is_whole:
             return False
-        await self._keep_again(work)
+        await self._restore_copies(work)
         manifest = self._manifest(work, claimed.claim)
         work.decide(await self._ledger.decide(claimed, manifest))
         return True
 
-    async def _keep_again(self, work: StepWork) -> None:
-        # A disk that was replaced since, or recovered samples of which one
-        # copy was found, would leave a decided step on one disk only.
+    async def _restore_copies(self, work: StepWork) -> None:
+        # Without this, a replaced disk or a sample recovered from a single
+        # copy would leave a decided step on one disk only.
         places = [
             place
             for place in work.finished_by_place
             if not self._store.is_kept(work.disks_by_place[place])
         ]
         kept = await defer.gatherResults(
-            [self._keep(work, place) for place in places]
+            [self._store_sample(work, place) for place in places]
         )
         for place, disks in zip(places, kept, strict=True):
             if place in work.disks_by_place:
                 work.disks_by_place[place] = disks
 
-    def _keep(
+    def _store_sample(
         self, work: StepWork, place: Place
     ) -> defer.Deferred[tuple[Disk, ...]]:
         finished = work.finished_by_place[place]
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_delivery.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_delivery.py
@@ -1,4 +1,4 @@
-"""Return the bytes of steps, the same at each fetch."""
+"""Return the bytes of steps, identical at each fetch."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class StepDelivery:
-    """Hand out steps that are whole, decided first where need be."""
+    """Deliver complete steps, writing missing manifests first."""
 
     def __init__(
         self,
@@ -54,18 +54,18 @@
         self._locks_by_work: dict[StepWork, defer.DeferredLock] = {}
 
     async def fetch(self, work: StepWork) -> bytes:
-        """Return the bytes of a step that is worked on here.
+        """Return the bytes of a step of this instance.
 
-        Raises StepPending, SamplesLost or what the step failed with.
+        Raises StepPending, SamplesLost or the error of a failed step.
         """
         if work.body is not None:
             return work.body
         if work.error is not None:
             raise work.error
         if work.manifest is None and not work.is_whole:
-            raise self._pending(work)
+            raise self._pending_error(work)
         lock = self._locks_by_work.setdefault(work, defer.DeferredLock())
-        # Two fetches at once would decide twice; the second finds the body.
+        # Prevents concurrent fetches from deciding the step twice.
         body: bytes = await lock.run(
             lambda: defer.ensureDeferred(self._deliver(work))
         )
@@ -74,24 +74,23 @@
     async def fetch_decided(
         self, trainer_id: TrainerId, step: StepNumber
     ) -> bytes:
-        """Return the bytes of a step that only its manifest tells of.
+        """Return the bytes of a step that is known only by its manifest.
 
         Raises UnknownStep, StepClosed or SamplesLost.
         """
-        standing = await self._ledger.read(trainer_id, step)
-        match standing:
+        record = await self._ledger.read(trainer_id, step)
+        match record:
             case records.Manifest():
-                return await self._body(standing, None)
+                return await self._body(record, None)
             case records.Closed():
-                raise errors.StepClosed(f'Step {step} was closed before.')
+                raise errors.StepClosed(f'Step {step} is already closed.')
             case _:
                 raise errors.UnknownStep(
-                    f'Step {step} of {trainer_id} is not worked on here; '
-                    'submit it.'
+                    f'Step {step} of {trainer_id} is unknown here; submit it.'
                 )
 
     def forget(self, work: StepWork) -> None:
-        """Drop what a step needed while it could be fetched."""
+        """Discard the lock of a step."""
         self._locks_by_work.pop(work, None)
 
     async def _deliver(self, work: StepWork) -> bytes:
@@ -101,9 +100,9 @@
             await self._decider.decide(work)
         except errors.StoreUnavailable as error:
             work.waits_for = 'the key-value service, to be decided'
-            raise self._pending(work) from error
+            raise self._pending_error(work) from error
         if work.manifest is None:
-            raise self._pending(work)
+            raise self._pending_error(work)
         work.deliver(await self._body(work.manifest, work))
         assert work.body is not None
         log.info('Step delivered.', trainer=work.trainer, step=work.step)
@@ -112,20 +111,20 @@
     async def _body(
         self, manifest: records.Manifest, work: StepWork | None
     ) -> bytes:
-        # Another holder may have decided the step with its own samples.
-        # Ours differ from them, so only those that it named are delivered.
+        # Another holder may have decided the step with other samples; only
+        # those in the manifest may be delivered.
         encoded = work.encoded_by_id() if work is not None else {}
         if manifest.sample_ids and manifest.sample_ids[0] in encoded:
             return delivery.encode(manifest, encoded)
         stored = await self._store.load(manifest)
-        is_mine = manifest.holder == self._blackboard.own_instance.id
-        if is_mine or len(stored) == len(manifest.sample_ids):
+        is_own = manifest.holder == self._blackboard.own_instance.id
+        if is_own or len(stored) == len(manifest.sample_ids):
             return delivery.encode(manifest, stored)
         return await self._ask_holder(
             manifest.holder, manifest.trainer, manifest.step
         )
 
-    def _pending(self, work: StepWork) -> errors.StepPending:
+    def _pending_error(self, work: StepWork) -> errors.StepPending:
         waits_for = work.waits_for
         if not work.is_whole:
             counted = stages.describe(self._maker.stages(work))
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_ledger.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_ledger.py
@@ -1,4 +1,4 @@
-"""Keep the durable record of trainers' steps in the key-value service."""
+"""Store the records of trainers' steps in the key-value service."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 log = logs.for_part('rollouts')
 
-# Each try that fails means that another write of the same key succeeded.
+# Each failed attempt implies a successful write by another writer.
 MAX_SWAPS = 8
 
 
 class Claimed(msgspec.Struct, frozen=True):
-    """Hold a claim and the store's version of it."""
+    """Combine a claim with its version in the store."""
 
     claim: records.Claim
     version: int
@@ -43,7 +43,7 @@
     async def read(
         self, trainer: TrainerId, step: StepNumber
     ) -> records.StepRecord | None:
-        """Return what stands under a step's key.
+        """Return the stored record of a step.
 
         Raises StoreUnavailable.
         """
@@ -51,7 +51,7 @@
         return None if entry.is_absent else records.decode(entry.value)
 
     async def progress(self, trainer: TrainerId) -> Progress:
-        """Return how far a trainer has come.
+        """Return the progress of a trainer.
 
         Raises StoreUnavailable.
         """
@@ -61,21 +61,21 @@
     async def claim(
         self, trainer: TrainerId, step: StepNumber, claim: records.Claim
     ) -> Claimed | records.Manifest:
-        """Become the one that decides a step, or learn how it was decided.
+        """Claim a step, or return its manifest if it is decided.
 
-        Announces the claim's newest version as well, and returns with the
-        newest that the store knows. Raises StepClosed, StepConflict,
+        Also announces the claim's newest version; the returned claim has
+        the newest version in the store. Raises StepClosed, StepConflict,
         ClaimLost or StoreUnavailable.
         """
 
-        def enter(progress: Progress) -> Progress:
+        def update(progress: Progress) -> Progress:
             raised = progress_module.raise_newest(
                 progress, claim.newest_version
             )
             return progress_module.open_step(raised, step)
 
-        progress = await self._change_progress(trainer, enter)
-        await self._raise_claims(trainer, progress, but_for=step)
+        progress = await self._change_progress(trainer, update)
+        await self._raise_claims(trainer, progress, excluded=step)
         claim = msgspec.structs.replace(
             claim, newest_version=progress.newest_version
         )
@@ -84,9 +84,9 @@
     async def announce(
         self, trainer: TrainerId, version: WeightVersion
     ) -> WeightVersion:
-        """Record a trainer's newest version before it counts as told.
+        """Store a trainer's newest version and return the newest known.
 
-        A step that is still open is judged against it from then on.
+        Raises the version of the claims on open steps as well.
         Raises StoreUnavailable.
         """
         progress = await self._change_progress(
@@ -98,40 +98,39 @@
     async def decide(
         self, claimed: Claimed, manifest: records.Manifest
     ) -> records.Manifest:
-        """Write a step's manifest; return the one that stands.
+        """Write a step's manifest; return the one in effect.
 
         Raises ClaimLost or StoreUnavailable.
         """
         key = records.step_key(manifest.trainer, manifest.step)
 
         def change(
-            standing: records.StepRecord | None, version: int
+            record: records.StepRecord | None, version: int
         ) -> records.StepRecord:
-            decided = _decided(standing, manifest.step)
+            decided = _manifest_of(record, manifest.step)
             if decided is None and version != claimed.version:
                 raise errors.ClaimLost(
-                    f'Step {manifest.step} is claimed anew; its samples '
-                    'are judged again.',
+                    f'The claim on step {manifest.step} has changed; its '
+                    'samples are checked again.',
                     retry_after=0.1,
                 )
             return decided or manifest
 
-        # Between the read of the claim and the write, another holder may
-        # claim the step or the trainer may announce a newer version. Either
-        # changes the claim, so this write fails instead of delivering a
-        # second set of samples or a stale one.
+        # Another holder may claim the step, or the trainer announce a newer
+        # version, before this write. Either changes the claim, so this write
+        # fails instead of delivering a second or stale set of samples.
         expected = (claimed.version, records.encode(claimed.claim))
-        standing, _ = await self._change(key, change, expected)
-        assert isinstance(standing, records.Manifest)
-        return standing
+        record, _ = await self._change(key, change, expected)
+        assert isinstance(record, records.Manifest)
+        return record
 
     async def close(self, trainer: TrainerId, step: StepNumber) -> None:
-        """Close a step for good and free its record's place.
+        """Close a step permanently and replace its record.
 
         Raises StoreUnavailable.
         """
-        # The mark is raised first: with the record gone and the mark not
-        # yet raised, the step could be made a second time.
+        # Updates the progress first: if only the record were replaced, the
+        # step could be generated a second time.
         await self._change_progress(
             trainer, lambda p: progress_module.close_step(p, step)
         )
@@ -143,38 +142,38 @@
         self, trainer: TrainerId, step: StepNumber, claim: records.Claim
     ) -> Claimed | records.Manifest:
         def change(
-            standing: records.StepRecord | None, version: int
+            record: records.StepRecord | None, version: int
         ) -> records.StepRecord:
-            if isinstance(standing, records.Claim):
-                _check_claim(step, standing, claim)
-            return _decided(standing, step) or claim
+            if isinstance(record, records.Claim):
+                _check_claim(step, record, claim)
+            return _manifest_of(record, step) or claim
 
         key = records.step_key(trainer, step)
-        standing, version = await self._change(key, change)
-        if isinstance(standing, records.Manifest):
-            return standing
+        record, version = await self._change(key, change)
+        if isinstance(record, records.Manifest):
+            return record
         return Claimed(claim, version)
 
     async def _raise_claims(
         self,
         trainer: TrainerId,
         progress: Progress,
-        but_for: StepNumber | None = None,
+        excluded: StepNumber | None = None,
     ) -> None:
         for step in progress.open:
-            if step != but_for:
+            if step != excluded:
                 await self._raise_claim(trainer, step, progress.newest_version)
 
     async def _raise_claim(
         self, trainer: TrainerId, step: StepNumber, newest: WeightVersion
     ) -> None:
         def change(
-            standing: records.StepRecord | None, version: int
+            record: records.StepRecord | None, version: int
         ) -> records.StepRecord | None:
-            if not isinstance(standing, records.Claim):
-                return standing
-            raised = max(standing.newest_version, newest)
-            return msgspec.structs.replace(standing, newest_version=raised)
+            if not isinstance(record, records.Claim):
+                return record
+            raised = max(record.newest_version, newest)
+            return msgspec.structs.replace(record, newest_version=raised)
 
         await self._change(records.step_key(trainer, step), change)
 
@@ -185,16 +184,16 @@
         for _ in range(MAX_SWAPS):
             entry = await self._key_value.get(key)
             current = _decode_progress(entry.value)
-            wanted = change(current)
-            if wanted == current:
-                return wanted
+            updated = change(current)
+            if updated == current:
+                return updated
             try:
-                value = msgspec.json.encode(wanted)
+                value = msgspec.json.encode(updated)
                 await self._key_value.swap(key, value, entry.version)
-                return wanted
+                return updated
             except errors.StoreConflict:
                 continue
-        raise _contended(key)
+        raise _contention_error(key)
 
     async def _change(
         self,
@@ -202,29 +201,29 @@
         change: Callable[[records.StepRecord | None, int], Any],
         expected: tuple[int, bytes] | None = None,
     ) -> tuple[Any, int]:
-        """Swap a record until the change stands; return it with its version.
+        """Apply a change by compare-and-swap; return record and version.
 
-        A lost reply needs no care of its own here: whoever asks again
-        reads first, and finds its own write standing.
+        A lost reply is harmless: the retry reads the record first and
+        finds its own write.
         """
         for _ in range(MAX_SWAPS):
             version, value = expected or await self._read(key)
             expected = None
             current = records.decode(value) if version else None
-            wanted = change(current, version)
-            if wanted == current:
-                return wanted, version
+            updated = change(current, version)
+            if updated == current:
+                return updated, version
             try:
                 written = await self._key_value.swap(
-                    key, records.encode(wanted), version
+                    key, records.encode(updated), version
                 )
-                return wanted, written
+                return updated, written
             except errors.StoreConflict:
                 continue
             except errors.StoreUnavailable as error:
                 log.info('Write not confirmed.', key=key, cause=error.message)
                 continue
-        raise _contended(key)
+        raise _contention_error(key)
 
     async def _read(self, key: str) -> tuple[int, bytes]:
         entry = await self._key_value.get(key)
@@ -238,32 +237,32 @@
 
 
 def _check_claim(
-    step: StepNumber, standing: records.Claim, claim: records.Claim
+    step: StepNumber, record: records.Claim, claim: records.Claim
 ) -> None:
-    if standing.request_digest != claim.request_digest:
+    if record.request_digest != claim.request_digest:
         raise errors.StepConflict(
             f'Step {step} was submitted with other groups; submit those '
             'again, or delete the step and use a new number.'
         )
-    if standing.epoch > claim.epoch:
+    if record.epoch > claim.epoch:
         raise errors.ClaimLost(
-            f'Instance {standing.holder} has taken step {step} over.',
+            f'Instance {record.holder} has taken step {step} over.',
             retry_after=0.5,
         )
 
 
-def _decided(
-    standing: records.StepRecord | None, step: StepNumber
+def _manifest_of(
+    record: records.StepRecord | None, step: StepNumber
 ) -> records.Manifest | None:
-    match standing:
+    match record:
         case records.Manifest():
-            return standing
+            return record
         case records.Closed():
-            raise errors.StepClosed(f'Step {step} was closed before.')
+            raise errors.StepClosed(f'Step {step} is already closed.')
     return None
 
 
-def _contended(key: str) -> errors.StoreUnavailable:
+def _contention_error(key: str) -> errors.StoreUnavailable:
     return errors.StoreUnavailable(
         f'The store did not confirm a write of {key}; try again.',
         retry_after=1.0,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_routing.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_routing.py
@@ -1,4 +1,4 @@
-"""Pass trainers' requests to the instance that works on them."""
+"""Route trainers' requests to the holder of the trainer's duty."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
     from yuccarill.daemon.peers.peers import Peers
 
 REQUEST_SECONDS = 5.0
-# A frame between instances may be up to 16 MB.
+# Below the maximum frame size of 16 MB between instances.
 PART_BYTES = 4 << 20
 RETRY_SECONDS = 0.5
 
 
 class StepRouting:
-    """Reach the holder of a trainer's duty, here or at a peer."""
+    """Send requests to the holder of a trainer's duty."""
 
     def __init__(
         self,
@@ -48,7 +48,6 @@
         self._peers = peers
 
     async def submit(self, trainer: TrainerId, request: StepRequest) -> None:
-        """Submit a step."""
         encoded = msgspec.json.encode(request)
         await self._send(messages.StepSubmit(trainer=trainer, request=encoded))
 
@@ -59,17 +58,17 @@
     async def announce(
         self, trainer: TrainerId, version: WeightVersion
     ) -> None:
-        """Tell a trainer's newest weight version."""
+        """Announce a trainer's newest weight version."""
         await self._send(
             messages.VersionAnnounce(trainer=trainer, version=version)
         )
 
     async def delete(self, trainer: TrainerId, step: StepNumber) -> None:
-        """Close a step that its trainer gives up."""
+        """Close a step that its trainer abandons."""
         await self._send(messages.StepDelete(trainer=trainer, step=step))
 
     async def acknowledge(self, trainer: TrainerId, step: StepNumber) -> None:
-        """Close a step."""
+        """Close a step that its trainer has received."""
         await self._send(messages.StepAcknowledge(trainer=trainer, step=step))
 
     async def handle_here(
@@ -80,9 +79,9 @@
             case messages.StepSubmit(trainer=trainer, request=encoded):
                 await self._rollouts.submit(trainer, decode_request(encoded))
             case messages.StepFetch(trainer=trainer, step=step, offset=offset):
-                whole = await self._rollouts.fetch(trainer, step)
-                part = whole[offset : offset + PART_BYTES]
-                return messages.StepDelivery(body=part, size=len(whole))
+                encoded_step = await self._rollouts.fetch(trainer, step)
+                part = encoded_step[offset : offset + PART_BYTES]
+                return messages.StepDelivery(body=part, size=len(encoded_step))
             case messages.StepAcknowledge(trainer=trainer, step=step):
                 await self._rollouts.acknowledge(trainer, step)
             case messages.StepDelete(trainer=trainer, step=step):
@@ -94,7 +93,7 @@
     async def _send(self, body: messages.TrainerRequest) -> Any:
         holder = self._leases.holder_of(shards.trainer_duty(body.trainer))
         if holder is None:
-            # Worked on here without a lease, the step would be made twice.
+            # Without a lease, two instances could run the same step.
             raise errors.NotRun(
                 f'No instance holds trainer {body.trainer} now; try again.',
                 retry_after=RETRY_SECONDS,
@@ -114,9 +113,9 @@
     async def ask(
         self, holder: InstanceId, trainer: TrainerId, step: StepNumber
     ) -> bytes:
-        """Return the bytes.
+        """Return the bytes of a decided step.
 
-        Raises SamplesLost or what the holder raised.
+        Raises SamplesLost or the error of the holder.
         """
         peer = self._blackboard.instances_by_id.get(holder)
 
@@ -141,8 +140,8 @@
     step: StepNumber,
     send: Callable[[messages.StepFetch], Awaitable[Any]],
 ) -> bytes:
-    # A step of 8,192 long samples is longer than a frame may be. Its bytes
-    # are fixed once it is decided, so parts asked for in turn fit together.
+    # A step can exceed the maximum frame size. Its bytes are immutable once it
+    # is decided, so parts fetched in sequence are consistent.
     received = bytearray()
     while True:
         reply = await send(
@@ -156,5 +155,5 @@
 
 
 def decode_request(encoded: bytes) -> StepRequest:
-    """Decode a step as an instance passed it on."""
+    """Decode a step request forwarded by another instance."""
     return msgspec.json.decode(encoded, type=step_module.StepRequest)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/targets.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/targets.py
@@ -1,4 +1,4 @@
-"""Read the engines whose duty is held here and carry out their orders."""
+"""Poll the engines held by this instance and execute their orders."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
 log = logs.for_part('targets')
 
 TICK_SECONDS = 0.25
-HOLD_SECONDS = 0.5
+REFRESH_SECONDS = 0.5
 REPORT_SECONDS = 2.0
 
 
 class TargetController:
-    """Be the one who orders the engines held here."""
+    """Send orders to the engines whose duty this instance holds."""
 
     def __init__(
         self,
@@ -57,46 +57,46 @@
         self._engines = engines
         self._peers = peers
         self._clock = clock
-        self._desk = engine_orders.EngineOrders()
+        self._orders = engine_orders.EngineOrders()
         self._polls = polling.PollSchedule(self._now())
         self._snapshot: Snapshot | None = None
         self._engines_by_shard: dict[ShardNumber, list[Engine]] = {}
         self._held: tuple[Any, dict[ShardNumber, Epoch]] = (None, {})
-        self._held_at = Instant(-HOLD_SECONDS)
-        # Handles reports where this instance is a model's holder itself.
+        self._refreshed_at = Instant(-REFRESH_SECONDS)
+        # Handles reports on models that this instance holds itself.
         self.report_here: Any = None
 
     async def follow(self) -> None:
-        """Work until the process ends."""
+        """Run periodically until the process ends."""
         while True:
-            self.turn()
+            self.run_once()
             await task.deferLater(self._clock, TICK_SECONDS, lambda: None)
 
-    def turn(self) -> None:
-        """Start what is due."""
+    def run_once(self) -> None:
+        """Start all polls and reports that are due."""
         now = self._now()
-        if now - self._held_at >= HOLD_SECONDS:
-            self._held_at = now
-            self._hold(now)
+        if now - self._refreshed_at >= REFRESH_SECONDS:
+            self._refreshed_at = now
+            self._update_held(now)
         for target in self._polls.due(now):
-            _start(self._poll(target))
-        self._push()
+            _run_in_background(self._poll(target))
+        self._push_reports()
 
     async def handle(
         self, body: messages.WeightOrders | messages.WeightQuery
     ) -> messages.Body:
-        """Take orders, or tell what is known, for a model's holder.
+        """Accept orders or return reports for a model's holder.
 
-        Raises NotRun if a newer holder was heard.
+        Raises NotRun if the model has a holder with a newer epoch.
         """
-        if not self._desk.accept_model_epoch(body.model, body.epoch):
-            raise errors.NotRun('A newer holder of the model was heard.')
+        if not self._orders.accept_model_epoch(body.model, body.epoch):
+            raise errors.NotRun('The model has a holder with a newer epoch.')
         match body:
             case messages.WeightOrders(orders=orders):
                 refused = []
                 for order in orders:
-                    if order.target in self._desk.targets():
-                        _start(self._carry_out(order))
+                    if order.target in self._orders.targets():
+                        _run_in_background(self._execute(order))
                     else:
                         refused.append(order.number)
                 return messages.WeightOrdersTaken(refused=tuple(refused))
@@ -105,7 +105,7 @@
                     model=model, reports=tuple(self._reports(model))
                 )
 
-    def _hold(self, now: Instant) -> None:
+    def _update_held(self, now: Instant) -> None:
         snapshot = self._blackboard.snapshot
         if snapshot is not self._snapshot:
             self._snapshot = snapshot
@@ -123,10 +123,10 @@
         for shard, epoch in epochs_by_shard.items():
             for engine in self._engines_by_shard[shard]:
                 held.add(engine.id)
-                self._desk.set_epoch(engine.id, epoch, now)
+                self._orders.set_epoch(engine.id, epoch, now)
         states = self._blackboard.targets_by_id
-        for target in self._desk.targets() - held:
-            self._desk.release(target)
+        for target in self._orders.targets() - held:
+            self._orders.release(target)
             states.pop(target, None)
         self._polls.set_targets(sorted(held), now)
 
@@ -136,82 +136,84 @@
             engine = self._engine(target)
             if engine is not None:
                 state = await self._engines.read(engine.address)
-            self._see(target, state)
+            self._record(target, state)
         finally:
             self._polls.finish(target, state is not None, self._now())
 
-    def _see(self, target: TargetId, state: Any) -> None:
-        self._desk.record_state(target, state)
-        if state is not None and target in self._desk.targets():
+    def _record(self, target: TargetId, state: Any) -> None:
+        self._orders.record_state(target, state)
+        if state is not None and target in self._orders.targets():
             self._blackboard.targets_by_id[target] = state
 
-    async def _carry_out(self, order: Order) -> None:
+    async def _execute(self, order: Order) -> None:
         engine = self._engine(order.target)
         if engine is None:
             return
-        if not self._desk.is_read(order.target):
-            # An order must not go below what the engine has.
-            self._see(order.target, await self._engines.read(engine.address))
+        if not self._orders.is_read(order.target):
+            # Reads the state first: an order must not downgrade the engine.
+            self._record(
+                order.target, await self._engines.read(engine.address)
+            )
         epoch = self._epoch(order.target)
-        refusal = self._desk.begin(order, epoch, self._now())
+        refusal = self._orders.begin(order, epoch, self._now())
         if refusal is None and epoch is not None:
             await self._send(engine, order, epoch)
-        self._push()
+        self._push_reports()
 
     async def _send(self, engine: Engine, order: Order, epoch: Epoch) -> None:
-        ended = await self._engines.order(
+        result = await self._engines.order(
             engine.address, order, engine.model, epoch
         )
-        state = ended.state or await self._engines.read(engine.address)
-        self._see(engine.id, state)
-        self._desk.finish(order, ended.outcome)
-        if ended.outcome is not OrderOutcome.DONE:
+        state = result.state or await self._engines.read(engine.address)
+        self._record(engine.id, state)
+        self._orders.finish(order, result.outcome)
+        if result.outcome is not OrderOutcome.DONE:
             log.warning(
-                'Order not carried out.',
+                'Weight order not executed.',
                 target=engine.id,
                 kind=order.kind.value,
                 version=order.version,
-                outcome=ended.outcome.value,
+                outcome=result.outcome.value,
             )
 
     def _reports(self, model: ModelName) -> list[Report]:
         now = self._now()
         found = (
-            self._desk.report(target, now)
-            for target in sorted(self._desk.targets())
+            self._orders.report(target, now)
+            for target in sorted(self._orders.targets())
             if self._model(target) == model
         )
         return [report for report in found if report is not None]
 
-    def _push(self) -> None:
+    def _push_reports(self) -> None:
         by_model: dict[Any, list[Report]] = collections.defaultdict(list)
-        for report in self._desk.changed_reports(self._now()):
+        for report in self._orders.changed_reports(self._now()):
             by_model[self._model(report.target)].append(report)
         for model, reports in by_model.items():
             if model is not None:
-                _start(self._deliver(model, reports))
+                _run_in_background(self._deliver(model, reports))
 
     async def _deliver(self, model: ModelName, reports: list[Report]) -> None:
         body = messages.WeightReports(model=model, reports=tuple(reports))
         holder = self._leases.holder_of(shards.model_duty(model))
         try:
             if holder is None:
-                raise errors.NoTarget('The model has no holder yet.')
+                raise errors.NoTarget('No instance holds the model yet.')
             if holder.id == self._blackboard.own_instance.id:
                 self.report_here(body)
             else:
                 await self._peers.request(holder, body, REPORT_SECONDS)
         except errors.YuccarillError:
-            await task.deferLater(self._clock, HOLD_SECONDS, lambda: None)
+            await task.deferLater(self._clock, REFRESH_SECONDS, lambda: None)
             for report in reports:
-                self._desk.repeat_report(report.target)
+                self._orders.repeat_report(report.target)
 
     def _epoch(self, target: TargetId) -> Epoch | None:
         return self._leases.epoch_for(shards.target_duty(target))
 
     def _engine(self, target: TargetId) -> Engine | None:
-        head = self._blackboard.snapshot
-        return None if head is None else head.engines_by_id.get(target)
+        snapshot = self._blackboard.snapshot
+        return None if snapshot is None else snapshot.engines_by_id.get(target)
 
     def _model(self, target: TargetId) -> ModelName | None:
         engine = self._engine(target)
@@ -221,14 +223,16 @@
         return Instant(self._clock.seconds())
 
 
-def _by_shard(snapshot: Snapshot | None) -> dict[ShardNumber, list[Engine]]:
+def _by_shard(
+    snapshot: Snapshot | None,
+) -> dict[ShardNumber, list[Engine]]:
     found: dict[ShardNumber, list[Engine]] = collections.defaultdict(list)
     for engine in snapshot.inventory.engines if snapshot else ():
         found[shards.shard_of(shards.target_duty(engine.id))].append(engine)
     return found
 
 
-def _start(work: Coroutine[Any, Any, None]) -> None:
+def _run_in_background(work: Coroutine[Any, Any, None]) -> None:
     defer.ensureDeferred(work).addErrback(
-        lambda failure: log.error('Work failed.', cause=str(failure)[:500])
+        lambda failure: log.error('Task failed.', cause=str(failure)[:500])
     )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/weights.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/weights.py
@@ -1,4 +1,4 @@
-"""Bring new weight versions to the engines of the models held here."""
+"""Roll out weight versions to the engines of models held here."""
 
 from __future__ import annotations
 
@@ -40,36 +40,36 @@
 
 ACTIVE_SECONDS = 0.1
 IDLE_SECONDS = 0.5
-SOON_SECONDS = 0.04
+REFILL_SECONDS = 0.04
 STORE_SECONDS = 2.0
 SEND_SECONDS = 2.0
 QUERY_SECONDS = 1.0
-# A holder that has answered reports by itself what it learns later.
+# A holder that has answered sends later changes unasked.
 ANSWERED_QUERY_SECONDS = 10.0
 
 
 @dataclasses.dataclass
-class _Held:
-    """Hold what is known of one model whose duty is held here."""
+class _HeldModel:
+    """Hold the rollout state of a model that this instance holds."""
 
     model: ModelName
     epoch: Epoch
     snapshot: Snapshot
     rollout: rollout_module.ModelRollout
     targets_by_shard: dict[ShardNumber, list[TargetId]]
-    # The holders that the records of a shard's targets come from.
+    # The holders that reported the targets of each shard.
     holders_by_shard: dict[ShardNumber, InstanceId] = dataclasses.field(
         default_factory=dict
     )
-    ask_at_by_holder: dict[InstanceId, Instant] = dataclasses.field(
+    query_at_by_holder: dict[InstanceId, Instant] = dataclasses.field(
         default_factory=dict
     )
-    asked_at: Instant = Instant(-QUERY_SECONDS)
+    queried_at: Instant = Instant(-QUERY_SECONDS)
     store_read_at: Instant = Instant(-STORE_SECONDS)
 
 
 class WeightController:
-    """Plan the weights of the models whose duty is held here."""
+    """Plan weight rollouts for the models that this instance holds."""
 
     def __init__(
         self,
@@ -88,56 +88,56 @@
         self._peers = peers
         self._downloads_per_second = downloads_per_second
         self._clock = clock
-        self._held_by_model: dict[ModelName, _Held] = {}
-        self._is_turn_near = False
+        self._held_by_model: dict[ModelName, _HeldModel] = {}
+        self._is_run_scheduled = False
         targets.report_here = self.handle
 
     async def follow(self) -> None:
-        """Work until the process ends."""
+        """Run periodically until the process ends."""
         while True:
-            seconds = ACTIVE_SECONDS if self.turn() else IDLE_SECONDS
+            seconds = ACTIVE_SECONDS if self.run_once() else IDLE_SECONDS
             await task.deferLater(self._clock, seconds, lambda: None)
 
-    def turn(self) -> bool:
-        """Start what is due; tell whether a version is on its way."""
+    def run_once(self) -> bool:
+        """Start all due work; return whether a rollout is active."""
         snapshot = self._blackboard.snapshot
         if snapshot is None:
             return False
         now = self._now()
         for model in snapshot.models_by_name:
-            self._hold(model, snapshot, now)
+            self._update_held(model, snapshot, now)
         for model in self._held_by_model.keys() - snapshot.models_by_name:
             del self._held_by_model[model]
         is_active = False
         for held in self._held_by_model.values():
-            self._work(held, now)
+            self._advance(held, now)
             is_active = is_active or held.rollout.is_active
         return is_active
 
     def handle(self, body: messages.WeightReports) -> messages.Body:
-        """Take reports on engines.
+        """Process reports on engines.
 
-        Raises NotRun if the model's duty is not held here.
+        Raises NotRun if this instance does not hold the model.
         """
         held = self._held_by_model.get(body.model)
         if held is None:
             raise errors.NotRun(
-                f'The duty of model {body.model} is not held here.'
+                f'This instance does not hold model {body.model}.'
             )
         for report in body.reports:
             held.rollout.observe(report, self._now())
-        # Places that come free are filled at once; waiting for the next
-        # turn would add its wait to each of a switch's rounds.
-        if not self._is_turn_near and held.rollout.is_switching:
-            self._is_turn_near = True
-            self._clock.callLater(SOON_SECONDS, self._turn_soon)
+        # Reuses freed slots without waiting for the next run, which would
+        # delay each round of a switch.
+        if not self._is_run_scheduled and held.rollout.is_switching:
+            self._is_run_scheduled = True
+            self._clock.callLater(REFILL_SECONDS, self._run_scheduled)
         return messages.Done()
 
-    def _turn_soon(self) -> None:
-        self._is_turn_near = False
-        self.turn()
+    def _run_scheduled(self) -> None:
+        self._is_run_scheduled = False
+        self.run_once()
 
-    def _hold(
+    def _update_held(
         self, model: ModelName, snapshot: Snapshot, now: Instant
     ) -> None:
         epoch = self._leases.epoch_for(shards.model_duty(model))
@@ -145,19 +145,18 @@
         if epoch is None:
             self._held_by_model.pop(model, None)
         elif held is None or held.epoch != epoch:
-            # What a predecessor knew is asked for again: its orders may
-            # have taken effect, also under an earlier epoch of this
-            # process.
-            self._held_by_model[model] = self._take(
+            # Queries all states again: orders of a predecessor, or of this
+            # process under an earlier epoch, may have taken effect.
+            self._held_by_model[model] = self._start_holding(
                 model, epoch, snapshot, now
             )
         elif held.snapshot is not snapshot:
-            self._change(held, snapshot, now)
+            self._update_snapshot(held, snapshot, now)
 
-    def _take(
+    def _start_holding(
         self, model: ModelName, epoch: Epoch, snapshot: Snapshot, now: Instant
-    ) -> _Held:
-        log.info('Model held.', model=model, epoch=epoch)
+    ) -> _HeldModel:
+        log.info('Lease on model acquired.', model=model, epoch=epoch)
         rollout = rollout_module.ModelRollout(
             _data_centres(snapshot, model),
             snapshot.models_by_name[model].serving_part,
@@ -165,9 +164,11 @@
             epoch,
         )
         shard_targets = _targets_by_shard(snapshot, model)
-        return _Held(model, epoch, snapshot, rollout, shard_targets)
+        return _HeldModel(model, epoch, snapshot, rollout, shard_targets)
 
-    def _change(self, held: _Held, snapshot: Snapshot, now: Instant) -> None:
+    def _update_snapshot(
+        self, held: _HeldModel, snapshot: Snapshot, now: Instant
+    ) -> None:
         held.snapshot = snapshot
         held.targets_by_shard = _targets_by_shard(snapshot, held.model)
         held.rollout.set_engines(
@@ -176,15 +177,15 @@
         )
         held.rollout.tokens.set_limit(self._limit(snapshot, held.model), now)
 
-    def _work(self, held: _Held, now: Instant) -> None:
+    def _advance(self, held: _HeldModel, now: Instant) -> None:
         if now - held.store_read_at >= STORE_SECONDS:
             held.store_read_at = now
-            _start(self._read_store(held))
-        if now - held.asked_at >= QUERY_SECONDS:
-            held.asked_at = now
-            self._query(held)
-        by_holder: dict[InstanceId, list[Order]] = collections.defaultdict(
-            list
+            _run_in_background(self._read_store(held))
+        if now - held.queried_at >= QUERY_SECONDS:
+            held.queried_at = now
+            self._query_holders(held)
+        orders_by_holder: dict[InstanceId, list[Order]] = (
+            collections.defaultdict(list)
         )
         holders_by_id: dict[InstanceId, Instance] = {}
         for order in held.rollout.decide(now):
@@ -193,28 +194,28 @@
                 held.rollout.drop([order], now)
                 continue
             holders_by_id[holder.id] = holder
-            by_holder[holder.id].append(order)
-        for holder_id, orders in by_holder.items():
+            orders_by_holder[holder.id].append(order)
+        for holder_id, orders in orders_by_holder.items():
             holder = holders_by_id[holder_id]
-            _start(self._send(held, holder, orders))
+            _run_in_background(self._send(held, holder, orders))
 
-    async def _read_store(self, held: _Held) -> None:
+    async def _read_store(self, held: _HeldModel) -> None:
         try:
             version = await self._store.newest(held.model)
         except errors.StoreUnavailable as error:
             log.warning(
-                'Newest version not read.',
+                'Newest weight version not read.',
                 model=held.model,
                 cause=error.message,
             )
             return
         if version > held.rollout.newest:
-            log.info('Version found.', model=held.model, version=version)
+            log.info('New version found.', model=held.model, version=version)
         held.rollout.raise_newest(version, self._now())
 
-    def _query(self, held: _Held) -> None:
-        """Ask the holders of targets of which nothing is known yet."""
-        asked: dict[InstanceId, Instance] = {}
+    def _query_holders(self, held: _HeldModel) -> None:
+        """Query the holders of targets in an unknown state."""
+        holders_to_query: dict[InstanceId, Instance] = {}
         for shard, targets in held.targets_by_shard.items():
             holder = self._leases.holder_of(shards.target_duty(targets[0]))
             if holder is None:
@@ -222,33 +223,33 @@
             records = [held.rollout.records_by_id[t] for t in targets]
             if held.holders_by_shard.get(shard) != holder.id:
                 held.holders_by_shard[shard] = holder.id
-                held.ask_at_by_holder.pop(holder.id, None)
+                held.query_at_by_holder.pop(holder.id, None)
                 for record in records:
                     record.mark_unknown()
-            # A report may have gone to another instance that still took
-            # itself for the model's holder; it would never come here.
+            # A report may have gone to an instance that wrongly believed
+            # itself the holder of the model; it would never arrive here.
             if any(r.state is WeightState.UNKNOWN for r in records):
-                asked[holder.id] = holder
+                holders_to_query[holder.id] = holder
         now = self._now()
-        for holder in asked.values():
-            if now >= held.ask_at_by_holder.get(holder.id, now):
-                _start(self._ask(held, holder))
+        for holder in holders_to_query.values():
+            if now >= held.query_at_by_holder.get(holder.id, now):
+                _run_in_background(self._query_holder(held, holder))
 
-    async def _ask(self, held: _Held, holder: Instance) -> None:
+    async def _query_holder(self, held: _HeldModel, holder: Instance) -> None:
         body = messages.WeightQuery(model=held.model, epoch=held.epoch)
         try:
             reply = await self._request(holder, body)
         except errors.YuccarillError:
             return
         now = self._now()
-        held.ask_at_by_holder[holder.id] = Instant(
+        held.query_at_by_holder[holder.id] = Instant(
             now + ANSWERED_QUERY_SECONDS
         )
         for report in reply.reports:
             held.rollout.observe(report, now)
 
     async def _send(
-        self, held: _Held, holder: Instance, orders: list[Order]
+        self, held: _HeldModel, holder: Instance, orders: list[Order]
     ) -> None:
         body = messages.WeightOrders(
             model=held.model, epoch=held.epoch, orders=tuple(orders)
@@ -260,10 +261,12 @@
         except errors.NotRun:
             held.rollout.drop(orders, self._now())
         except errors.YuccarillError as error:
-            # They may have been taken: the reports will tell, or the time
-            # after which they can not take effect any more.
+            # The orders may have been accepted. Reports confirm it, or the
+            # orders expire.
             log.warning(
-                'Orders may be lost.', holder=holder.id, cause=error.message
+                'Delivery of orders is unconfirmed.',
+                holder=holder.id,
+                cause=error.message,
             )
 
     async def _request(self, holder: Instance, body: Any) -> Any:
@@ -297,7 +300,7 @@
     return found
 
 
-def _start(work: Coroutine[Any, Any, None]) -> None:
+def _run_in_background(work: Coroutine[Any, Any, None]) -> None:
     defer.ensureDeferred(work).addErrback(
-        lambda failure: log.error('Work failed.', cause=str(failure)[:500])
+        lambda failure: log.error('Task failed.', cause=str(failure)[:500])
     )
--- a/packages/yuccarill-daemon/tests/controllers/test_rollouts.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_rollouts.py
@@ -238,7 +238,7 @@
         told = self.holder.announce(TRAINER, WeightVersion(2))
         defer.ensureDeferred(told)
         work = self.holder._work_by_key[TRAINER, StepNumber(1)]
-        self.holder._renew(self.holder._trainer(TRAINER), work, 3)
+        self.holder._replace_stale(self.holder._trainer(TRAINER), work, 3)
         self.assertEqual(4, self.world.fleet.made)
         self.world.clock.pump([0.25] * 4)
         self.assertEqual(8, self.world.fleet.made)
