--- a/packages/yuccarill-daemon/tests/controllers/call_world.py
+++ b/packages/yuccarill-daemon/tests/controllers/call_world.py
@@ -43,7 +43,7 @@
 
 
 class Reactor(task.Clock):
-    """Keep a clock and note the connections that are being made."""
+    """Provide a clock and record pending connections."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -62,7 +62,7 @@
 
 
 class Connector:
-    """Let a connection that is being made be given up."""
+    """Allow a pending connection to be cancelled."""
 
     def __init__(self, factory: Any) -> None:
         self._factory = factory
@@ -77,7 +77,7 @@
 
 
 class Transport:
-    """Note what is written until the connection ends."""
+    """Record written data until the connection closes."""
 
     disconnecting = False
 
@@ -108,7 +108,7 @@
 
 
 class Connection:
-    """Be the target's end of one connection."""
+    """Represent the target's end of a connection."""
 
     def __init__(self, world: World, entry: Any) -> None:
         self._world = world
@@ -123,7 +123,7 @@
         self._protocol.makeConnection(self.transport)
 
     def run(self) -> None:
-        """Read the request as the target's process does, and act on it."""
+        """Read the request and count its run, as a target does."""
         head = self.transport.written.decode()
         assert head.startswith('POST '), head
         names = [n for n in head.split('\r\n') if 'equest-Id' in n]
@@ -154,7 +154,7 @@
 
 
 class Peers:
-    """Carry requests to the other instances of a world."""
+    """Deliver requests to other instances of a world."""
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -180,7 +180,7 @@
 
 
 class World:
-    """Hold three instances and two targets."""
+    """Simulate three instances and two targets."""
 
     def __init__(
         self,
@@ -210,7 +210,7 @@
             self.start(name, 'first')
 
     def start(self, name: InstanceId, incarnation: str) -> None:
-        """Start an instance, in place of one that ran before."""
+        """Start an instance, replacing an earlier process."""
         board = Blackboard(own_instance=self.instances[name])
         board.instances_by_id = dict(self.instances)
         self.boards[name] = board
@@ -228,7 +228,7 @@
         )
 
     def configure(self, name: InstanceId, ports: Iterable[int]) -> None:
-        """Put an inventory with targets at some ports in force."""
+        """Apply an inventory with targets at the given ports."""
         self.boards[name].snapshot = _snapshot(ports)
 
     def now(self) -> Instant:
@@ -241,7 +241,7 @@
         path: str = 'charges',
         caller: CallerId | None = None,
     ) -> Result:
-        """Send the one request of a test through an instance."""
+        """Send the request of a test through an instance."""
         call = attempts.Call(
             request_id=RequestId('r'),
             service=SERVICE,
@@ -255,7 +255,7 @@
         return Result(self.calls[InstanceId(name)].run(call))
 
     def connection(self) -> Connection | None:
-        """Return the next connection that is being made to a target."""
+        """Return the next pending connection to a target, or None."""
         if len(self.reactor.connecting) == self.opened:
             return None
         self.opened += 1
@@ -266,7 +266,7 @@
 
 
 class Result:
-    """Hold what a caller gets, once it gets it."""
+    """Hold the answer or error that a caller receives."""
 
     def __init__(self, work: Any) -> None:
         self.deferred = defer.ensureDeferred(work)
--- a/packages/yuccarill-daemon/tests/controllers/fleet.py
+++ b/packages/yuccarill-daemon/tests/controllers/fleet.py
@@ -1,4 +1,4 @@
-"""Instances with real controllers on a fake clock, store and network."""
+"""Run real controllers on a fake clock, store and network."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class NodeStore:
-    """Reach the store until the process is killed."""
+    """Forward calls to the store until the process is killed."""
 
     def __init__(self, store: memory.MemoryKeyValue) -> None:
         self._store = store
@@ -45,14 +45,14 @@
 
 
 class Node:
-    """Run the controllers of one incarnation."""
+    """Run the controllers of one process of an instance."""
 
     def __init__(self, fleet: Fleet, me: Instance) -> None:
         self.me = me
         self._fleet = fleet
         self.blackboard = Blackboard(own_instance=me)
-        # The highest revision that was ever in force here.
-        self.reached = 0
+        # Highest revision that was in force on this node.
+        self.highest_revision = 0
         peers = fleet.network.peers_of(me)
         self._store = NodeStore(fleet.store)
         self.dissemination = dissemination.DisseminationController(
@@ -79,7 +79,7 @@
         return 0 if head is None else head.revision
 
     def kill(self) -> None:
-        """End without a word."""
+        """Stop without notifying the other nodes."""
         self._store.is_killed = True
         for following in self._following:
             following.cancel()
@@ -94,7 +94,7 @@
 
 
 class Fleet:
-    """Start, stop and watch nodes."""
+    """Start, stop and check nodes."""
 
     def __init__(self, count: int, data_centres: int = 2) -> None:
         self.clock = task.Clock()
@@ -113,7 +113,7 @@
         self.nodes_by_id: dict[InstanceId, Node] = {}
 
     def live(self) -> list[Instance]:
-        """Return all instances: the view lags behind every loss."""
+        """Return all instances, as if no failure was detected yet."""
         return self.instances
 
     def start(self, *numbers: int) -> None:
@@ -130,14 +130,14 @@
         return self.nodes_by_id[self.instances[number].id]
 
     def cut_off(self, number: int) -> None:
-        """Let an instance and all others hear nothing of each other."""
+        """Drop all messages between an instance and the others."""
         cut = self.instances[number].id
         for other in self.instances:
             if other.id != cut:
                 self.network.silent |= {(cut, other.id), (other.id, cut)}
 
     def advance(self, seconds: float) -> None:
-        """Let time pass; check that no revision ever reverts."""
+        """Advance the clock; check that no revision reverts."""
         end = self.clock.seconds() + seconds
         while (calls := self.clock.getDelayedCalls()) and (
             due := min(call.getTime() for call in calls)
@@ -147,14 +147,16 @@
         self.clock.advance(end - self.clock.seconds())
 
     def check(self) -> None:
-        """Raise if a node went back to a lower revision."""
+        """Raise if a node reverted to a lower revision."""
         for node in self.nodes_by_id.values():
-            if node.revision < node.reached:
-                raise AssertionError(f'{node.me.id} went back')
-            node.reached = node.revision
+            if node.revision < node.highest_revision:
+                raise AssertionError(
+                    f'{node.me.id} reverted to a lower revision'
+                )
+            node.highest_revision = node.revision
 
     def apply(self, number: int, base: int, *names: str, **more: Any) -> Any:
-        """Apply a document at an instance; return where it will end."""
+        """Apply a document at an instance; return the list for the result."""
         return self.outcome(
             self.node(number).configuration.apply(
                 f'operator-{number}', base, document(*names), **more
@@ -162,7 +164,7 @@
         )
 
     def outcome(self, awaitable: Any) -> list[Any]:
-        """Begin something; its result or failure is listed at its end."""
+        """Start a coroutine; return a list that receives its result."""
         results: list[Any] = []
         defer.ensureDeferred(awaitable).addBoth(results.append)
         return results
--- a/packages/yuccarill-daemon/tests/controllers/memory_fleet.py
+++ b/packages/yuccarill-daemon/tests/controllers/memory_fleet.py
@@ -1,4 +1,4 @@
-"""Join membership controllers in memory, with faults between them."""
+"""Connect membership controllers in memory and inject faults."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class PausableClock:
-    """Hold calls back while their process is stopped."""
+    """Delay timers and messages while the process is paused."""
 
     def __init__(self, clock: task.Clock) -> None:
         self._clock = clock
@@ -47,7 +47,7 @@
             function()
 
     def resume(self) -> None:
-        # A woken process runs its timers before it reads its sockets.
+        # A resumed process runs its timers before it reads its sockets.
         self.is_paused = False
         waiting = self.held_timers + self.held_bytes
         self.held_timers, self.held_bytes = [], []
@@ -56,7 +56,7 @@
 
 
 class Process:
-    """Hold one instance's controller and what surrounds it."""
+    """Run the membership controller of one instance."""
 
     def __init__(self, fleet: Fleet, me: Instance, start: int) -> None:
         self.me = me
@@ -75,16 +75,16 @@
         return {i.id for i in self.controller.live()}
 
     async def read(self) -> list[Instance]:
-        """Stand in for the instance list."""
+        """Read the simulated instance list."""
         return self._fleet.read_list(self.me.id)
 
     async def request(self, peer: Instance, body, seconds: float):
-        """Stand in for the streams to peers."""
-        return await self._fleet.carry(self, peer.id, body)
+        """Send a request to a simulated peer."""
+        return await self._fleet.deliver(self, peer.id, body)
 
 
 class Fleet:
-    """Carry messages between processes and order faults."""
+    """Deliver messages between processes and inject faults."""
 
     def __init__(
         self, size: int, seed: int = 1, centres: int = 3, clock=None
@@ -93,11 +93,11 @@
         self.chance = random.Random(seed)
         self.processes_by_id: dict[str, Process] = {}
         self.listed_by_id: dict[str, Instance] = {}
-        # Pairs whose messages vanish, in the order source and target.
+        # Pairs of source and target whose messages are dropped.
         self.cut: set[tuple[str, str]] = set()
-        # Pairs that can not be dialled, while replies still pass.
+        # Pairs that can not connect, while replies still pass.
         self.blocked: set[tuple[str, str]] = set()
-        # The list's replicas are cut off along with their readers.
+        # Whether the network cuts apply to the instance list as well.
         self.is_list_split = False
         self.is_list_down = False
         self.loss = 0.0
@@ -168,14 +168,14 @@
             self.clock.advance(step)
 
     def views(self, leaving_out: str = '') -> set[frozenset[str]]:
-        """Return the different sets of live ids that instances see."""
+        """Return the distinct sets of live ids that instances see."""
         return {
             frozenset(process.live_ids())
             for process in self.up()
             if process.me.id != leaving_out
         }
 
-    def carry(self, source: Process, target: str, body) -> defer.Deferred:
+    def deliver(self, source: Process, target: str, body) -> defer.Deferred:
         reply: defer.Deferred = defer.Deferred()
         self._send(source.me.id, target, body, reply, source)
         if self.is_doubling:
--- a/packages/yuccarill-daemon/tests/controllers/rollout_world.py
+++ b/packages/yuccarill-daemon/tests/controllers/rollout_world.py
@@ -1,4 +1,4 @@
-"""Two holders, a store and a trainer in memory, with faults to order."""
+"""Simulate holders, disks and a store in memory, with faults."""
 
 from __future__ import annotations
 
@@ -51,16 +51,16 @@
 
 
 class StoreFault(enum.Enum):
-    """Say how the store fails a write."""
+    """Name a fault of a store write."""
 
     DOWN = 'down'
     REPLY_LOST = 'reply lost'
-    # The write takes effect, then nothing is answered for a while.
+    # The write succeeds, then the store is down.
     DOWN_AFTER = 'down after'
 
 
 class FakeStore:
-    """Offer compare-and-swap in memory."""
+    """Implement compare-and-swap in memory."""
 
     def __init__(self) -> None:
         self.values_by_key: dict[str, tuple[int, bytes]] = {}
@@ -92,30 +92,30 @@
 
 
 class Gates:
-    """Hold work back at named places until a test lets it go on."""
+    """Block work at named gates until a test opens them."""
 
     def __init__(self) -> None:
-        self.shut: set[str] = set()
+        self.closed: set[str] = set()
         self._waiting_by_name: dict[str, list[defer.Deferred[None]]] = (
             collections.defaultdict(list)
         )
 
     async def arrive(self, name: str) -> None:
-        if name in self.shut:
+        if name in self.closed:
             waiting: defer.Deferred[None] = defer.Deferred()
             self._waiting_by_name[name].append(waiting)
             await waiting
 
     def open(self) -> None:
-        """Let all go on, and hold nothing back any more."""
-        self.shut = set()
+        """Open all gates and resume the blocked work."""
+        self.closed = set()
         for name in list(self._waiting_by_name):
             for waiting in self._waiting_by_name.pop(name):
                 if not waiting.called:
                     waiting.callback(None)
 
     def cut(self, *names: str) -> None:
-        """Fail what is held back, as a broken connection does."""
+        """Fail blocked work, as a lost connection does."""
         for name in names:
             for waiting in self._waiting_by_name.pop(name, []):
                 if not waiting.called:
@@ -123,20 +123,20 @@
 
 
 class FakeFleet:
-    """Stand for engines and the scorer.
+    """Simulate the engines and the scorer.
 
-    A token tells its weight version and its position in the sample.
+    A token encodes its weight version and its position in the sample.
     """
 
     def __init__(self, gates: Gates) -> None:
         self.version = WeightVersion(1)
         self.gates = gates
-        self.holds_after = 1 << 30
-        self.fails = 0
-        self.scorer_fails = 0
-        # Streams whose chunks name no weight version.
-        self.unnamed = 0
-        # Samples that engines report to wait.
+        self.blocks_after = 1 << 30
+        self.failures = 0
+        self.scorer_failures = 0
+        # Number of streams whose chunks have no weight version.
+        self.unversioned = 0
+        # Number of queued samples that engines report.
         self.queued = 0
         self.priorities: set[int] = set()
         self.made = 0
@@ -146,42 +146,42 @@
         address: str,
         request: dict[str, Any],
         seconds: float,
-        take: Any,
-        note: Any,
+        on_chunk: Any,
+        on_report: Any,
     ) -> None:
         self.made += 1
         self.priorities.add(request['priority'])
-        note(LoadReport(in_flight=16, queued=self.queued))
-        if self.made > self.holds_after:
-            self.gates.shut.add('assigned')
+        on_report(LoadReport(in_flight=16, queued=self.queued))
+        if self.made > self.blocks_after:
+            self.gates.closed.add('assigned')
         await self.gates.arrive('assigned')
-        if self.fails:
-            self.fails -= 1
+        if self.failures:
+            self.failures -= 1
             raise errors.AnswerCut('the engine broke off')
-        if self.unnamed:
-            self.unnamed -= 1
-            take(Chunk(None, (1, 2)))
+        if self.unversioned:
+            self.unversioned -= 1
+            on_chunk(Chunk(None, (1, 2)))
         half = request['max_tokens'] // 2
         start = len(request['resume_tokens'])
-        self._take(take, start, half)
+        self._send_chunk(on_chunk, start, half)
         await self.gates.arrive('generating')
-        self._take(take, max(start, half), request['max_tokens'])
+        self._send_chunk(on_chunk, max(start, half), request['max_tokens'])
 
-    def _take(self, take: Any, start: int, end: int) -> None:
+    def _send_chunk(self, on_chunk: Any, start: int, end: int) -> None:
         tokens = tuple(self.version * 1000 + n for n in range(start, end))
         if tokens:
-            take(Chunk(self.version, tokens))
+            on_chunk(Chunk(self.version, tokens))
 
     async def score(self, address: str, sample: Any) -> float:
         await self.gates.arrive('scoring')
-        if self.scorer_fails:
-            self.scorer_fails -= 1
+        if self.scorer_failures:
+            self.scorer_failures -= 1
             raise errors.AnswerCut('the scorer failed')
         return 0.5
 
 
 class FakeDisk:
-    """Stand for a disk instance whose log is real."""
+    """Simulate a disk instance with a real disk log."""
 
     def __init__(self, world: World, name: str, centre: str) -> None:
         self._world = world
@@ -192,26 +192,26 @@
         self.open()
 
     def open(self) -> None:
-        """Start on what the folder holds, and enter the registry."""
+        """Open the log in the folder and register the disk."""
         self.log = disk_log.DiskLog(self.folder, segment_bytes=400)
         ledger = step_ledger.StepLedger(self._world.store)
         self.store = disk_store.DiskStore(self.log, ledger, self._world.clock)
-        mine = replicas.Disk(
+        own_disk = replicas.Disk(
             instance=self.name,
             data_centre=self.centre,
             store_id=self.log.store_id,
         )
-        self._world.run(self._world.registry.refresh(mine))
+        self._world.run(self._world.registry.refresh(own_disk))
 
     def replace(self) -> None:
-        """Lose the folder for good and start with an empty one."""
+        """Replace the folder by an empty one."""
         self.log.close()
         shutil.rmtree(self.folder)
         self.open()
 
 
 class World:
-    """Hold what outlives a holder, and start holders."""
+    """Hold the shared services and start holders."""
 
     def __init__(self, folder: pathlib.Path | None = None) -> None:
         self.clock = task.Clock()
@@ -235,18 +235,18 @@
         ]
 
     def run(self, work: Coroutine[Any, Any, Any]) -> Any:
-        """Run a coroutine, and half a second of all else."""
+        """Run a coroutine within half a second of simulated time."""
         outcome: list[Any] = []
         defer.ensureDeferred(work).addBoth(outcome.append)
         self.clock.pump([0.05] * 10)
         if not outcome:
-            raise AssertionError('it still waits')
+            raise AssertionError('The coroutine did not finish.')
         if hasattr(outcome[0], 'raiseException'):
             outcome[0].raiseException()
         return outcome[0]
 
     def fetch(self, holder: Any) -> Any:
-        """Fetch step 1 as a trainer does, until it is whole."""
+        """Fetch step 1 until it is complete, as a trainer does."""
         for _ in range(5):
             try:
                 return self.run(holder.fetch(TRAINER, StepNumber(1)))
@@ -255,7 +255,7 @@
         raise last
 
     def start(self, name: str, incarnation: str = 'i1') -> Any:
-        """Start an instance, or restart it with nothing remembered."""
+        """Start an instance, or restart it without its state."""
         blackboard = Blackboard(own_instance=_instance(name), snapshot=_head())
         identity = Incarnation(f'{name}{incarnation}')
         store = sample_store.SampleStore(
@@ -292,7 +292,7 @@
 def request(
     step: int = 1, newest: int = 1, prompt: str = 'p'
 ) -> step_module.StepRequest:
-    """Ask for two groups of two samples."""
+    """Return a request for two groups of two samples."""
     groups = tuple(
         step_module.Group(f'{prompt}{number}', samples=2)
         for number in range(2)
--- a/packages/yuccarill-daemon/tests/controllers/test_attempts.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_attempts.py
@@ -1,4 +1,4 @@
-"""Test queues, extra attempts and targets that come and go."""
+"""Test queues, retries, hedges and changes of targets."""
 
 from __future__ import annotations
 
@@ -30,17 +30,15 @@
         return found
 
     def test_removed_target_gets_no_new_work(self) -> None:
-        # An operator takes a target out of the inventory. The next call
-        # goes elsewhere although the target would have been chosen.
+        # Guards against calls to a target removed from the inventory.
         self.world.configure(HOME, (82,))
         for _ in range(5):
             self.send()
             self.assertEqual(82, self.connection().port)
 
     def test_slow_call_gets_a_second_attempt_and_keeps_its_first(self) -> None:
-        # A target takes a call and stays silent. A second attempt goes to
-        # the other target within the time, and the first answer counts;
-        # the silent connection is closed.
+        # Guards against a silent target delaying a call: a parallel attempt
+        # goes to another target and the first answer counts.
         result = self.send()
         silent = self.connection()
         self.world.reactor.advance(4.0)
@@ -60,16 +58,15 @@
         self.assertIsNotNone(result.error.retry_after)
 
     def test_retries_stay_within_the_budget(self) -> None:
-        # All targets refuse. Were each call tried three times, targets
-        # that come back would meet three times their load.
+        # Guards against retries multiplying the load on targets that recover.
         self.world.configure(HOME, FAST)
         for _ in range(200):
             self.send()
-            while (made := self.world.connection()) is not None:
-                made.lose()
+            while (connection := self.world.connection()) is not None:
+                connection.lose()
         self.assertLessEqual(self.world.opened, 200 + 10 + 20 + 1)
 
-    def test_caller_that_went_away_frees_its_place(self) -> None:
+    def test_disconnected_caller_frees_its_slot(self) -> None:
         result = self.send()
         connection = self.connection()
         result.deferred.cancel()
@@ -92,36 +89,35 @@
         return self.world.send('a', None, path='status', caller=caller)
 
     def end(self) -> None:
-        made = self.world.connection()
-        assert made is not None
-        made.open()
-        made.reply(call_world.ANSWER)
+        connection = self.world.connection()
+        assert connection is not None
+        connection.open()
+        connection.reply(call_world.ANSWER)
 
-    def test_queued_calls_go_on_in_turn(self) -> None:
+    def test_queued_calls_run_in_order(self) -> None:
         results = [self.send() for _ in range(3)]
         for result in results:
             self.assertFalse(result.is_settled)
             self.end()
             self.assertEqual(b'paid', result.answer.body)
 
-    def test_sheds_internal_calls_first_and_tells_them_at_once(self) -> None:
-        # Internal calls wait when riders' calls come. The newest internal
-        # one is refused, not run, with a time to come back; none is lost.
+    def test_sheds_internal_calls_first_and_at_once(self) -> None:
+        # Guards against shedding latency-sensitive calls before internal ones,
+        # and against lost calls.
         self.send()
         internal = [self.send(is_internal=True) for _ in range(2)]
-        rider = self.send()
+        urgent = self.send()
         self.assertIsInstance(internal[1].error, errors.Overloaded)
         self.assertIsNotNone(internal[1].error.retry_after)
         self.end()
         self.end()
-        self.assertIsNotNone(rider.answer)
+        self.assertIsNotNone(urgent.answer)
         self.end()
         self.assertIsNotNone(internal[0].answer)
 
     def test_gives_up_a_queued_call_before_its_deadline(self) -> None:
-        # The one place is held by a charge whose target is silent, past its
-        # caller's deadline. The queued call is told in time that it has
-        # not run.
+        # Guards against keeping a queued call past its deadline while the only
+        # slot is taken by a silent target.
         ticket = str(self.world.calls[HOME].new_ticket())
         self.world.send('a', ticket)
         charge = self.world.connection()
@@ -132,7 +128,7 @@
         self.assertTrue(queued.error.not_run)
         self.assertEqual(1, len(self.world.reactor.connecting))
 
-    def test_queued_caller_that_went_away_is_not_sent(self) -> None:
+    def test_call_of_disconnected_caller_is_not_sent(self) -> None:
         self.send()
         gone = self.send()
         gone.deferred.cancel()
@@ -141,10 +137,9 @@
         self.send()
         self.end()
 
-    def test_ending_instance_refuses_what_waits(self) -> None:
-        # The operator sends a second SIGTERM. The call at the target may
-        # still be answered; those behind it are told that they did not
-        # run, and are not sent when their turn would come.
+    def test_stopping_instance_refuses_queued_calls(self) -> None:
+        # Guards against running queued calls after a second SIGTERM; the call
+        # in flight may still be answered.
         running = self.send()
         waiting = [self.send(), self.send()]
         self.world.calls[HOME].refuse_waiting()
@@ -154,8 +149,8 @@
         self.assertEqual(1, len(self.world.reactor.connecting))
 
     def test_long_queue_of_refused_calls_ends(self) -> None:
-        # Each call ends at once, which lets the next one in. That must
-        # not nest with the length of the queue.
+        # Guards against recursion as deep as the queue when each call ends at
+        # once and admits the next.
         policy = dispatcher.Policy(
             limit=limit.LimitPolicy(initial=1.0, lowest=1.0, highest=1.0),
             admission=admission.AdmissionPolicy(queued=2000, headroom=1.0),
--- a/packages/yuccarill-daemon/tests/controllers/test_configuration.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_configuration.py
@@ -43,10 +43,9 @@
         self.assertLessEqual(calls['write'], 40 + 2 * 3)
 
     def test_store_goes_away_right_after_the_write(self) -> None:
-        # The operator is told that the change stands; then the store is
-        # gone and no watcher hears of it. The instance that applied it
-        # sends it to the watchers of every data centre, so it is in force
-        # everywhere all the same, before any exchange could bring it.
+        # Guards against losing an applied change when the store fails right
+        # after the write: the applying instance sends it to the watchers of
+        # each data centre before any exchange.
         self.start_with_revision_1(*range(6))
         self.fleet.store.fault = memory.WriteFault.DOWN_AFTER
         results = self.fleet.apply(0, 1, 'a', 'b')
@@ -56,9 +55,8 @@
         self.assertEqual({2}, self.revisions())
 
     def test_a_silent_instance_catches_up(self) -> None:
-        # One instance hears nothing while many changes are made, more than
-        # a head carries on its way. Once it hears again it finds the gap,
-        # fetches the whole document from a peer and is up to date.
+        # Guards against an instance staying behind after missing more changes
+        # than a head contains; it fetches the document from a peer.
         self.start_with_revision_1(*range(6))
         self.fleet.cut_off(3)
         for base in range(1, 30):
@@ -69,10 +67,9 @@
         self.fleet.advance(IN_FORCE_SECONDS)
         self.assertEqual({30}, self.revisions())
 
-    def test_a_large_change_does_not_rush_the_platform(self) -> None:
-        # A change is too large to travel as a delta, so every instance has
-        # a gap at once. The watchers fetch the document from the platform,
-        # all others from the watchers, and nobody is late.
+    def test_a_large_change_does_not_overload_the_platform(self) -> None:
+        # Guards against all instances loading from the platform when a change
+        # is too large for a delta.
         self.fleet = fleet_module.Fleet(24)
         self.start_with_revision_1(*range(24))
         before = self.fleet.store.calls_by_kind['read']
@@ -83,9 +80,8 @@
         self.assertLessEqual(reads, 2 * 4 + 2)
 
     def test_a_document_nobody_can_read_is_not_taken(self) -> None:
-        # A later program wrote a revision whose digest this one does not
-        # come to. Every instance keeps what it has and asks again, but
-        # seldom, and none builds a change of its own on it.
+        # Guards against activating a revision whose digest does not match,
+        # polling for it at a high rate, and applying changes based on it.
         self.start_with_revision_1(*range(6))
         store = self.fleet.store
         head = head_module.decode(store.peek(head_module.HEAD_KEY).value)
@@ -110,9 +106,8 @@
         self.assertRefused(errors.StoreUnavailable, results)
 
     def test_a_garbled_record_does_not_block_its_version(self) -> None:
-        # A record whose body can't be read spreads under the version that
-        # the next revision will have. That revision's own record is no
-        # longer newer, but whoever met the gap looks for the document.
+        # Guards against a malformed record blocking the valid record of the
+        # same version.
         self.start_with_revision_1(*range(6))
         garbled = Record(head_module.HEAD_KEY, 2, b'garbled')
         self.fleet.node(0).dissemination.publish(garbled)
@@ -121,10 +116,9 @@
         self.fleet.advance(IN_FORCE_SECONDS)
         self.assertEqual({2}, self.revisions())
 
-    def test_a_lost_copy_is_made_good(self) -> None:
-        # Nobody hears of a change but the watchers: all else are cut off
-        # while it goes down the tree. Nothing is sent again, but each finds
-        # a partner with a higher version at its next exchange.
+    def test_a_lost_record_is_recovered(self) -> None:
+        # Guards against lost records: instances cut off during dissemination
+        # get them from a partner in the next exchange.
         self.fleet = fleet_module.Fleet(12)
         self.start_with_revision_1(*range(12))
         for number in range(12):
@@ -137,8 +131,8 @@
         self.assertEqual({2}, self.revisions())
 
     def test_starts_from_peers_while_the_store_is_away(self) -> None:
-        # The store is down and an instance is replaced. The new one must
-        # not serve before its peers have answered, and then what they have.
+        # Guards against a new instance serving before its peers answer while
+        # the store is down.
         self.start_with_revision_1(*range(6))
         self.fleet.store.is_down = True
         self.fleet.kill(2)
@@ -148,9 +142,8 @@
         self.assertEqual({1}, self.revisions())
 
     def test_starts_at_the_highest_of_its_peers(self) -> None:
-        # One peer lags, cut off from the others, and a new instance starts
-        # without the store. It asks several and takes the highest; the
-        # laggard's answer alone, though first, must not come into force.
+        # Guards against a starting instance using the revision of a single
+        # outdated peer that answers first.
         self.start_with_revision_1(0, 1, 2, 3, 4)
         self.fleet.cut_off(1)
         self.fleet.apply(0, 1, 'a', 'b')
@@ -169,15 +162,14 @@
             seen.add(self.fleet.node(5).revision)
         self.assertEqual({0, 2}, seen)
 
-    def test_serves_nothing_with_neither(self) -> None:
+    def test_serves_nothing_without_store_and_peers(self) -> None:
         self.fleet.store.is_down = True
         self.fleet.start(0)
         self.fleet.advance(10.0)
         self.assertIsNone(self.fleet.node(0).blackboard.snapshot)
 
     def test_apply_during_an_outage_never_takes_effect(self) -> None:
-        # The store is down when the operator applies. The refusal is plain,
-        # and when the store comes back nothing of the change turns up.
+        # Guards against a change refused in an outage taking effect later.
         self.start_with_revision_1(*range(6))
         self.fleet.store.is_down = True
         results = self.fleet.apply(0, 1, 'a', 'b')
@@ -192,9 +184,8 @@
     def test_refused_write_does_not_land(
         self, fault: memory.WriteFault
     ) -> None:
-        # The swap is held up in the network and the operator is refused.
-        # It arrives after the refusal; the fence has moved the version on,
-        # so the service turns it away and nothing changes anywhere.
+        # Guards against a delayed write taking effect after the refusal; the
+        # fence makes the store reject it.
         self.start_with_revision_1(*range(6))
         self.fleet.store.fault = fault
         results = self.fleet.apply(0, 1, 'a', 'b')
@@ -208,9 +199,8 @@
         self.assertEqual({2}, self.revisions())
 
     def test_unknown_change_is_settled_when_the_store_is_back(self) -> None:
-        # The swap is held up and the store goes down before anything can be
-        # read back: the operator is told "unknown". As soon as the store
-        # answers, the instance fences the write; it can land no more.
+        # Guards against a write with unknown outcome taking effect late: the
+        # instance fences it once the store is back.
         self.start_with_revision_1(*range(6))
         self.fleet.store.fault = memory.WriteFault.DELAYED_THEN_DOWN
         results = self.fleet.apply(0, 1, 'a', 'b')
@@ -230,7 +220,7 @@
         self.assertEqual(2, results[0].revision)
         self.assertEqual({2}, self.revisions())
 
-    def test_of_two_operators_one_is_told_of_the_other(self) -> None:
+    def test_of_two_operators_one_gets_a_conflict(self) -> None:
         self.start_with_revision_1(*range(6))
         both = [self.fleet.apply(n, 1, 'a', f'b{n}') for n in (0, 1)]
         self.fleet.advance(IN_FORCE_SECONDS)
--- a/packages/yuccarill-daemon/tests/controllers/test_configuration_machine.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_configuration_machine.py
@@ -1,4 +1,4 @@
-"""Search interleavings of faults for a revision that reverts."""
+"""Test random interleavings of faults for reverted revisions."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 from controllers import fleet as fleet_module
 
-# Four watch, three only hear from peers.
+# Four instances are watchers; three depend on peers.
 COUNT = 7
 HEAL_SECONDS = 3.0
 DELAYS = (0.001, 0.002, 0.1, 0.3, 1.5)
@@ -26,17 +26,17 @@
 
 
 class ConfigurationMachine(stateful.RuleBasedStateMachine):
-    """Start, stop, cut off and configure instances at random."""
+    """Start, stop, isolate and configure instances at random."""
 
     def __init__(self) -> None:
         super().__init__()
         self.fleet = fleet_module.Fleet(COUNT)
         generator = random.Random(COUNT)
-        # Messages overtake each other; some arrive long after the request
-        # was given up.
+        # Messages are reordered; some arrive long after their request timed
+        # out.
         self.fleet.network.delay = lambda *_: generator.choice(DELAYS)
         self.applies: list[tuple[str, list[Any]]] = []
-        # The one digest that a revision may have, anywhere and ever.
+        # The only digest that each revision may have.
         self.digests_by_revision: dict[int, str] = {}
 
     @stateful.initialize()
@@ -91,10 +91,10 @@
             if node is not None and node.revision > lag:
                 change = f'c{len(self.applies)}'
                 base = node.revision - lag
-                told = self.fleet.apply(
+                results = self.fleet.apply(
                     number, base, f'm{change}', change_id=change
                 )
-                self.applies.append((change, told))
+                self.applies.append((change, results))
         self.fleet.advance(seconds)
 
     @stateful.rule(seconds=strategies.sampled_from((0.02, 0.1, 1.0, 4.0)))
@@ -120,8 +120,7 @@
         self.fleet.network.delay = lambda *_: DELAYS[0]
         self.fleet.store.is_down = False
         self.fleet.store.fault = None
-        # An operator is told within some seconds, and only then is what was
-        # told held against delayed writes.
+        # Lets all operators get their results before the delayed writes land.
         self.fleet.advance(8.0)
         self.fleet.store.land_delayed()
         for number, instance in enumerate(self.fleet.instances):
@@ -136,18 +135,18 @@
             assert node.blackboard.snapshot.digest == trail[-1].digest
         revisions_by_change = {c.change_id: c.revision for c in trail}
         assert len(revisions_by_change) == len(trail)
-        for change, told in self.applies:
-            self.check_told(told, revisions_by_change.get(change))
+        for change, results in self.applies:
+            self.check_results(results, revisions_by_change.get(change))
 
-    def check_told(self, told: list[Any], revision: int | None) -> None:
-        """Hold what an operator was told against the audit trail."""
-        if not told:
-            # The instance was killed before it answered.
+    def check_results(self, results: list[Any], revision: int | None) -> None:
+        """Compare an operator's result with the audit trail."""
+        if not results:
+            # The instance was killed before it replied.
             return
-        if not isinstance(told[0], failure.Failure):
-            assert told[0].revision == revision
-        elif not told[0].check(errors.ApplyOutcomeUnknown):
-            assert told[0].check(
+        if not isinstance(results[0], failure.Failure):
+            assert results[0].revision == revision
+        elif not results[0].check(errors.ApplyOutcomeUnknown):
+            assert results[0].check(
                 errors.StoreUnavailable, errors.RevisionConflict
             )
             assert revision is None
@@ -170,10 +169,8 @@
 
 class ConfigurationMachineTest(unittest.TestCase):
     def test_no_interleaving_reverts_a_revision(self) -> None:
-        # Instances come and go, cut off from each other and from the store,
-        # while operators race. What stands at an instance never goes back,
-        # a revision is the same document everywhere, what operators were
-        # told is true, and all agree 3 s after the last fault.
+        # Guards against reverted or diverging revisions, wrong results for
+        # operators and slow convergence under random faults.
         stateful.run_state_machine_as_test(
             seed(4)(ConfigurationMachine),
             settings=settings(
@@ -181,7 +178,7 @@
                 stateful_step_count=40,
                 deadline=None,
                 database=None,
-                # Shrinking a failure here takes minutes.
+                # Shrinking a failing example is slow.
                 phases=(Phase.generate,),
             ),
         )
--- a/packages/yuccarill-daemon/tests/controllers/test_generations.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_generations.py
@@ -1,4 +1,4 @@
-"""Test streams of model calls that are cut, go silent or are left."""
+"""Test interrupted, silent and abandoned streams of model calls."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Engines:
-    """Make tokens up to a script, then end as it says."""
+    """Generate tokens and end as scripted."""
 
     def __init__(self) -> None:
         self.ends: list[tuple[int, Exception | None]] = []
@@ -30,13 +30,18 @@
         self.cancelled = 0
 
     async def generate(
-        self, address: str, request: Any, seconds: float, take: Any, note: Any
+        self,
+        address: str,
+        request: Any,
+        seconds: float,
+        on_chunk: Any,
+        on_report: Any,
     ) -> None:
         self.sent.append((address, request))
         position = len(request['resume_tokens'])
         until, error = self.ends.pop(0)
         for token in WHOLE[position:until]:
-            take(token_stream.Chunk(WeightVersion(1), (token,)))
+            on_chunk(token_stream.Chunk(WeightVersion(1), (token,)))
         if error is None:
             return
         if isinstance(error, TimeoutError):
@@ -74,9 +79,11 @@
         )
 
     @params(0, 1, 5, 7)
-    def test_goes_on_elsewhere_from_the_tokens_so_far(self, cut: int) -> None:
-        # An engine dies in the middle of an answer. Another makes the
-        # rest, and the caller sees one whole answer with no token twice.
+    def test_resumes_on_another_engine_from_the_tokens_so_far(
+        self, cut: int
+    ) -> None:
+        # Guards against lost or duplicate tokens when an engine fails during
+        # an answer.
         result = self.generate((cut, CUT), (8, None))
         self.assertIsNone(result.error)
         self.assertEqual(list(WHOLE), self.tokens)
@@ -89,14 +96,13 @@
         self.assertEqual(list(WHOLE), self.tokens)
 
     def test_ends_with_an_error_when_no_engine_is_left(self) -> None:
-        # All engines cut the answer. The caller has a part of it, so the
-        # error may not say that the call has not run.
+        # Guards against reporting a partly delivered call as not run.
         result = self.generate((3, CUT), (5, CUT), (5, NOT_RUN))
         self.assertIsInstance(result.error, errors.AnswerCut)
 
-    def test_caller_that_went_away_stops_it_for_good(self) -> None:
-        # The caller leaves in the middle. The engine is told, and no other
-        # engine goes on with an answer that nobody reads.
+    def test_disconnected_caller_stops_generation(self) -> None:
+        # Guards against engines generating an answer for a disconnected
+        # caller.
         result = self.generate((3, TimeoutError()), (8, None))
         result.deferred.cancel()
         self.assertEqual(1, self.engines.cancelled)
--- a/packages/yuccarill-daemon/tests/controllers/test_leases.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_leases.py
@@ -1,4 +1,4 @@
-"""Test leases as instances keep them by calls to a store and to peers."""
+"""Test lease controllers with a simulated store and peers."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class FakeSystem:
-    """Be the store, the peers, the members and the spread of records."""
+    """Simulate the store, peers, membership and dissemination."""
 
     def __init__(self) -> None:
         self.clock = task.Clock()
@@ -114,9 +114,9 @@
         self.assertEqual(1, controller.epoch_for('trainer/t'))
         self.assertEqual('a', controller.holder_of('trainer/t').id)
 
-    def test_graceful_shutdown_hands_everything_over(self) -> None:
-        # One instance stops. It asks its heir for a session and names it in
-        # the write that ends its own hold; callers find the heir at once.
+    def test_graceful_shutdown_transfers_all_shards(self) -> None:
+        # Guards against a gap between holders on graceful shutdown: the write
+        # that ends a lease names the session of the successor.
         self.system.add('b')
         self.system.run(10)
         self.assertGreater(self.system.held('a'), 0)
@@ -128,9 +128,8 @@
         self.assertEqual(shards.SHARD_COUNT, self.system.held('b'))
         self.assertEqual(0, self.system.held('a'))
 
-    def test_unforeseen_failure_of_the_store_is_survived(self) -> None:
-        # An error that no adapter names must not stop the renewals for
-        # good: the lease would end and nobody would notice why.
+    def test_recovers_from_an_unexpected_store_error(self) -> None:
+        # Guards against an unexpected error permanently ending lease renewal.
         self.system.fault = RuntimeError('unforeseen')
         self.system.run(20)
         self.assertEqual(0, self.system.held('a'))
--- a/packages/yuccarill-daemon/tests/controllers/test_membership.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_membership.py
@@ -1,4 +1,4 @@
-"""Test views of the members under faults, on a clock set by hand."""
+"""Test membership views under faults, on a simulated clock."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 LIVES = {
     **{(S.ALIVE, f): f is not F.CRASH for f in F},
     **{(S.SUSPECT, f): f is not F.CRASH for f in F},
-    # The list goes on showing it as leaving, a restarted one excepted.
+    # The list still shows the target as leaving, unless it restarted.
     **{(S.LISTED_LEAVING, f): f is F.RESTART for f in F},
     **{(S.LEAVING, f): f is F.RESTART for f in F},
     **{(S.GONE, f): f is F.RESTART for f in F},
@@ -46,7 +46,7 @@
 
 
 def enter(fleet: memory_fleet.Fleet, state: MemberState) -> None:
-    """Bring the target into a state that all others have seen."""
+    """Bring the target into a state known to all others."""
     target = fleet.processes_by_id[TARGET]
     match state:
         case MemberState.SUSPECT:
@@ -66,7 +66,7 @@
 
 
 def strike(fleet: memory_fleet.Fleet, fault: Fault) -> None:
-    """Let a fault happen to the target, or around it."""
+    """Inject a fault that affects the target."""
     target = fleet.processes_by_id[TARGET]
     match fault:
         case Fault.ONE_WAY_CUT:
@@ -95,10 +95,9 @@
 class FaultMatrixTest(unittest.TestCase):
     @params(*itertools.product(MemberState, Fault))
     def test_cell(self, state: MemberState, fault: Fault) -> None:
-        # Callers are told addresses from any instance's view. The target
-        # is in some state when the fault strikes; some seconds later every
-        # other instance must see the same members, the target among them
-        # only if it runs, is reached by most and does not leave.
+        # Guards against instances disagreeing on the members after a fault.
+        # The target counts only if it runs, is reachable by most and is not
+        # leaving.
         fleet = memory_fleet.Fleet(SIZE)
         fleet.pass_time(4.0)
         enter(fleet, state)
@@ -118,9 +117,9 @@
         self.fleet.pass_time(2.0)
         self.assertEqual({frozenset(OTHERS)}, self.fleet.views())
 
-    def test_leaving_instance_hears_the_news(self) -> None:
-        # It still answers callers for some seconds, who must not be sent
-        # to an instance that crashed meanwhile.
+    def test_leaving_instance_gets_updates(self) -> None:
+        # Guards against a leaving instance sending callers to an instance that
+        # crashed meanwhile.
         leaving = self.fleet.processes_by_id[TARGET]
         leaving.controller.leave()
         self.fleet.pass_time(1.0)
@@ -129,26 +128,25 @@
         self.assertEqual(OTHERS - {'i1'}, leaving.live_ids())
 
     def test_instance_that_only_sends_stays_excluded(self) -> None:
-        # Nobody can dial the target; what it dials itself works. Callers
-        # told of it would not reach it either. It learns of the suspicion
-        # from the replies to its probes, which must not clear it.
+        # Guards against listing a target that can connect to others but is
+        # unreachable itself; its own probes must not clear the suspicion.
         self.fleet.blocked |= {(other, TARGET) for other in OTHERS}
         self.fleet.pass_time(6.0)
         for _ in range(10):
             self.fleet.pass_time(1.0)
             self.assertEqual({frozenset(OTHERS)}, self.fleet.views(TARGET))
 
-    def test_instance_cut_off_alone_accuses_nobody(self) -> None:
-        # The target's outgoing packets vanish: all its probes fail. Its
-        # silence towards it is no proof against the others.
+    def test_isolated_instance_suspects_nobody(self) -> None:
+        # Guards against an instance whose outgoing packets are lost suspecting
+        # all others.
         self.fleet.cut |= {(TARGET, other) for other in OTHERS}
         self.fleet.pass_time(10.0)
         seen = self.fleet.processes_by_id[TARGET].live_ids()
         self.assertTrue(seen >= OTHERS, OTHERS - seen)
 
-    def test_woken_instance_accuses_nobody(self) -> None:
-        # The target stands still in the middle of its probes. On waking,
-        # all their time limits have passed.
+    def test_resumed_instance_suspects_nobody(self) -> None:
+        # Guards against an instance suspecting others when it resumes after a
+        # pause and all its probe timeouts have expired.
         target = self.fleet.processes_by_id[TARGET]
         for moment in range(10):
             target.clock.is_paused = True
@@ -160,9 +158,8 @@
 
     @params('down', 'split')
     def test_data_centre_cut_off_and_joined_again(self, listing) -> None:
-        # Each side goes on with its own members and takes the others back
-        # once they are reached. The list is down meanwhile, or each side
-        # reads one that lacks the other and believes it gone.
+        # Guards against a split fleet failing to rejoin, also if the list is
+        # down or shows each side only its own members.
         self.fleet.is_list_down = listing == 'down'
         self.fleet.is_list_split = listing == 'split'
         near = {p.me.id for p in self.fleet.up() if p.me.data_centre == 'dc0'}
@@ -186,21 +183,20 @@
         self.assertTrue(reads[1] <= reads[0] * 1.2, reads)
 
     def test_suspicion_is_dropped_if_the_member_answered(self) -> None:
-        # The target is judged by its silence. Before the verdict, news
-        # comes that it has started anew; the verdict is about its former
-        # process.
+        # Guards against applying a failed probe of an earlier process to a
+        # member that has restarted since.
         fleet = memory_fleet.Fleet(2)
         fleet.pass_time(3.0)
         probes = fleet.processes_by_id['i0'].controller._probes
         fleet.processes_by_id['i1'].clock.is_paused = True
         probes.tick()
         view = probes._view
-        news = msgspec.structs.replace(
+        restarted = msgspec.structs.replace(
             view.members_by_id['i1'], version=10**15, incarnation='new'
         )
-        view.merge(news)
+        view.merge(restarted)
         fleet.pass_time(1.1)
-        self.assertEqual(news, view.members_by_id['i1'])
+        self.assertEqual(restarted, view.members_by_id['i1'])
 
     def test_live_is_built_anew_only_on_a_change(self) -> None:
         controller = self.fleet.processes_by_id['i0'].controller
@@ -233,8 +229,8 @@
         )
     )
     def test_agrees_with_everybody_probing_everybody(self, events) -> None:
-        # The naive version looks at all at once: live is who runs, does
-        # not leave and is reached by most.
+        # Reference model: an instance is live if it runs, is not leaving and
+        # is reachable by most.
         fleet = memory_fleet.Fleet(8)
         fleet.pass_time(4.0)
         leaving: set[str] = set()
--- a/packages/yuccarill-daemon/tests/controllers/test_once.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_once.py
@@ -1,4 +1,4 @@
-"""Test that a non-repeatable call runs at most once, fault by fault."""
+"""Test that a non-repeatable call runs at most once under faults."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
     CALLER_GONE = enum.auto()
 
 
-# The home lets in one call at a time, so that another one queues.
+# The home admits one call at a time, so that a second one queues.
 ONE_PLACE = dispatcher.Policy(
     limit=limit.LimitPolicy(initial=1.0, lowest=1.0, highest=1.0),
     admission=admission.AdmissionPolicy(headroom=1.0),
 )
-# Faults after which a repeat gets the one answer, whatever the step.
+# Faults after which a retry gets the answer, whatever the step.
 HARMLESS = {
     Fault.REPLY_LOST,
     Fault.DUPLICATE,
@@ -49,7 +49,7 @@
 
 
 class Flow:
-    """Drive one call through its steps, and through a fault at one."""
+    """Drive one call through its steps and inject a fault."""
 
     def __init__(self, entry: str = 'b') -> None:
         self.world = call_world.World(ONE_PLACE)
@@ -106,7 +106,7 @@
                 world.unreachable.add(HOME)
             case Fault.HOME_RESTARTED:
                 world.start(HOME, 'second')
-                # Its serials begin anew, so this is the old one's too.
+                # Serials restart, so this ticket equals the old one.
                 world.calls[HOME].new_ticket()
             case Fault.CALLER_GONE:
                 for result in self.results:
@@ -114,8 +114,8 @@
             case Fault.STORE_DOWN:
                 pass
 
-    def go_on(self) -> None:
-        """Let everything that still works do its part."""
+    def make_progress(self) -> None:
+        """Let all working parts make progress."""
         if self._blocker is not None and self._blocker.transport.connected:
             self._blocker.reply(call_world.ANSWER)
         if not self._is_frozen and self._first is not None:
@@ -129,7 +129,7 @@
 
     def pass_time(self, seconds: int) -> None:
         for _ in range(seconds * 2):
-            self.go_on()
+            self.make_progress()
             self.world.reactor.advance(0.5)
 
     def _drive(self, connection: call_world.Connection) -> None:
@@ -159,10 +159,9 @@
     def test_runs_at_most_once(
         self, step: Step, fault: Fault, entry: str
     ) -> None:
-        # A caller's charge goes through one instance to its ticket's home
-        # and to a target, and a fault strikes at one step. The caller
-        # repeats it through others, as it would at a locked gate. What the
-        # target ran and what all callers were told must agree.
+        # Guards against running a charge twice or misreporting its outcome
+        # when a fault occurs at any step and the caller retries through other
+        # instances.
         flow = Flow(entry)
         flow.reach(step)
         flow.strike(fault)
@@ -184,57 +183,53 @@
             self.assertIsNotNone(last.answer, last.error)
 
     @params(Fault.REPLY_LOST, Fault.CALLER_GONE)
-    def test_tells_the_outcome(self, fault: Fault) -> None:
-        # The caller's answer is lost on its way back, or the caller went
-        # away; the call ran. Asked for its outcome, the home returns the
-        # answer, and starts nothing.
+    def test_returns_the_outcome(self, fault: Fault) -> None:
+        # Guards against losing the answer of a call whose reply was lost or
+        # whose caller disconnected; the query must start nothing.
         flow = Flow()
         flow.reach(Step.SENDING)
         flow.strike(fault)
         flow.pass_time(12)
         flow.world.mute.clear()
-        asked = call_world.Result(
+        outcome = call_world.Result(
             flow.world.calls[InstanceId('c')].outcome(
                 flow.ticket, RequestId('r')
             )
         )
-        self.assertEqual('answered', asked.answer.outcome)
-        self.assertEqual(b'paid', asked.answer.answer.body)
+        self.assertEqual('answered', outcome.answer.outcome)
+        self.assertEqual(b'paid', outcome.answer.answer.body)
 
-    def test_learns_an_outcome_that_comes_late(self) -> None:
-        # The target answers ten seconds after its caller's deadline. The
-        # caller is told at its deadline that the outcome is unknown, and
-        # learns it when it asks later.
+    def test_late_outcome_can_be_queried(self) -> None:
+        # Guards against losing an answer that arrives after the deadline.
         flow = Flow()
         flow.reach(Step.SENT)
         flow.world.reactor.advance(10.0)
         error = flow.results[0].error
         self.assertIsInstance(error, errors.OutcomeUnknown)
         flow.world.reactor.advance(10.0)
-        flow.go_on()
-        asked = call_world.Result(
+        flow.make_progress()
+        outcome = call_world.Result(
             flow.world.calls[HOME].outcome(flow.ticket, RequestId('r'))
         )
-        self.assertEqual('answered', asked.answer.outcome)
+        self.assertEqual('answered', outcome.answer.outcome)
 
-    def test_passes_on_a_refusal_of_the_home(self) -> None:
-        # No target can be connected to. The home says so to the instance
-        # that the caller used, and the caller hears not run, with when to
-        # come back; the same number stays refused when targets are back.
+    def test_forwards_a_refusal_of_the_home(self) -> None:
+        # Guards against reporting a refused call as unknown, and against
+        # running it later under the same number.
         flow = Flow()
         result = flow.send('b')
         while (connection := flow.world.connection()) is not None:
             connection.lose()
         self.assertIsInstance(result.error, errors.NotRun)
         self.assertIsNotNone(result.error.retry_after)
-        again = flow.send('c')
-        flow.go_on()
-        self.assertIsInstance(again.error, errors.NotRun)
+        repeated = flow.send('c')
+        flow.make_progress()
+        self.assertIsInstance(repeated.error, errors.NotRun)
         self.assertEqual(0, flow.world.runs['r'])
 
-    def test_runs_once_where_the_configuration_is_behind(self) -> None:
-        # The home has not heard yet that the path is not repeatable. The
-        # ticket alone must keep the call from a second attempt.
+    def test_runs_once_with_an_outdated_configuration(self) -> None:
+        # Guards against a second attempt while the configuration still lists
+        # the path as repeatable; the ticket alone must prevent it.
         flow = Flow()
         result = flow.world.send('a', flow.ticket, path='newly-listed')
         first = flow.world.connection()
@@ -249,8 +244,8 @@
 
 class RepeatableTest(unittest.TestCase):
     def test_never_says_not_run_after_an_attempt_ran(self) -> None:
-        # The first target takes the call and dies; the second can't be
-        # connected to. The last attempt did not run, but the call did.
+        # Guards against reporting a call as not run when only the last of its
+        # attempts did not run.
         world = call_world.World()
         result = world.send('a', None, path='status')
         first = world.connection()
@@ -264,8 +259,8 @@
         self.assertIsInstance(result.error, errors.OutcomeUnknown)
 
     def test_refuses_an_answer_that_may_be_cut(self) -> None:
-        # A target ends its answer by closing, as a cut would. The caller
-        # gets another target's whole answer and never the half.
+        # Guards against delivering a truncated answer when the target ends it
+        # by closing the connection.
         world = call_world.World()
         result = world.send('a', None, path='status')
         first = world.connection()
--- a/packages/yuccarill-daemon/tests/controllers/test_rollout_faults.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_rollout_faults.py
@@ -1,7 +1,7 @@
-"""The fault matrix: each fault at each stage of a sample's life.
+"""Test each fault at each stage of a sample.
 
-The trainer's own record is what is judged: it keeps every body that it was
-given, submits again what nobody knows, and asks on until it has its step.
+The trainer records each body that it receives, resubmits an unknown step and
+polls until the step is delivered. The tests check its records.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class Fault(enum.Enum):
-    """Name what goes wrong."""
+    """Name a fault."""
 
     ENGINE_KILLED = 'engine killed'
     ENGINE_SILENT = 'engine silent'
@@ -50,7 +50,7 @@
     SWAP = 'swap'
 
 
-# Where the world is held so that samples stand at a stage.
+# The gate that keeps samples at each stage.
 GATES = {
     SampleStage.ASSIGNED: 'assigned',
     SampleStage.GENERATING: 'generating',
@@ -60,24 +60,24 @@
 
 
 class Trainer:
-    """Ask as a trainer does, and keep what was received."""
+    """Simulate a trainer and record the bodies that it receives."""
 
     def __init__(self, world: rollout_world.World) -> None:
         self._world = world
         self.holder = world.start('a')
         self.newest = 1
-        # When the step was decided, or first asked for once it was whole.
+        # Newest version when the step was decided or first delivered.
         self.newest_at_decision: int | None = None
         self.bodies: list[bytes] = []
 
     def submit(self) -> None:
-        """Submit the step, as often as it takes."""
-        self._insist(
+        """Submit the step, with retries."""
+        self._retry(
             lambda: self.holder.submit(TRAINER, request(newest=self.newest))
         )
 
     def receive(self) -> None:
-        """Ask for the step until it is there."""
+        """Fetch the step until it is delivered."""
         for _ in range(POLLS):
             try:
                 body = self._world.run(self.holder.fetch(TRAINER, STEP))
@@ -93,26 +93,26 @@
                 self.newest_at_decision = self.newest
             self.bodies.append(body)
             return
-        raise AssertionError('the step never came')
+        raise AssertionError('The step was not delivered.')
 
     def announce(self, version: int) -> None:
-        """Tell a newer version."""
+        """Announce a newer version, with retries."""
         self.newest = version
-        told = WeightVersion(version)
-        self._insist(lambda: self.holder.announce(TRAINER, told))
+        announced = WeightVersion(version)
+        self._retry(lambda: self.holder.announce(TRAINER, announced))
 
     def acknowledge(self) -> None:
-        """Close the step."""
-        self._insist(lambda: self.holder.acknowledge(TRAINER, STEP))
+        """Acknowledge the step, with retries."""
+        self._retry(lambda: self.holder.acknowledge(TRAINER, STEP))
 
-    def _insist(self, ask: Any) -> None:
+    def _retry(self, ask: Any) -> None:
         for _ in range(POLLS):
             try:
                 self._world.run(ask())
                 return
             except (errors.PlatformError, errors.ClaimLost):
                 self._world.clock.pump([1.0])
-        raise AssertionError('it was never taken')
+        raise AssertionError('The request was not accepted.')
 
 
 class FaultMatrixTest(unittest.TestCase):
@@ -120,17 +120,15 @@
     def test_trainer_has_its_step_once(
         self, stage: SampleStage, fault: Fault
     ) -> None:
-        # The step is brought to the stage; then the fault happens, all that
-        # was held back goes on, and the trainer asks until it has its step.
-        # It must get one set of samples, fresh and rightly attributed,
-        # whatever happened, and no second set after it has closed the step.
+        # Guards against lost, stale, duplicate or wrongly attributed samples
+        # when a fault occurs at a stage.
         with tempfile.TemporaryDirectory() as folder:
             world = rollout_world.World(pathlib.Path(folder))
             for name in ('freising', 'rosenheim', 'muenchen'):
                 world.add_disk(name, name)
             trainer = Trainer(world)
             self._bring_to(stage, world, trainer)
-            self._cause(fault, world, trainer)
+            self._inject(fault, world, trainer)
             world.gates.open()
             if stage is not SampleStage.ACKNOWLEDGED:
                 trainer.receive()
@@ -141,11 +139,11 @@
     def _bring_to(
         self, stage: SampleStage, world: rollout_world.World, trainer: Trainer
     ) -> None:
-        world.gates.shut = {GATES.get(stage, 'none')}
+        world.gates.closed = {GATES.get(stage, 'none')}
         if stage is SampleStage.GENERATED:
-            world.fleet.scorer_fails = 6
+            world.fleet.scorer_failures = 6
         if stage is SampleStage.SUBMITTED:
-            world.fleet.fails = 1 << 30
+            world.fleet.failures = 1 << 30
         trainer.submit()
         if stage is SampleStage.IN_MANIFEST:
             self._decide(world, trainer)
@@ -156,34 +154,34 @@
             trainer.acknowledge()
             return
         self.assertIn(stage, trainer.holder.stages(TRAINER, STEP))
-        world.fleet.fails = 0
+        world.fleet.failures = 0
 
     def _decide(self, world: rollout_world.World, trainer: Trainer) -> None:
-        # The manifest stands, but the holder can't learn it: the store went
-        # down right after the write. The trainer is told to ask again.
+        # The store fails right after writing the manifest, so the holder does
+        # not learn of it and the trainer must retry.
         world.store.faults = [StoreFault.DOWN_AFTER]
         with self.assertRaises(errors.StepPending):
             world.run(trainer.holder.fetch(TRAINER, STEP))
         world.store.is_down = False
         trainer.newest_at_decision = trainer.newest
         key = records.step_key(TRAINER, STEP)
-        standing = records.decode(world.store.values_by_key[key][1])
-        self.assertIsInstance(standing, records.Manifest)
+        record = records.decode(world.store.values_by_key[key][1])
+        self.assertIsInstance(record, records.Manifest)
 
-    def _cause(
+    def _inject(
         self, fault: Fault, world: rollout_world.World, trainer: Trainer
     ) -> None:
         match fault:
             case Fault.ENGINE_KILLED:
                 world.gates.cut('assigned', 'generating')
-                world.fleet.fails = 2
+                world.fleet.failures = 2
             case Fault.ENGINE_SILENT:
-                # The adapter gives a stream up that makes no progress.
+                # The adapter times out a stream without progress.
                 world.clock.pump([1.0] * 6)
                 world.gates.cut('assigned', 'generating')
             case Fault.SCORER_FAILS:
                 world.gates.cut('scoring')
-                world.fleet.scorer_fails += 2
+                world.fleet.scorer_failures += 2
             case Fault.SCORER_LATE:
                 world.clock.pump([1.0] * 6)
                 world.gates.cut('scoring')
@@ -201,7 +199,7 @@
             case Fault.REPLY_LOST:
                 world.store.faults = [StoreFault.REPLY_LOST]
             case Fault.DISK_TORN:
-                self._tear(world)
+                self._truncate(world)
             case Fault.DISK_LOST:
                 next(iter(world.disks_by_id.values())).replace()
             case Fault.SWAP:
@@ -216,8 +214,8 @@
     def _hold_twice(
         self, world: rollout_world.World, trainer: Trainer
     ) -> None:
-        # The lease went to another instance; the first does not know, and
-        # goes on when the gates open.
+        # The first holder is unaware that its lease has moved, and continues
+        # when the gates open.
         first = trainer.holder
         world.epochs = {'a': Epoch(1), 'b': Epoch(2)}
         trainer.holder = world.start('b')
@@ -232,7 +230,7 @@
         except errors.YuccarillError:
             pass
 
-    def _tear(self, world: rollout_world.World) -> None:
+    def _truncate(self, world: rollout_world.World) -> None:
         disk = next(iter(world.disks_by_id.values()))
         disk.log.close()
         for path in disk.folder.glob('*.log'):
@@ -261,7 +259,7 @@
         position = 0
         for span in sample['spans']:
             for token in span['tokens']:
-                wanted = span['weight_version'] * 1000 + position
-                self.assertEqual(wanted, token)
+                expected = span['weight_version'] * 1000 + position
+                self.assertEqual(expected, token)
                 position += 1
         self.assertEqual(16, position)
--- a/packages/yuccarill-daemon/tests/controllers/test_rollouts.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Test that each step is decided once, whatever fails around it."""
+"""Test that each step is decided once under faults."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
         self.first = self.world.start('a')
 
     def test_leaving_instance_begins_no_step(self) -> None:
-        # The instance is asked to stop while a step is under way. The
-        # trainer may repeat and fetch that one; a new one would be cut.
+        # Guards against starting a step that shutdown would interrupt; open
+        # steps can still be repeated and fetched.
         self.world.run(self.first.submit(TRAINER, request()))
         self.first._blackboard.is_leaving = True
         self.world.run(self.first.submit(TRAINER, request()))
@@ -47,13 +47,12 @@
         with self.assertRaises(errors.StepClosed):
             self.world.run(self.first.fetch(TRAINER, STEP))
         self.assertEqual({}, self.first._work_by_key)
-        # Submitted, claimed, decided, marked and closed: five a step.
+        # Five writes per step: submit, claim, decide, mark and close.
         self.assertEqual(5, self.world.store.writes)
 
     def test_delivery_survives_lost_replies(self) -> None:
-        # The store takes each write, but its reply is lost. The holder sees
-        # the key taken when it tries again; it must know its own manifest,
-        # or the trainer would wait for a step that is decided.
+        # Guards against a holder not recognizing its own manifest after the
+        # store's reply is lost, which would block the trainer.
         self.world.run(self.first.submit(TRAINER, request()))
         self.world.store.faults = [StoreFault.REPLY_LOST]
         body = self.world.run(self.first.fetch(TRAINER, STEP))
@@ -61,8 +60,8 @@
 
     @params(0, 1, 2, 3, 4, 5)
     def test_any_write_reply_lost(self, position: int) -> None:
-        # The trainer repeats whatever failed, as after a 503; at the end it
-        # has one set of samples, and the step can't be made again.
+        # Guards against a second sample set when the trainer retries after
+        # errors.
         faults = [None] * position + [StoreFault.REPLY_LOST]
         self.world.store.faults = faults
         self.world.run(self.first.submit(TRAINER, request()))
@@ -78,9 +77,8 @@
             self.world.run(self.first.submit(TRAINER, request()))
 
     def test_two_holders_deliver_the_same(self) -> None:
-        # Both were given the step and made their own samples, since each
-        # believes it holds the trainer. Whichever decides first, the other
-        # must return those bytes, never its own.
+        # Guards against two holders delivering different samples: both must
+        # return the bytes of the first decision.
         second = self.world.start('b')
         self.world.run(self.first.submit(TRAINER, request()))
         self.world.run(second.submit(TRAINER, request()))
@@ -92,10 +90,8 @@
             self.world.run(second.fetch(TRAINER, STEP))
 
     def test_paused_holder_decides_too_late(self) -> None:
-        # The first holder is paused right before it writes its manifest.
-        # Meanwhile the second takes over, the trainer announces version 3
-        # there, and the second delivers fresh samples. The first wakes up
-        # and must not replace them.
+        # Guards against a paused holder overwriting the manifest of its
+        # successor, which has delivered fresh samples meanwhile.
         second = self.world.start('b')
         self.world.run(self.first.submit(TRAINER, request()))
         self.world.epochs = {'a': Epoch(1), 'b': Epoch(2)}
@@ -114,9 +110,8 @@
         self.assertEqual(3, rollout_world.oldest_of(late))
 
     def test_announcement_before_the_decision(self) -> None:
-        # Another instance is told version 3 while the holder is about to
-        # write a manifest of version 1 samples. The claim has changed by
-        # then, so the samples are judged again and made anew.
+        # Guards against deciding with stale samples when a new version is
+        # announced elsewhere right before the manifest is written.
         second = self.world.start('b')
         self.world.run(self.first.submit(TRAINER, request()))
 
@@ -130,8 +125,8 @@
         self.assertEqual(3, rollout_world.oldest_of(body))
 
     def test_older_epoch_may_not_claim(self) -> None:
-        # A holder whose lease lapsed while it was paused still believes it
-        # holds the trainer; the claim of its successor names a newer epoch.
+        # Guards against decisions by a paused holder whose lease has expired;
+        # the claim of its successor has a newer epoch.
         second = self.world.start('b')
         self.world.epochs = {'a': Epoch(1), 'b': Epoch(2)}
         self.world.run(second.submit(TRAINER, request()))
@@ -139,8 +134,8 @@
             self.world.run(self.first.submit(TRAINER, request()))
 
     def test_store_down_at_delivery(self) -> None:
-        # The trainer polls a whole step during an outage: it is told what
-        # the step waits for and gets its bytes when the store is back.
+        # Guards against losing a complete step in an outage; the trainer
+        # learns the reason and gets the bytes afterwards.
         self.world.run(self.first.submit(TRAINER, request()))
         self.world.store.is_down = True
         with self.assertRaisesRegex(errors.StepPending, 'key-value service'):
@@ -149,7 +144,7 @@
         self.world.run(self.first.fetch(TRAINER, STEP))
 
     def test_submitted_while_store_is_down(self) -> None:
-        # Samples are made during the outage and delivered after it.
+        # Guards against stopping sample generation during an outage.
         self.world.store.is_down = True
         self.world.run(self.first.submit(TRAINER, request()))
         self.assertEqual(4, self.world.fleet.made)
@@ -158,9 +153,8 @@
         self.assertEqual(4, self.world.fleet.made)
 
     def test_newest_version_is_told_once_the_store_is_back(self) -> None:
-        # Version 3 was announced while the store was down. Submitting with
-        # the same version again must still put it there, or another holder
-        # would judge by version 1.
+        # Guards against an announcement being lost in an outage: a submit with
+        # the same version must store it for other holders.
         self.world.store.is_down = True
         with self.assertRaises(errors.StoreUnavailable):
             self.world.run(self.first.announce(TRAINER, WeightVersion(3)))
@@ -173,9 +167,8 @@
 
     @params(False, True)
     def test_holder_crashes(self, decided: bool) -> None:
-        # The holder dies with its memory before or after the decision. Not
-        # decided: the trainer is told to submit again. Decided: nobody may
-        # make the step again, since its bytes may have been received.
+        # Guards against generating a decided step twice after its holder
+        # crashed. An undecided step must be submitted again.
         self.world.run(self.first.submit(TRAINER, request()))
         if decided:
             self.world.run(self.first.fetch(TRAINER, STEP))
@@ -191,14 +184,14 @@
             self.world.run(self.first.fetch(TRAINER, STEP))
 
     def test_failed_group_is_told(self) -> None:
-        # The engines fail every try of one sample. The trainer must learn
-        # it with a code instead of polling for ever, and may submit again.
-        self.world.fleet.fails = 1 << 30
+        # Guards against polling forever for a step whose sample fails on all
+        # attempts; it can be submitted again.
+        self.world.fleet.failures = 1 << 30
         self.world.run(self.first.submit(TRAINER, request()))
         self.world.clock.pump([1.0] * 400)
         with self.assertRaises(errors.GroupFailed):
             self.world.run(self.first.fetch(TRAINER, STEP))
-        self.world.fleet.fails = 0
+        self.world.fleet.failures = 0
         self.world.run(self.first.submit(TRAINER, request()))
         self.world.clock.pump([1.0] * 60)
         self.world.run(self.first.fetch(TRAINER, STEP))
@@ -224,14 +217,13 @@
         self.holder = self.world.start('a')
 
     def test_callers_go_before_samples(self) -> None:
-        # A rider's call that waits behind samples is answered late.
+        # Guards against latency-sensitive calls waiting behind samples.
         self.world.run(self.holder.submit(TRAINER, request()))
         of_callers = lines._PRIORITIES.values()
         self.assertGreater(min(self.world.fleet.priorities), max(of_callers))
 
     def test_crowded_engines_get_fewer_samples(self) -> None:
-        # All three engines report that samples queue. What must be made
-        # anew waits here for a second, where any engine may take it.
+        # Guards against sending more samples to engines that report a queue.
         self.world.fleet.queued = 1
         self.world.run(self.holder.submit(TRAINER, request()))
         self.world.fleet.version = WeightVersion(2)
@@ -253,20 +245,19 @@
     def test_announced_before_delivery(
         self, announced: int, oldest: int, made: int
     ) -> None:
-        # All samples are whole when the trainer tells a newer version. What
-        # is too old by then is made anew before the step is delivered.
+        # Guards against delivering complete but stale samples.
         self.world.run(self.holder.submit(TRAINER, request()))
         self.world.fleet.version = WeightVersion(3)
         self.world.run(self.holder.announce(TRAINER, WeightVersion(announced)))
-        # Engines that were seen with old weights are asked again after 2 s.
+        # Engines with old weights are retried after 2 s.
         self.world.clock.pump([0.25] * 10)
         body = self.world.run(self.holder.fetch(TRAINER, STEP))
         self.assertEqual(oldest, rollout_world.oldest_of(body))
         self.assertEqual(made, self.world.fleet.made)
 
     def test_announced_after_delivery(self) -> None:
-        # The reply was lost and the trainer asks again after it announced a
-        # newer version: the bytes stay, or it might learn from both sets.
+        # Guards against changed bytes when a trainer fetches a step again
+        # after announcing a newer version.
         self.world.run(self.holder.submit(TRAINER, request()))
         body = self.world.run(self.holder.fetch(TRAINER, STEP))
         self.world.run(self.holder.announce(TRAINER, WeightVersion(9)))
@@ -275,8 +266,8 @@
         )
 
     def test_engine_that_names_no_version(self) -> None:
-        # Tokens of unknown weights can't be attributed; they are made anew.
-        self.world.fleet.unnamed = 2
+        # Guards against tokens that can't be attributed to a weight version.
+        self.world.fleet.unversioned = 2
         self.world.run(self.holder.submit(TRAINER, request()))
         self.world.clock.pump([1.0] * 5)
         samples = msgspec.json.decode(self.world.fetch(self.holder))['samples']
@@ -284,9 +275,8 @@
         self.assertEqual(1000, min(tokens))
 
     def test_swap_while_generating(self) -> None:
-        # Version 3 is announced while samples of version 1 are under way;
-        # they finish late and must be made anew, not fill their places.
-        self.world.gates.shut = {'generating'}
+        # Guards against accepting samples that became stale during generation.
+        self.world.gates.closed = {'generating'}
         self.world.run(self.holder.submit(TRAINER, request()))
         self.world.run(self.holder.announce(TRAINER, WeightVersion(3)))
         self.world.fleet.version = WeightVersion(3)
--- a/packages/yuccarill-daemon/tests/controllers/test_sample_store.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_sample_store.py
@@ -1,4 +1,4 @@
-"""Test that finished samples outlive their holder and one disk."""
+"""Test that finished samples survive the loss of holder and disk."""
 
 from __future__ import annotations
 
@@ -41,9 +41,8 @@
 
     @params(None, 'd1', 'd2', 'd3')
     def test_holder_dies_after_the_decision(self, lost: str | None) -> None:
-        # The holder dies right after its manifest was written, and a disk
-        # instance with it. The trainer asks the successor and receives the
-        # bytes that it may have received before.
+        # Guards against losing a decided step when its holder and a disk
+        # instance fail right after the decision.
         self.world.run(self.holder.submit(TRAINER, request()))
         body = self.world.run(self.holder.fetch(TRAINER, STEP))
         if lost is not None:
@@ -53,8 +52,7 @@
         self.assertEqual(body, self.world.run(successor.fetch(TRAINER, STEP)))
 
     def test_damaged_copy_is_passed_over(self) -> None:
-        # A disk flips bytes in its copies; their checksums tell, and the
-        # other copy is delivered.
+        # Guards against delivering corrupt copies; checksums detect them.
         self.world.run(self.holder.submit(TRAINER, request()))
         body = self.world.run(self.holder.fetch(TRAINER, STEP))
         for path in self.other.folder.glob('*.log'):
@@ -63,14 +61,13 @@
         self.assertEqual(body, self.world.run(successor.fetch(TRAINER, STEP)))
 
     def test_unfinished_step_is_resumed(self) -> None:
-        # The holder dies with three of four samples on disks. The trainer
-        # submits again; the successor makes only the one that is missing.
-        self.world.fleet.holds_after = 3
+        # Guards against regenerating stored samples after a holder crash.
+        self.world.fleet.blocks_after = 3
         self.world.run(self.holder.submit(TRAINER, request()))
         with self.assertRaises(errors.StepPending):
             self.world.run(self.holder.fetch(TRAINER, STEP))
-        self.world.fleet.holds_after = 9
-        self.world.gates.shut = set()
+        self.world.fleet.blocks_after = 9
+        self.world.gates.closed = set()
         successor = self.world.start('b')
         self.world.run(successor.submit(TRAINER, request()))
         self.world.fetch(successor)
@@ -85,9 +82,8 @@
         self.assertEqual(3, rollout_world.oldest_of(body))
 
     def test_disk_replaced_before_the_decision(self) -> None:
-        # A disk instance comes back with an empty folder under its old
-        # name. Its copies are gone, so they are made again before the step
-        # is decided; then the other disk is lost, too.
+        # Guards against counting copies on a disk that restarted empty under
+        # its old name, when the other disk is lost as well.
         self.world.run(self.holder.submit(TRAINER, request()))
         self.other.replace()
         body = self.world.run(self.holder.fetch(TRAINER, STEP))
@@ -98,8 +94,8 @@
 
     @params((1, 2), (2, 1), (3, 0))
     def test_fewer_disks_than_wanted(self, down: int, copies: int) -> None:
-        # Disk instances are down for good: the trainer goes on with the
-        # copies that can be had, and the manifest names them.
+        # Guards against blocking the trainer when disk instances are down
+        # permanently.
         for name in ('d3', 'd2', 'd1')[:down]:
             self.world.disks_by_id[name].is_up = False
         self.world.run(self.holder.submit(TRAINER, request()))
@@ -107,15 +103,15 @@
         self.assertEqual(copies, len(self._manifest()['stored_on']))
 
     def test_disk_that_refuses_is_replaced_by_the_next(self) -> None:
-        # The disk of one data centre is full; its samples go elsewhere.
+        # Guards against losing samples when a disk is full.
         self.other.log._max_bytes = -1
         self.world.run(self.holder.submit(TRAINER, request()))
         self.world.run(self.holder.fetch(TRAINER, STEP))
         self.assertEqual(['d1', 'd2'], sorted(self._manifest()['stored_on']))
 
     def test_copy_counts_only_once_it_is_synced(self) -> None:
-        # One disk takes the write but fails to sync it; a loss of power
-        # would take the copy, so the samples go to the next disk as well.
+        # Guards against counting a copy whose sync failed, as a power loss
+        # would delete it.
         with mock.patch.object(
             self.other.log, 'sync', autospec=True, side_effect=OSError
         ):
@@ -124,8 +120,8 @@
         self.assertEqual(['d1', 'd2'], sorted(self._manifest()['stored_on']))
 
     def test_space_is_given_back(self) -> None:
-        # One disk is away when the step is closed; it drops the samples
-        # when it next compares its steps with the trainer's progress.
+        # Guards against keeping samples of closed steps on a disk that was
+        # unreachable when the step was closed.
         self.world.run(self.holder.submit(TRAINER, request()))
         self.world.run(self.holder.fetch(TRAINER, STEP))
         self.other.is_up = False
--- a/packages/yuccarill-daemon/tests/controllers/test_shutdown.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_shutdown.py
@@ -56,9 +56,8 @@
         return [call[0] for call in self.calls.method_calls]
 
     def test_order(self) -> None:
-        # Callers were told of this instance a moment ago and come for five
-        # seconds more, or longer where the news of its leaving has not
-        # come yet. Until then it listens; nobody is cut off.
+        # Guards against closing the port while callers still use an address
+        # that they cached before the instance left.
         outcome = self.stop()
         self.pass_time(0.05)
         self.assertTrue(self.blackboard.is_leaving)
@@ -75,7 +74,7 @@
         self.assertEqual('stopListening', self.called()[-1])
         self.site.close.assert_called_once_with()
 
-    def test_step_in_the_middle_keeps_its_shard(self) -> None:
+    def test_step_in_progress_keeps_its_shard(self) -> None:
         self.busy.append('trainer/t')
         self.stop()
         self.pass_time(15.0)
@@ -85,10 +84,9 @@
         self.assertEqual(['leave', 'release_all'], self.called())
 
     @params('store hangs', 'store fails')
-    def test_store_does_not_keep_the_process(self, fault: str) -> None:
-        # The key-value service is away: shards can't be handed over, their
-        # next holders wait for the session to run out. The process ends
-        # in its time all the same.
+    def test_store_failure_does_not_block_shutdown(self, fault: str) -> None:
+        # Guards against a store failure delaying the shutdown; the next
+        # holders wait until the session expires.
         if fault == 'store fails':
             self.released = defer.fail(RuntimeError('down'))
         else:
@@ -109,8 +107,8 @@
         self.assertEqual(1, self.called().count('leave'))
 
     def test_slow_reader_gets_its_last_answer(self) -> None:
-        # The last answer is written, and its caller reads it slowly. The
-        # process ends when the connection is closed, or after a bound.
+        # Guards against closing the connection of a slow reader too early, and
+        # against waiting for it without a limit.
         self.site.open_connections = 1
         outcome = self.stop()
         self.pass_time(9.0)
--- a/packages/yuccarill-daemon/tests/controllers/test_step_routing.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_step_routing.py
@@ -1,4 +1,4 @@
-"""Test how a step's bytes reach an instance that does not hold them."""
+"""Test fetching a step's bytes from the instance that holds them."""
 
 from __future__ import annotations
 
@@ -30,16 +30,16 @@
 
 
 class _Peers:
-    """Pass requests to the holder in frames, as streams do."""
+    """Send requests to the holder in frames, as streams do."""
 
     def __init__(self, holder: step_routing.StepRouting) -> None:
         self._holder = holder
-        self.left = 1 << 30
+        self.replies_left = 1 << 30
 
     async def request(self, peer: Any, body: Any, seconds: float) -> Any:
-        if not self.left:
+        if not self.replies_left:
             raise errors.PeerUnavailable('The stream was lost.')
-        self.left -= 1
+        self.replies_left -= 1
         reply = await self._holder.handle_here(body)
         sent = frames.encode(messages.Envelope(1, True, reply))
         (received,) = frames.Decoder().feed(sent)
@@ -55,7 +55,7 @@
             mock.Mock(spec_set=[]),
         )
         peers = _Peers(holder)
-        peers.left = replies
+        peers.replies_left = replies
         blackboard = mock.Mock(instances_by_id={'b': 'b'}, spec=[])
         client = step_routing.HolderClient(blackboard, peers)
         outcome: list[Any] = []
@@ -65,8 +65,8 @@
 
     @params(0, 1, step_routing.PART_BYTES, 5 * step_routing.PART_BYTES + 3)
     def test_longer_than_a_frame(self, size: int) -> None:
-        # A step of 8,192 samples is longer than the longest frame; sent in
-        # one, it would close the stream each time it is asked for.
+        # Guards against sending a step in one oversized frame, which would
+        # close the stream on each fetch.
         body = bytes(range(256)) * (size // 256) + b'x' * (size % 256)
         self.assertEqual(body, self._ask(body, 1 << 30))
 
--- a/packages/yuccarill-daemon/tests/controllers/test_weights.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_weights.py
@@ -1,4 +1,4 @@
-"""Test the way of a version from the store to engines of two instances."""
+"""Test the rollout of versions from the store to two instances."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 NAMES = ('a', 'b')
 ENGINES = 4
-# The first, under which no predecessor is waited for.
+# The first epoch, which has no predecessor to wait for.
 EPOCH = 1
 
 
@@ -43,14 +43,14 @@
 
 @dataclasses.dataclass
 class World:
-    """Join two instances and their engines on one clock."""
+    """Simulate two instances and their engines on one clock."""
 
     clock: task.Clock = dataclasses.field(default_factory=task.Clock)
     version: int = 1
     is_store_up: bool = True
     is_cut: bool = False
     requests: int = 0
-    # Duties that nobody may act on.
+    # Duties without a valid lease.
     lapsed: set[str] = dataclasses.field(default_factory=set)
     ordered: list[tuple[str, str, int, int]] = dataclasses.field(
         default_factory=list
@@ -135,7 +135,7 @@
 
 
 class Leases:
-    """Tell one instance what it holds."""
+    """Simulate the leases of one instance."""
 
     def __init__(self, world: World, name: str) -> None:
         self._world = world
@@ -165,8 +165,8 @@
 
     @params(False, True)
     def test_restarted_engine_is_brought_up(self, is_cut: bool) -> None:
-        # An engine comes back with an old version; its holder reads that,
-        # and the report on it may be lost. It is sent until it arrives.
+        # Guards against losing a report on a restarted engine with an old
+        # version: it is resent until it arrives.
         self.world.run(12)
         self.world.engines['127.0.0.1:2'][:] = [1, 0]
         self.world.is_cut = is_cut
@@ -177,8 +177,8 @@
 
     @params('target/e1', 'model/m')
     def test_lapsed_lease_orders_nothing(self, duty: str) -> None:
-        # The lease lapses while its holder is paused; it still believes it
-        # holds the duty. On waking it must not order, a successor may.
+        # Guards against orders from a holder whose lease lapsed during a
+        # pause.
         self.world.lapsed.add(duty)
         self.world.run(6)
         self.assertEqual(1, self.world.versions()[1])
@@ -187,8 +187,8 @@
         self.world.run(8)
         self.assertEqual([2] * ENGINES, self.world.versions())
 
-    def test_lease_is_asked_for_right_before_an_order(self) -> None:
-        # The lease has lapsed since the last turn noted the target as held.
+    def test_lease_is_checked_right_before_an_order(self) -> None:
+        # The lease lapses after the last run recorded the target as held.
         self.world.lapsed.add('target/e1')
         order = orders.Order(99, 'e1', orders.OrderKind.STAGE, 2)
         body = messages.WeightOrders(model='m', epoch=EPOCH, orders=(order,))
@@ -204,8 +204,8 @@
         self.assertEqual([2] * ENGINES, self.world.versions())
 
     def test_target_that_left_gets_no_order(self) -> None:
-        # The inventory drops an engine while a version is on its way. It
-        # is neither read nor ordered any more, and holds nobody back.
+        # Guards against polling or ordering an engine that was removed from
+        # the inventory, and against a rollout waiting for it.
         for board in self.world.boards.values():
             board.snapshot = inventory(ENGINES - 1)
         self.world.run(12)
