--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/attempts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/attempts.py
@@ -258,8 +258,7 @@
         # restart would only delay further.
         self._timers.append(
             self._clock.callLater(
-                seconds,
-                lambda: self._may_add() and self._add_attempt(metric),
+                seconds, lambda: self._may_add() and self._add_attempt(metric)
             )
         )
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/configuration_intake.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/configuration_intake.py
@@ -115,7 +115,7 @@
         try:
             outcome = self._follower.offer(head_module.decode(record.body))
         except msgspec.MsgspecError as error:
-            log.error('Configuration head is malformed.', cause=str(error))
+            log.error('Head is malformed.', cause=str(error))
             outcome = follower.OfferOutcome.GAP
         self._put_in_force()
         if outcome is follower.OfferOutcome.GAP and not self._is_catching_up:
@@ -172,11 +172,7 @@
                 )
                 inventory = reader.from_json(reply.inventory)
             except (errors.YuccarillError, msgspec.MsgspecError) as error:
-                log.debug(
-                    'Configuration not fetched from peer.',
-                    peer=peer.id,
-                    cause=str(error),
-                )
+                log.debug('Fetch failed.', peer=peer.id, cause=str(error))
                 continue
             self._install(change, inventory)
             if self._follower.revision >= self._known_revision:
@@ -209,17 +205,14 @@
             )
 
     async def _poll_peers(self) -> int:
-        partners = self._dissemination.partners()[:PEERS_AT_START]
+        peers = self._dissemination.partners()[:PEERS_AT_START]
         results = await defer.DeferredList(
-            [
-                defer.ensureDeferred(self._exchange_with(peer))
-                for peer in partners
-            ],
+            [defer.ensureDeferred(self._exchange(peer)) for peer in peers],
             consumeErrors=True,
         )
         return sum(answered for _, answered in results)
 
-    async def _exchange_with(self, peer: Instance) -> bool:
+    async def _exchange(self, peer: Instance) -> bool:
         try:
             await self._dissemination.exchange_with(peer)
         except errors.YuccarillError:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/leases.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/leases.py
@@ -85,7 +85,7 @@
         # Returns the duties whose shards stay here while work is in progress.
         # A graceful shutdown transfers all shards.
         self.busy_duties: Callable[[], list[str]] = list
-        self._manager = manager_module.LeaseManager(
+        self._leases = manager_module.LeaseManager(
             blackboard.own_instance.id,
             incarnation,
             policy or policy_module.LeasePolicy(),
@@ -98,11 +98,11 @@
         Call right before each order: the result is valid only for the
         current iteration of the event loop.
         """
-        return self._manager.epoch_of(shards.shard_of(duty), self._now())
+        return self._leases.epoch_of(shards.shard_of(duty), self._now())
 
     def holder_of(self, duty: str) -> Instance | None:
         """Return the instance known to hold a duty, or None."""
-        holder = self._manager.holder_of(shards.shard_of(duty))
+        holder = self._leases.holder_of(shards.shard_of(duty))
         if holder == self._blackboard.own_instance.id:
             return self._blackboard.own_instance
         if holder is None:
@@ -114,8 +114,8 @@
         now = self._now()
         return [
             shard
-            for shard in self._manager.held()
-            if self._manager.epoch_of(shard, now) is not None
+            for shard in self._leases.held()
+            if self._leases.epoch_of(shard, now) is not None
         ]
 
     async def follow(self) -> None:
@@ -135,13 +135,13 @@
         live = [instance.id for instance in self._membership.live()]
         if not live and now < self._discovery_until:
             return
-        self._manager.set_live(live)
+        self._leases.set_live(live)
         if self._blackboard.is_leaving:
-            self._manager.begin_leaving()
-        for operation in self._manager.next_operations(now):
+            self._leases.begin_leaving()
+        for operation in self._leases.next_operations(now):
             self._spawn(self._run(operation))
-        for wanted in self._manager.due_transfer_requests(now):
-            self._spawn(self._request_shards(wanted))
+        for wanted in self._leases.due_transfer_requests(now):
+            self._spawn(self._request(wanted))
 
     async def handle(
         self, body: messages.LeaseAsk | messages.LeaseInvite
@@ -157,28 +157,28 @@
 
     async def release_all(self) -> None:
         """Transfer all shards and close the session, on graceful shutdown."""
-        successors_by_shard = self._manager.next_holders()
+        successors_by_shard = self._leases.next_holders()
         log.info('Shard transfer started.', shards=len(successors_by_shard))
         sessions_by_id = await self._invite(set(successors_by_shard.values()))
-        self._manager.transfer(
+        self._leases.transfer(
             {
                 shard: sessions_by_id.get(successor) if successor else None
                 for shard, successor in successors_by_shard.items()
             }
         )
         deadline = self._now() + RELEASE_SECONDS
-        while self._now() < deadline and not self._manager.close():
+        while self._now() < deadline and not self._leases.close():
             self.tick()
             await self._sleep(POLL_SECONDS)
-        log.info('Shard transfer finished.', left=len(self._manager.held()))
+        log.info('Shard transfer finished.', left=len(self._leases.held()))
 
     async def _run(self, operation: operations.Operation) -> None:
-        version = self._manager.table.version
+        version = self._leases.table.version
         outcome = await self._call_store(operation)
         if not isinstance(outcome, operations.Unknown):
             self._is_store_failing = False
-        self._manager.complete(operation, outcome, self._now())
-        if self._manager.table.version > version:
+        self._leases.complete(operation, outcome, self._now())
+        if self._leases.table.version > version:
             self._publish()
         self.tick()
 
@@ -214,9 +214,7 @@
             )
         self._is_store_failing = True
 
-    async def _request_shards(
-        self, wanted: manager_module.TransferRequest
-    ) -> None:
+    async def _request(self, wanted: manager_module.TransferRequest) -> None:
         holder = self._blackboard.instances_by_id.get(wanted.holder)
         if holder is None:
             return
@@ -239,23 +237,21 @@
 
     async def _transfer(self, wanted: messages.LeaseAsk) -> messages.Body:
         busy = frozenset(map(shards.shard_of, self.busy_duties()))
-        moving = self._manager.transfer_requested(
+        given = self._leases.transfer_requested(
             Holder(wanted.instance, wanted.session), wanted.shards, busy
         )
         deadline = self._now() + PEER_SECONDS / 2
-        while self._now() < deadline and set(moving) & set(
-            self._manager.held()
-        ):
+        while self._now() < deadline and set(given) & set(self._leases.held()):
             self.tick()
             await self._sleep(POLL_SECONDS)
         return messages.RecordOffer(records=(self._record(),))
 
     async def _open_session(self) -> SessionId | None:
         deadline = self._now() + PEER_SECONDS / 2
-        self._manager.keep_session_open(Instant(self._now() + INVITE_SECONDS))
+        self._leases.keep_session_open(Instant(self._now() + INVITE_SECONDS))
         while self._now() < deadline:
             self.tick()
-            session = self._manager.usable_session(self._now())
+            session = self._leases.usable_session(self._now())
             if session is not None:
                 return session
             await self._sleep(POLL_SECONDS)
@@ -294,7 +290,7 @@
         self._dissemination.publish(self._record())
 
     def _record(self) -> Record:
-        table = self._manager.table
+        table = self._leases.table
         return Record(
             table_module.TABLE_KEY,
             table.version,
@@ -302,7 +298,7 @@
         )
 
     def _handle_record(self, record: Record) -> None:
-        self._manager.offer_table(record.version, record.body)
+        self._leases.offer_table(record.version, record.body)
 
     def _spawn(self, work: Any) -> None:
         defer.ensureDeferred(work).addErrback(self._log_failure)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/lines.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/lines.py
@@ -126,7 +126,7 @@
         entry: Entry,
         prefix: str | None = None,
     ) -> Engine | Target | None:
-        """Return a target for the next attempt, or none."""
+        """Return a target for the next attempt, or None."""
         self._update_targets()
         target = self.dispatcher.pool.choose(
             self._now(), tried, entry.is_urgent, prefix
@@ -168,9 +168,7 @@
         self._targets_by_id = {t.id: t for t in self._find(snapshot)}
         centres = {t.id: t.data_centre for t in self._targets_by_id.values()}
         self.dispatcher.pool.update(
-            centres,
-            self._blackboard.own_instance.data_centre,
-            self._now(),
+            centres, self._blackboard.own_instance.data_centre, self._now()
         )
 
     def _admit(self) -> None:
@@ -271,11 +269,7 @@
         self, find: Callable[[Snapshot], Sequence[Engine | Target]]
     ) -> CallQueue:
         return CallQueue(
-            self._blackboard,
-            find,
-            self._policy,
-            self._now,
-            self._clock,
+            self._blackboard, find, self._policy, self._now, self._clock
         )
 
     def _snapshot(self) -> Snapshot:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/once.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/once.py
@@ -76,9 +76,7 @@
     def new_ticket(self) -> Ticket:
         """Issue a ticket of this incarnation."""
         return self._ledger.issue(
-            self._blackboard.own_instance.id,
-            self._incarnation,
-            self._wall(),
+            self._blackboard.own_instance.id, self._incarnation, self._wall()
         )
 
     async def run(self, call: Call) -> Answer:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/probing.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/probing.py
@@ -42,11 +42,7 @@
     """Detect failed members by probes among neighbours on a ring."""
 
     def __init__(
-        self,
-        view: View,
-        peers: Peers,
-        generator: random.Random,
-        clock: Any,
+        self, view: View, peers: Peers, generator: random.Random, clock: Any
     ) -> None:
         self._view = view
         self._peers = peers
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/targets.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/targets.py
@@ -223,9 +223,7 @@
         return Instant(self._clock.seconds())
 
 
-def _by_shard(
-    snapshot: Snapshot | None,
-) -> dict[ShardNumber, list[Engine]]:
+def _by_shard(snapshot: Snapshot | None) -> dict[ShardNumber, list[Engine]]:
     found: dict[ShardNumber, list[Engine]] = collections.defaultdict(list)
     for engine in snapshot.inventory.engines if snapshot else ():
         found[shards.shard_of(shards.target_duty(engine.id))].append(engine)
