--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/probing.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/probing.py
@@ -204,12 +204,12 @@
         if reply is None:
             return
         self._has_pulled = True
-        theirs = {record.id: record for record in reply.records}
+        peer_records = {record.id: record for record in reply.records}
         self.spread(self._view.merge_all(reply.records), peer.id)
         missing = [
             mine
             for mine in self._view.members_by_id.values()
-            if mine != theirs.get(mine.id)
+            if mine != peer_records.get(mine.id)
         ]
         self.spread(missing)
 
--- a/packages/yuccarill-daemon/tests/controllers/test_configuration.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_configuration.py
@@ -79,7 +79,7 @@
         reads = self.fleet.store.calls_by_kind['read'] - before
         self.assertLessEqual(reads, 2 * 4 + 2)
 
-    def test_a_document_nobody_can_read_is_not_taken(self) -> None:
+    def test_an_unreadable_document_is_not_applied(self) -> None:
         # Guards against activating a revision whose digest does not match,
         # polling for it at a high rate, and applying changes based on it.
         self.start_with_revision_1(*range(6))
@@ -105,12 +105,12 @@
         self.fleet.advance(1.0)
         self.assertRefused(errors.StoreUnavailable, results)
 
-    def test_a_garbled_record_does_not_block_its_version(self) -> None:
+    def test_a_malformed_record_does_not_block_its_version(self) -> None:
         # Guards against a malformed record blocking the valid record of the
         # same version.
         self.start_with_revision_1(*range(6))
-        garbled = Record(head_module.HEAD_KEY, 2, b'garbled')
-        self.fleet.node(0).dissemination.publish(garbled)
+        malformed = Record(head_module.HEAD_KEY, 2, b'garbled')
+        self.fleet.node(0).dissemination.publish(malformed)
         self.fleet.advance(1.0)
         self.fleet.apply(0, 1, 'a', 'b')
         self.fleet.advance(IN_FORCE_SECONDS)
@@ -198,7 +198,7 @@
         self.fleet.advance(IN_FORCE_SECONDS)
         self.assertEqual({2}, self.revisions())
 
-    def test_unknown_change_is_settled_when_the_store_is_back(self) -> None:
+    def test_unknown_change_is_resolved_after_an_outage(self) -> None:
         # Guards against a write with unknown outcome taking effect late: the
         # instance fences it once the store is back.
         self.start_with_revision_1(*range(6))
@@ -212,7 +212,7 @@
         self.fleet.advance(IN_FORCE_SECONDS)
         self.assertEqual({1}, self.revisions())
 
-    def test_a_lost_reply_is_settled(self) -> None:
+    def test_a_lost_reply_is_resolved(self) -> None:
         self.start_with_revision_1(*range(6))
         self.fleet.store.fault = memory.WriteFault.REPLY_LOST
         results = self.fleet.apply(0, 1, 'a', 'b')
--- a/packages/yuccarill-daemon/tests/controllers/test_membership.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_membership.py
@@ -94,7 +94,9 @@
 
 class FaultMatrixTest(unittest.TestCase):
     @params(*itertools.product(MemberState, Fault))
-    def test_cell(self, state: MemberState, fault: Fault) -> None:
+    def test_members_agree_after_a_fault(
+        self, state: MemberState, fault: Fault
+    ) -> None:
         # Guards against instances disagreeing on the members after a fault.
         # The target counts only if it runs, is reachable by most and is not
         # leaving.
@@ -157,7 +159,7 @@
             self.assertTrue(OTHERS.issubset(target.live_ids()))
 
     @params('down', 'split')
-    def test_data_centre_cut_off_and_joined_again(self, listing) -> None:
+    def test_isolated_data_centre_rejoins(self, listing) -> None:
         # Guards against a split fleet failing to rejoin, also if the list is
         # down or shows each side only its own members.
         self.fleet.is_list_down = listing == 'down'
@@ -198,7 +200,7 @@
         fleet.pass_time(1.1)
         self.assertEqual(restarted, view.members_by_id['i1'])
 
-    def test_live_is_built_anew_only_on_a_change(self) -> None:
+    def test_live_is_rebuilt_only_on_a_change(self) -> None:
         controller = self.fleet.processes_by_id['i0'].controller
         first = controller.live()
         self.fleet.pass_time(3.0)
--- a/packages/yuccarill-daemon/tests/controllers/test_rollouts.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_rollouts.py
@@ -28,7 +28,7 @@
         self.world = rollout_world.World()
         self.first = self.world.start('a')
 
-    def test_leaving_instance_begins_no_step(self) -> None:
+    def test_leaving_instance_starts_no_step(self) -> None:
         # Guards against starting a step that shutdown would interrupt; open
         # steps can still be repeated and fetched.
         self.world.run(self.first.submit(TRAINER, request()))
@@ -152,7 +152,7 @@
         self.world.run(self.first.fetch(TRAINER, STEP))
         self.assertEqual(4, self.world.fleet.made)
 
-    def test_newest_version_is_told_once_the_store_is_back(self) -> None:
+    def test_newest_version_is_stored_after_an_outage(self) -> None:
         # Guards against an announcement being lost in an outage: a submit with
         # the same version must store it for other holders.
         self.world.store.is_down = True
@@ -183,7 +183,7 @@
         else:
             self.world.run(self.first.fetch(TRAINER, STEP))
 
-    def test_failed_group_is_told(self) -> None:
+    def test_failed_group_is_reported(self) -> None:
         # Guards against polling forever for a step whose sample fails on all
         # attempts; it can be submitted again.
         self.world.fleet.failures = 1 << 30
@@ -222,13 +222,13 @@
         of_callers = lines._PRIORITIES.values()
         self.assertGreater(min(self.world.fleet.priorities), max(of_callers))
 
-    def test_crowded_engines_get_fewer_samples(self) -> None:
+    def test_busy_engines_get_fewer_samples(self) -> None:
         # Guards against sending more samples to engines that report a queue.
         self.world.fleet.queued = 1
         self.world.run(self.holder.submit(TRAINER, request()))
         self.world.fleet.version = WeightVersion(2)
-        told = self.holder.announce(TRAINER, WeightVersion(2))
-        defer.ensureDeferred(told)
+        announced = self.holder.announce(TRAINER, WeightVersion(2))
+        defer.ensureDeferred(announced)
         work = self.holder._work_by_key[TRAINER, StepNumber(1)]
         self.holder._replace_stale(self.holder._trainer(TRAINER), work, 3)
         self.assertEqual(4, self.world.fleet.made)
--- a/packages/yuccarill-daemon/tests/controllers/test_sample_store.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_sample_store.py
@@ -51,7 +51,7 @@
         del self.world.holders['a']
         self.assertEqual(body, self.world.run(successor.fetch(TRAINER, STEP)))
 
-    def test_damaged_copy_is_passed_over(self) -> None:
+    def test_corrupt_copy_is_skipped(self) -> None:
         # Guards against delivering corrupt copies; checksums detect them.
         self.world.run(self.holder.submit(TRAINER, request()))
         body = self.world.run(self.holder.fetch(TRAINER, STEP))
@@ -119,7 +119,7 @@
             self.world.run(self.holder.fetch(TRAINER, STEP))
         self.assertEqual(['d1', 'd2'], sorted(self._manifest()['stored_on']))
 
-    def test_space_is_given_back(self) -> None:
+    def test_space_is_freed(self) -> None:
         # Guards against keeping samples of closed steps on a disk that was
         # unreachable when the step was closed.
         self.world.run(self.holder.submit(TRAINER, request()))
@@ -132,7 +132,7 @@
         self.world.run(self.other.store.drop_closed())
         self.assertEqual([], self.other.log.steps())
 
-    def test_open_step_is_not_tidied(self) -> None:
+    def test_open_step_is_not_dropped(self) -> None:
         self.world.run(self.holder.submit(TRAINER, request()))
         self.world.run(self.other.store.drop_closed())
         self.assertNotEqual([], self.other.log.steps())
--- a/packages/yuccarill-daemon/tests/controllers/test_shutdown.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_shutdown.py
@@ -55,7 +55,7 @@
     def called(self) -> list[str]:
         return [call[0] for call in self.calls.method_calls]
 
-    def test_order(self) -> None:
+    def test_order_of_steps(self) -> None:
         # Guards against closing the port while callers still use an address
         # that they cached before the instance left.
         outcome = self.stop()
--- a/packages/yuccarill-daemon/tests/controllers/test_step_routing.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_step_routing.py
@@ -59,8 +59,8 @@
         blackboard = mock.Mock(instances_by_id={'b': 'b'}, spec=[])
         client = step_routing.HolderClient(blackboard, peers)
         outcome: list[Any] = []
-        asked = client.ask(InstanceId('b'), TRAINER, STEP)
-        defer.ensureDeferred(asked).addBoth(outcome.append)
+        reply = client.ask(InstanceId('b'), TRAINER, STEP)
+        defer.ensureDeferred(reply).addBoth(outcome.append)
         return outcome[0]
 
     @params(0, 1, step_routing.PART_BYTES, 5 * step_routing.PART_BYTES + 3)
