--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/configuration_intake.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/configuration_intake.py
@@ -115,7 +115,7 @@
         try:
             outcome = self._follower.offer(head_module.decode(record.body))
         except msgspec.MsgspecError as error:
-            log.error('Head is malformed.', cause=str(error))
+            log.error('Configuration head is malformed.', cause=str(error))
             outcome = follower.OfferOutcome.GAP
         self._put_in_force()
         if outcome is follower.OfferOutcome.GAP and not self._is_catching_up:
@@ -172,7 +172,11 @@
                 )
                 inventory = reader.from_json(reply.inventory)
             except (errors.YuccarillError, msgspec.MsgspecError) as error:
-                log.debug('Fetch failed.', peer=peer.id, cause=str(error))
+                log.debug(
+                    'Configuration fetch failed.',
+                    peer=peer.id,
+                    cause=str(error),
+                )
                 continue
             self._install(change, inventory)
             if self._follower.revision >= self._known_revision:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/lines.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/lines.py
@@ -77,7 +77,7 @@
     async def enter(self, entry: Entry) -> None:
         """Wait until a call is admitted; leave() must follow.
 
-        Raises Overloaded as soon as the call can not meet its deadline.
+        Raises Overloaded if shed, or once it would miss its deadline.
         """
         self._update_targets()
         admitted: defer.Deferred[None] = defer.Deferred()
