--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/duties.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/duties.py
@@ -181,7 +181,7 @@
         """Return whether an order may be sent to an engine."""
         return self.tenure is not None and self.tenure.may_order(self._now())
 
-    def order(self) -> None:
+    def record_order(self) -> None:
         """Record that an order is sent."""
         if self.tenure is not None:
             self.tenure.record_order(self._now())
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/scaling/scaler.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/scaling/scaler.py
@@ -122,7 +122,7 @@
             tenure = self._duty.tenure
             if tenure is None or not self._duty.may_order():
                 return
-            self._duty.order()
+            self._duty.record_order()
             self._scaling.record_sent(order, self._now())
             result = await self._orders.send(
                 order, self._state.settings.instance, tenure.epoch
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/reporter.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/reporter.py
@@ -291,7 +291,7 @@
         assert tenure is not None
         report = self._reports_by_window[window]
         epoch: Epoch = tenure.epoch
-        self._duty.order()
+        self._duty.record_order()
         outcome = await self._billing.report(
             window, report.counts, self._state.settings.instance, epoch
         )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/weight_switcher.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/weight_switcher.py
@@ -194,7 +194,7 @@
         # longer than the lease.
         if not is_confirmed or tenure is None or not self._duty.may_order():
             return wire_engines.OrderOutcome.FENCED
-        self._duty.order()
+        self._duty.record_order()
         order = wire_engines.VersionOrder(
             model=switch.model,
             version=switch.version,
--- a/packages/yuccarill-daemon/tests/api/test_views.py
+++ b/packages/yuccarill-daemon/tests/api/test_views.py
@@ -50,7 +50,7 @@
 class StatusViewTest(unittest.TestCase):
     def test_shows_only_targets_with_known_state(self) -> None:
         blackboard = mock.Mock(
-            head=None,
+            snapshot=None,
             instances_by_id={},
             in_flight_by_id=collections.Counter(idle=0, busy=2),
             targets_by_id={'e': mock.Mock(weight_version=7, staged_version=8)},
--- a/packages/yuccarill-daemon/tests/gateway/runner_world.py
+++ b/packages/yuccarill-daemon/tests/gateway/runner_world.py
@@ -219,7 +219,7 @@
     def may_order(self) -> bool:
         return self.revision is not None
 
-    def order(self) -> None:
+    def record_order(self) -> None:
         pass
 
     async def confirm(self, max_age: float) -> bool:
--- a/packages/yuccarill-daemon/tests/gateway/test_duties.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_duties.py
@@ -209,7 +209,7 @@
         self.run_for(1.0)
         b = self.start('b')
         self.run_for(0.5)
-        a.duty.order()
+        a.duty.record_order()
         ordered_at = self.clock.seconds()
         a.state.is_leaving = True
         self.finish(a.duty.release())
@@ -232,7 +232,7 @@
         self.run_for(1.0)
         b = self.start('b')
         self.run_for(0.5)
-        a.duty.order()
+        a.duty.record_order()
         ordered_at = self.clock.seconds()
         a.state.is_leaving = True
         self.finish(a.duty.release())
@@ -281,7 +281,7 @@
         self.run_for(1.0)
         b = self.start('b')
         self.run_for(0.5)
-        a.duty.order()
+        a.duty.record_order()
         ordered_at = self.clock.seconds()
         a.state.is_leaving = True
         self.finish(a.duty.release())
--- a/packages/yuccarill-daemon/tests/test_vitals.py
+++ b/packages/yuccarill-daemon/tests/test_vitals.py
@@ -15,7 +15,7 @@
 class VitalsTest(unittest.TestCase):
     def test_reports_the_loop_delay(self) -> None:
         clock = task.Clock()
-        reporter = vitals.Vitals(mock.Mock(head=None), clock)
+        reporter = vitals.Vitals(mock.Mock(snapshot=None), clock)
         with (
             mock.patch.object(metrics, 'timing', autospec=True) as timing,
             mock.patch.object(metrics, 'gauge', autospec=True) as gauge,
