--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/cleaner.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/cleaner.py
@@ -25,8 +25,8 @@
 class Cleaner:
     """Remove ended jobs after their retention time.
 
-    The time counts from when this instance learns that a job has ended, so
-    that no job is removed too early after a change of the holder.
+    The retention time starts when this instance learns that a job has ended,
+    so that no job is removed too early after a change of the holder.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
 
     def _log_failure(self, failure: Any, job: JobId) -> None:
         failure.trap(store_module.StoreRefused, store_module.StoreUnclear)
-        # The index entry is removed last, so the next update retries.
+        # The index entry is removed last, so this or the next holder retries.
         log.info('Job removal failed.', job=job, cause=str(failure.value))
 
     def _finish_removal(self, _: object) -> None:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/generation.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/generation.py
@@ -26,8 +26,8 @@
 
 log = logs.for_part('generation')
 
-# Time without an event after which a run is abandoned; longer than a change
-# of weights, which stops the events.
+# Time without an event after which a run is abandoned. It is longer than a
+# weight change, during which an engine sends no events.
 SILENCE_SECONDS = 2.0
 # Deadline of one run.
 RUN_SECONDS = 60.0
@@ -136,7 +136,7 @@
         self._record_version(weights)
         if weights is not None and weights < self._run.job.min_version:
             raise http_exchange.SinkRefused(
-                f'weight version {weights} is too old'
+                f'weight version {weights} is below the minimum'
             )
         self._run.text.begin_run(weights)
 
@@ -149,7 +149,7 @@
         job = self._run.job
         if not self._run.text.fits(job.min_version, job.is_single_version):
             self.must_restart = True
-            raise http_exchange.SinkRefused('weights changed during the run')
+            raise http_exchange.SinkRefused('job forbids this weight version')
         now = Instant(self._clock.seconds())
         self._on_progress(now)
         if self._last_at is not None:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/intake.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/intake.py
@@ -52,7 +52,7 @@
 ACCEPT_TIME_FRACTION = 0.75
 RETRY_SECONDS = 0.2
 # Interval of checks whether the partitions of a service are known.
-DIVISION_POLL_SECONDS = 0.05
+PARTITION_POLL_SECONDS = 0.05
 # Deadline for a peer that stores a job on behalf of this instance.
 RELAY_SECONDS = 2.0
 # Retry period for a relayed submission; its sender then tries other peers.
@@ -131,7 +131,7 @@
         job = self._job_from_request(route, request)
         runner = self._runners_by_service.get(job.service)
         if runner is None and not relay_module.is_relayed(request):
-            # The instance that runs the job then gets it without a read.
+            # The holder gets a relayed job without reading the store.
             holder = self._relay.holder_of(job.service)
             if holder is not None:
                 answer = await self._relay.send(holder, request, RELAY_SECONDS)
@@ -280,10 +280,10 @@
             while service not in self._state.divisions_by_service:
                 if self._clock.seconds() >= give_up_at - RETRY_SECONDS:
                     raise errors.NotRun(
-                        'The job was not stored: no instance runs it yet.',
+                        'The job was not stored: partitions are unknown.',
                         RETRY_AFTER,
                     )
-                await task.deferLater(self._clock, DIVISION_POLL_SECONDS)
+                await task.deferLater(self._clock, PARTITION_POLL_SECONDS)
 
     def _job_from_request(self, route: Route, request: ClientRequest) -> Job:
         submitted = wire_jobs.submission(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_runs.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_runs.py
@@ -47,7 +47,7 @@
 
 
 class ResultSink(Protocol):
-    """Receive results and track the work that leads to them."""
+    """Record item results and track the tasks of jobs."""
 
     def finish(
         self, run: job_queue.ItemRun, result: ItemResult, cause: str
@@ -112,7 +112,7 @@
         self._is_stopped = False
         self._is_pumping = False
         self._is_pump_requested = False
-        # Timer of the next pump, and end and duration of the last one.
+        # Timer of the next pump; end time and duration of the last pump.
         self._next_pump: Any = None
         self._pumped_at = -math.inf
         self._pump_seconds = 0.0
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/job_reader.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/job_reader.py
@@ -36,7 +36,7 @@
             except (store_module.StoreRefused, store_module.StoreUnclear):
                 await self._pause()
             except msgspec.MsgspecError as error:
-                log.error('Job is unreadable.', job=job_id, cause=str(error))
+                log.error('Invalid stored job.', job=job_id, cause=str(error))
                 return None
 
     async def read_results(self, job: Job) -> list[ItemResult]:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/job_store.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/job_store.py
@@ -235,7 +235,7 @@
     async def remove(self, service: ServiceName, job: JobId) -> None:
         """Remove a job and its results, the index entry last.
 
-        The results of a shared job are removed with its first share.
+        Removing any share of a shared job also removes the job's results.
         """
         spec = await self.read_job(job)
         share = None if spec is None else spec.share
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/listing.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/listing.py
@@ -23,9 +23,8 @@
 
 log = logs.for_part('listing')
 
-# Delays for collecting results into one write, when the trainer waits for a
-# result and when not. Longer delays make fewer writes, which are paid for,
-# but lose more results if all instances fail.
+# Delays for batching results, if the trainer waits for a result and otherwise.
+# Longer delays reduce paid writes, but lose more if all instances fail.
 AWAITED_SECONDS = 0.05
 BATCH_SECONDS = 0.6
 # Minimum interval of writes of one job.
@@ -168,7 +167,7 @@
                 revision,
             )
         except job_store_module.PositionTaken:
-            log.error('Position is taken; job is read again.', job=self._job)
+            log.error('Position has results; reloading job.', job=self._job)
             self._on_conflict()
             return False
         except job_store_module.DutyLost:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/paced_work.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/paced_work.py
@@ -16,7 +16,7 @@
 
 
 class PacedWork:
-    """Run work on request, once for all requests during a pause."""
+    """Run work on request, combining requests that arrive in a pause."""
 
     def __init__(self, work: Callable[[], None], clock: Any) -> None:
         self._work = work
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/progress.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/progress.py
@@ -26,7 +26,7 @@
 
 log = logs.for_part('progress')
 
-# Interval of writes. A failure of all instances loses as much of each text.
+# Interval of writes; bounds how much text a failure of all instances loses.
 WRITE_SECONDS = 1.0
 # Shorter texts are not saved; an engine makes about as many events during one
 # write interval.
@@ -199,7 +199,7 @@
 
     def _log_failure(self, failure: Any) -> None:
         if not failure.check(defer.CancelledError):
-            log.error('Text writer failed.', cause=failure.getTraceback())
+            log.error('Saving texts stopped.', cause=failure.getTraceback())
 
 
 def _merge_records(records: list[ProgressRecord]) -> list[PartialText]:
@@ -217,5 +217,5 @@
     try:
         return [msgspec.msgpack.decode(entry.value, type=ProgressRecord)]
     except msgspec.MsgspecError as error:
-        log.error('Record is unreadable.', key=entry.key, cause=str(error))
+        log.error('Invalid text record.', key=entry.key, cause=str(error))
         return []
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/result_page.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/result_page.py
@@ -22,5 +22,5 @@
         if following > first and size > PAGE_BYTES:
             break
         following += 1
-    found = tuple(results[first:following])
-    return wire_jobs.results_page(total, following, found)
+    page_results = tuple(results[first:following])
+    return wire_jobs.results_page(total, following, page_results)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/run_moves.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/run_moves.py
@@ -38,7 +38,7 @@
 
     def record_event(self, now: Instant) -> None:
         """Record the arrival of an event."""
-        # The first event also waits for the connection and the prompt.
+        # The first delay includes connecting and processing the prompt.
         if self._has_event and self._speeds is not None:
             self._record_gap(self._speeds, now)
         self._has_event = True
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/runner.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/runner.py
@@ -57,8 +57,8 @@
 
 # Interval of checks for returned engines, expired items and jobs to remove.
 TICK_SECONDS = 0.1
-# Pause of the watch for jobs after a change, which collects further changes.
-# Most jobs and ends reach this instance directly, without the watch.
+# Delay of the job watch after a change, to batch further changes. Jobs that
+# this instance accepts start without the watch.
 WORK_SETTLE_SECONDS = 0.2
 
 
@@ -141,7 +141,7 @@
         self._background_tasks.append(starting)
 
     async def _start_following(self) -> None:
-        # Before the jobs: only items that do not run yet get these texts.
+        # Precedes loading jobs: items that already run cannot use the texts.
         self._queue.keep_partial_texts(await self._handed_texts)
         self._restore_speeds()
         for work in (self._follower.follow(), *self._requests.following()):
@@ -197,18 +197,18 @@
 
     def open_jobs(self) -> list[tuple[Job, frozenset[ItemId]]]:
         """Return the open jobs, each with the ids of its listed items."""
-        found = []
+        jobs = []
         for job_id, state in self._queue.jobs_by_id.items():
             listed = self._listings_by_job.get(job_id)
             ids = [] if listed is None else [r.id for r in listed.results]
-            found.append((state.job, frozenset(ids)))
-        return found
+            jobs.append((state.job, frozenset(ids)))
+        return jobs
 
     def _listed_items(self) -> set[ItemId]:
         return {
             result.id
-            for found in self._listings_by_job.values()
-            for result in found.results
+            for job_listing in self._listings_by_job.values()
+            for result in job_listing.results
         }
 
     def knows(self, job: JobId) -> bool:
@@ -254,7 +254,7 @@
         try:
             record = job_store_module.decode_work(change.value)
         except msgspec.MsgspecError as error:
-            log.error('Entry is unreadable.', key=change.key, cause=str(error))
+            log.error('Invalid job entry.', key=change.key, cause=str(error))
             return
         if record.is_ended:
             self._cleaner.schedule_removal(job)
@@ -270,7 +270,7 @@
         await self._add_job(job, await self._reader.read_results(job))
 
     async def _add_job(self, job: Job, listed: list[ItemResult]) -> None:
-        found = listing.Listing(
+        job_listing = listing.Listing(
             job.id,
             len(job.items),
             listed,
@@ -279,7 +279,7 @@
             self._clock,
             functools.partial(self._reload_job, job.id),
         )
-        # Compares clocks of two machines, which can differ: this affects the
+        # The clocks of two machines can differ; the difference affects the
         # order of jobs, but never expires an item.
         age = max(0.0, time.time() - job.submitted_at)
         submitted = self._now() - age
@@ -294,10 +294,10 @@
             Instant(self._now() + retained),
         )
         reused = self._queue.add(state, listed)
-        self._listings_by_job[job.id] = found
+        self._listings_by_job[job.id] = job_listing
         if job.model is not None:
             self._switcher.items_by_model[job.model] = len(job.items)
-        self.job_cache.add(job, found)
+        self.job_cache.add(job, job_listing)
         log.info(
             'Job taken.',
             job=job.id,
@@ -328,9 +328,9 @@
         self.track(job, self._load_job(job))
 
     def _drop_job(self, job: JobId) -> None:
-        found = self._listings_by_job.pop(job, None)
-        if found is not None:
-            found.stop()
+        job_listing = self._listings_by_job.pop(job, None)
+        if job_listing is not None:
+            job_listing.stop()
         for work in list(self._tasks_by_job.pop(job, ())):
             work.cancel()
 
@@ -339,8 +339,8 @@
     ) -> None:
         """Record the result of an item and schedule its write."""
         state = self._queue.jobs_by_id.get(run.job.id)
-        found = self._listings_by_job.get(run.job.id)
-        if state is None or found is None:
+        job_listing = self._listings_by_job.get(run.job.id)
+        if state is None or job_listing is None:
             return
         is_group_whole = state.end(run.item.id)
         seconds = self._now() - state.submitted_at
@@ -357,7 +357,7 @@
             score_failures=run.score_failures,
             seconds=round(seconds, 2),
         )
-        found.add(
+        job_listing.add(
             result, is_group_whole and state.is_listing_urgent(self._now())
         )
 
@@ -366,20 +366,20 @@
     ) -> defer.Deferred[None]:
         """Start work that is cancelled when its job ends."""
         running = defer.Deferred.fromCoroutine(work)
-        works = self._tasks_by_job.setdefault(job, set())
-        works.add(running)
+        tasks = self._tasks_by_job.setdefault(job, set())
+        tasks.add(running)
 
-        def ended(result: Any) -> None:
-            works.discard(running)
+        def finish_task(result: Any) -> None:
+            tasks.discard(running)
             if hasattr(result, 'check'):
                 self._log_failure(result)
 
-        running.addBoth(ended)
+        running.addBoth(finish_task)
         return running
 
     def _log_failure(self, failure: Any) -> None:
         if not failure.check(defer.CancelledError):
-            log.error('Work failed.', cause=failure.getTraceback())
+            log.error('Runner task failed.', cause=failure.getTraceback())
 
     def _now(self) -> Instant:
         return Instant(self._clock.seconds())
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/shelf.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/shelf.py
@@ -34,7 +34,7 @@
 
 
 class JobCache:
-    """Answer readers of the open and ended jobs of one runner."""
+    """Serve one runner's open and ended jobs from memory."""
 
     def __init__(self, duty: Duty, clock: Any) -> None:
         self._duty = duty
@@ -66,13 +66,13 @@
         cached = self._find(query.job, account)
         if cached is None:
             return None
-        found = cached.listing
+        listing = cached.listing
         deadline = self._now() + query.wait
-        while query.first >= len(found.results) < found.total:
+        while query.first >= len(listing.results) < listing.total:
             remaining = deadline - self._now()
-            if remaining <= 0.0 or found.is_stopped:
+            if remaining <= 0.0 or listing.is_stopped:
                 break
-            await found.wait(remaining)
+            await listing.wait(remaining)
         if self._cached_by_id.get(query.job) is not cached:
             # The store had more results than this instance knew.
             return None
@@ -82,9 +82,9 @@
             return None
         # A chunk without a reply from the store can be stored already, and
         # another instance can have shown the chunk to the reader.
-        if found.write_age() > MAX_CONFIRMATION_AGE_SECONDS:
+        if listing.write_age() > MAX_CONFIRMATION_AGE_SECONDS:
             return None
-        return result_page.page(found.total, found.results, query.first)
+        return result_page.page(listing.total, listing.results, query.first)
 
     def read_item(
         self,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/text_copier.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/text_copier.py
@@ -22,7 +22,7 @@
 
 log = logs.for_part('standby')
 
-# Interval of copies, and so the generation time that a power loss costs.
+# Interval of copies; bounds how much generated text a power loss loses.
 COPY_SECONDS = 0.5
 
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/texts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/texts.py
@@ -40,14 +40,14 @@
 # Instances that receive copies: the next candidate, and the one after it in
 # case both this instance and the next candidate leave.
 RECEIVERS = 2
-# Deadline of one receiver.
+# Deadline for the reply of one receiver.
 ANSWER_SECONDS = 0.8
 # Default size of one part of a fetched copy.
 PART_BYTES = 200_000
 # Retention time of copies; longer than a duty's lease plus a short outage of
 # the store.
 RETENTION_SECONDS = 30.0
-# Interval of engine speeds sent to one peer.
+# Interval at which engine speeds are sent to one peer.
 SPEEDS_SECONDS = 2.0
 # Maximum texts per service, the same limit as in a job queue.
 MAX_TEXTS = 500
@@ -147,7 +147,7 @@
         try:
             message = msgspec.msgpack.decode(request.body, type=HandedTexts)
         except msgspec.MsgspecError as error:
-            log.warning('Received texts are unreadable.', cause=str(error))
+            log.warning('Received invalid texts.', cause=str(error))
             return Page(status=400)
         self._clock.callLater(RETENTION_SECONDS, self._drop_expired)
         if message.speeds:
--- a/packages/yuccarill-daemon/tests/gateway/crash_world.py
+++ b/packages/yuccarill-daemon/tests/gateway/crash_world.py
@@ -40,25 +40,25 @@
 
 SERVICE = ServiceName('plain')
 # Prefix of the bodies of crashing requests.
-CRASH = b'crash'
+CRASH_PREFIX = b'crash'
 # Seconds of: one-way latency between instances; an ordinary run; the time to a
 # crash; the restart under a new id; the listing of the new process; the expiry
 # of the old entry.
-HOP = 0.002
-WORK = 0.04
+LATENCY_SECONDS = 0.002
+RUN_SECONDS = 0.04
 CRASH_AFTER = (0.05, 0.35)
-RESTART = 3.0
-LISTING = 0.5
-LAPSE = 3.6
+RESTART_SECONDS = 3.0
+LISTING_SECONDS = 0.5
+EXPIRY_SECONDS = 3.6
 # Of a route: timeout in seconds, attempts, hedge delay in seconds.
 TIMEOUT = 2.0
 ATTEMPTS = 2
-HEDGE = 0.08
+HEDGE_DELAY = 0.08
 STEP = 0.005
 # Seconds from a crash until all instances know the next process.
-LISTED_AGAIN = RESTART + LISTING + 0.5
+RELISTED_SECONDS = RESTART_SECONDS + LISTING_SECONDS + 0.5
 # Seconds from the start of an instance until clients use it.
-READY = 0.5
+READY_SECONDS = 0.5
 
 
 @dataclasses.dataclass
@@ -158,7 +158,7 @@
             reports=reports.EndReports(
                 state, content_guard, SimulatedPeers(self), self.clock
             ),
-            listed_at=self.clock.seconds() + READY,
+            listed_at=self.clock.seconds() + READY_SECONDS,
         )
         content_guard.on_quarantined = found.reports.tell_quarantined
         self.instances_by_name[name] = found
@@ -171,13 +171,15 @@
     def run(self, until: float, *loads: Callable[[], None]) -> None:
         """Advance the clock, calling each load at each step."""
         while self.clock.seconds() < until:
-            for load in loads if self.clock.seconds() >= READY else ():
+            for load in loads if self.clock.seconds() >= READY_SECONDS else ():
                 load()
             self.clock.advance(STEP)
         if self.errors:
             raise AssertionError(self.errors[0])
 
-    def often(self, rate: float, bodies: list[bytes]) -> Callable[[], None]:
+    def random_load(
+        self, rate: float, bodies: list[bytes]
+    ) -> Callable[[], None]:
         """Return a load that sends random bodies at a rate per second."""
 
         def load() -> None:
@@ -188,7 +190,7 @@
 
         return load
 
-    def every(
+    def periodic_load(
         self, seconds: float, action: Callable[[], None]
     ) -> Callable[[], None]:
         """Return a load that calls an action at an interval."""
@@ -223,7 +225,7 @@
             await task.deferLater(self.clock, pause)
         outcome.failed += 1
 
-    def share_served(self, bodies: list[bytes], since: float) -> float:
+    def served_fraction(self, bodies: list[bytes], since: float) -> float:
         """Return the fraction of served requests of some bodies."""
         found = [
             outcome
@@ -259,13 +261,13 @@
             return
         target.is_alive = False
         self.ends.append((self.clock.seconds(), target.listed.id))
-        self.cut(target)
+        self.break_connections(target)
         self.clock.callLater(
-            RESTART, self._start_target, target.listed.address
+            RESTART_SECONDS, self._start_target, target.listed.address
         )
-        self.clock.callLater(LAPSE, self._remove, target.listed.id)
+        self.clock.callLater(EXPIRY_SECONDS, self._remove, target.listed.id)
 
-    def cut(self, target: Target) -> None:
+    def break_connections(self, target: Target) -> None:
         """Break the connections of all runs at a target."""
         for run in list(target.runs):
             if not run.called:
@@ -275,7 +277,7 @@
                     )
                 )
 
-    def living(self) -> list[Target]:
+    def live_targets(self) -> list[Target]:
         return [t for t in self.targets_by_id.values() if t.is_alive]
 
     def _remove(self, target: TargetId) -> None:
@@ -291,7 +293,7 @@
             address=address,
         )
         self.targets_by_id[listed.id] = Target(listed)
-        self.clock.callLater(LISTING, self._list, listed)
+        self.clock.callLater(LISTING_SECONDS, self._list, listed)
 
     def _list(self, listed: ListedTarget) -> None:
         for each in self.instances_by_name.values():
@@ -302,7 +304,7 @@
         plan = attempts.AttemptPlan(
             deadline=Instant(self.clock.seconds() + TIMEOUT),
             max_attempts=ATTEMPTS,
-            hedge_delay=HEDGE,
+            hedge_delay=HEDGE_DELAY,
         )
         return await instance.sender.send(
             SERVICE, self._target_call(body), plan, exchange.SendRecord()
@@ -330,12 +332,12 @@
         return False
 
     async def has_ended(self, target: ListedTarget) -> bool:
-        await task.deferLater(self._clock, HOP)
+        await task.deferLater(self._clock, LATENCY_SECONDS)
         if self._world.has_supervisors:
             return False
         return not any(
             each.listed.address == target.address
-            for each in self._world.living()
+            for each in self._world.live_targets()
         )
 
     async def send(
@@ -345,7 +347,7 @@
         answer_by: Instant,
         is_fresh: bool = False,
     ) -> TargetAnswer:
-        await task.deferLater(self._clock, HOP)
+        await task.deferLater(self._clock, LATENCY_SECONDS)
         found = self._world.targets_by_id.get(target.id)
         is_gone = found is None or not found.is_alive
         if is_gone and self._world.has_supervisors:
@@ -369,13 +371,13 @@
     def _begin(
         self, target: Target, call: calls.TargetCall, run: defer.Deferred[None]
     ) -> None:
-        if call.body.startswith(CRASH):
+        if call.body.startswith(CRASH_PREFIX):
             now = self._clock.seconds()
             self._world.crashing_runs[call.body].append(now)
             seconds = self._world.random.uniform(*CRASH_AFTER)
             self._clock.callLater(seconds, self._world.end, target)
             return
-        work = self._world.random.expovariate(1.0 / WORK)
+        work = self._world.random.expovariate(1.0 / RUN_SECONDS)
         self._clock.callLater(work, _finish, run)
 
 
@@ -393,13 +395,13 @@
         seconds: float,
         body: bytes = b'',
     ) -> bytes:
-        await task.deferLater(self._world.clock, HOP)
+        await task.deferLater(self._world.clock, LATENCY_SECONDS)
         found = self._world.instances_by_name.get(peer.instance)
         if found is None:
             raise peer_call.PeerFailed('gone')
         request = SmallRequest(method=method, target=target, body=body)
         page = await found.reports.handle(request)
-        await task.deferLater(self._world.clock, HOP)
+        await task.deferLater(self._world.clock, LATENCY_SECONDS)
         return page.body
 
 
--- a/packages/yuccarill-daemon/tests/gateway/runner_world.py
+++ b/packages/yuccarill-daemon/tests/gateway/runner_world.py
@@ -48,11 +48,11 @@
     from yuccarill.core.jobs.partial_text import PartialText
 from yuccarill.core.jobs.placement import Placement
 
-GAP = 0.04
+EVENT_SECONDS = 0.04
 EVENTS = 10
 # Time from the start of a crashing item to the crash, and until the restart.
 CRASH_SECONDS = 0.08
-AWAY_SECONDS = 3.0
+RESTART_SECONDS = 3.0
 
 
 @dataclasses.dataclass
@@ -60,21 +60,21 @@
     """Hold the state of a simulated engine, and the faults to inject."""
 
     target: ListedTarget
-    gap: float = GAP
-    is_dark: bool = False
+    gap: float = EVENT_SECONDS
+    is_silent: bool = False
     # Number of events after which each run breaks off; 0 for never.
     breaks_after: int = 0
     status: int = 200
     version: int = 1
     # Start time in the engine's reports; None if it reports none.
-    born: int | None = None
+    started_at: int | None = None
     # Counts of accepted and of received orders.
     orders: int = 0
     orders_received: int = 0
     order_epochs: list[int] = dataclasses.field(default_factory=list)
     # Number of crashes, and when the engine listens again.
     ends: int = 0
-    away_until: float = 0.0
+    down_until: float = 0.0
 
 
 @dataclasses.dataclass
@@ -101,7 +101,7 @@
     ) -> TargetAnswer:
         found = self.engines_by_id[engine.id]
         first = call.after_event or 0
-        if self.clock.seconds() < found.away_until:
+        if self.clock.seconds() < found.down_until:
             await self._sleep(0.001)
             raise calls.CallFailed(
                 calls.CallEnd.NOT_SENT, 'refused', is_refused=True
@@ -114,7 +114,7 @@
         if call.id in self.refused:
             self.clock.callLater(CRASH_SECONDS, self._end, found)
             raise calls.CallFailed(calls.CallEnd.BROKEN, 'not signed')
-        if found.is_dark:
+        if found.is_silent:
             await self._sleep(progress_seconds)
             raise calls.CallFailed(calls.CallEnd.BROKEN, 'silent')
         answer = TargetAnswer(
@@ -131,9 +131,9 @@
         return answer
 
     def _end(self, engine: Engine) -> None:
-        if self.clock.seconds() >= engine.away_until:
+        if self.clock.seconds() >= engine.down_until:
             engine.ends += 1
-            engine.away_until = self.clock.seconds() + AWAY_SECONDS
+            engine.down_until = self.clock.seconds() + RESTART_SECONDS
 
     async def _events(
         self, engine: Engine, first: int, sink: calls.GenerationSink
@@ -159,9 +159,9 @@
             sent += 1
 
     async def has_ended(self, engine: ListedTarget) -> bool:
-        away_until = self.engines_by_id[engine.id].away_until
+        down_until = self.engines_by_id[engine.id].down_until
         await self._sleep(0.001)
-        return self.clock.seconds() < away_until
+        return self.clock.seconds() < down_until
 
     async def report(
         self, engine: ListedTarget, deadline: Instant
@@ -174,7 +174,7 @@
             orders_accepted=found.orders,
             running=0,
             waiting=0,
-            started_at=found.born,
+            started_at=found.started_at,
         )
 
     async def order(
@@ -345,7 +345,7 @@
         """Return the events after which the runs of an item started."""
         return [first for name, first in self.engines.runs if name == item]
 
-    def busiest(self) -> collections.Counter[str]:
+    def runs_by_item(self) -> collections.Counter[str]:
         return collections.Counter(name for name, _ in self.engines.runs)
 
 
--- a/packages/yuccarill-daemon/tests/gateway/test_crash_items.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_crash_items.py
@@ -114,7 +114,7 @@
         now = self.clock.seconds()
         return any(
             found._fleet.can_run(engine, run.job, now)
-            and now >= self.engines.engines_by_id[name].away_until
+            and now >= self.engines.engines_by_id[name].down_until
             for name, engine in found._fleet.engines_by_id.items()
         )
 
--- a/packages/yuccarill-daemon/tests/gateway/test_crash_loads.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_crash_loads.py
@@ -46,12 +46,14 @@
             found = crash_world.CrashWorld(instances, targets, seed)
             found.run(
                 SECONDS,
-                found.often(2.5, [CULPRIT]),
-                found.often(rate, others),
+                found.random_load(2.5, [CULPRIT]),
+                found.random_load(rate, others),
             )
             self.assertEqual({CULPRIT}, found.quarantined())
             self.assertLessEqual(found.runs_too_late(CULPRIT), MAX_RUNS)
-            self.assertEqual(1.0, found.share_served(others, SETTLED_SECONDS))
+            self.assertEqual(
+                1.0, found.served_fraction(others, SETTLED_SECONDS)
+            )
 
     # Instances, targets, ordinary requests per second.
     @params((3, 3, 20.0), (8, 6, 60.0), (8, 16, 100.0))
@@ -68,35 +70,37 @@
             )
             found.run(
                 40.0,
-                found.often(2.5, [CULPRIT]),
-                found.often(rate, RARE),
+                found.random_load(2.5, [CULPRIT]),
+                found.random_load(rate, RARE),
             )
             self.assertEqual({CULPRIT}, found.quarantined())
             # The third crash is known when the target is listed again.
-            late = found.runs_too_late(CULPRIT, crash_world.LISTED_AGAIN)
+            late = found.runs_too_late(CULPRIT, crash_world.RELISTED_SECONDS)
             self.assertLessEqual(late, MAX_RUNS)
-            self.assertEqual(1.0, found.share_served(RARE, 25.0))
+            self.assertEqual(1.0, found.served_fraction(RARE, 25.0))
 
     def test_two_culprits(self) -> None:
         for seed in range(5):
             found = crash_world.CrashWorld(3, 6, seed)
             found.run(
                 SECONDS,
-                found.often(1.5, [CULPRIT]),
-                found.often(1.5, [SECOND]),
-                found.often(20.0, RARE),
+                found.random_load(1.5, [CULPRIT]),
+                found.random_load(1.5, [SECOND]),
+                found.random_load(20.0, RARE),
             )
             self.assertEqual({CULPRIT, SECOND}, found.quarantined())
             for each in (CULPRIT, SECOND):
                 self.assertLessEqual(found.runs_too_late(each), MAX_RUNS)
-            self.assertEqual(1.0, found.share_served(RARE, 20.0))
+            self.assertEqual(1.0, found.served_fraction(RARE, 20.0))
 
     def test_a_rare_culprit(self) -> None:
         found = crash_world.CrashWorld(3, 3)
         found.run(
             60.0,
-            found.every(6.0, lambda: found.often(1e9, [CULPRIT])()),
-            found.often(20.0, RARE),
+            found.periodic_load(
+                6.0, lambda: found.random_load(1e9, [CULPRIT])()
+            ),
+            found.random_load(20.0, RARE),
         )
         self.assertEqual({CULPRIT}, found.quarantined())
         self.assertLessEqual(found.runs_too_late(CULPRIT), MAX_RUNS)
@@ -104,7 +108,10 @@
     def test_a_new_instance_learns_the_quarantine(self) -> None:
         """Guard against a new instance that forwards a quarantined request."""
         found = crash_world.CrashWorld(3, 3)
-        loads = (found.often(2.5, [CULPRIT]), found.often(20.0, RARE))
+        loads = (
+            found.random_load(2.5, [CULPRIT]),
+            found.random_load(20.0, RARE),
+        )
         found.run(SETTLED_SECONDS, *loads)
         for number in range(3):
             found.add_instance(f'late{number}')
@@ -130,25 +137,29 @@
             found = crash_world.CrashWorld(3, targets, seed)
 
             def end_one(simulation: crash_world.CrashWorld = found) -> None:
-                simulation.end(simulation.random.choice(simulation.living()))
+                simulation.end(
+                    simulation.random.choice(simulation.live_targets())
+                )
 
             found.run(
                 SECONDS,
-                found.every(pause, end_one),
-                found.often(60.0, bodies),
+                found.periodic_load(pause, end_one),
+                found.random_load(60.0, bodies),
             )
             self.assertEqual(set(), found.quarantined())
-            self.assertGreaterEqual(found.share_served(bodies, 0.0), least)
+            self.assertGreaterEqual(found.served_fraction(bodies, 0.0), least)
 
     def test_all_targets_crash_at_once(self) -> None:
         found = crash_world.CrashWorld(3, 6)
 
         def end_all() -> None:
-            for target in found.living():
+            for target in found.live_targets():
                 found.end(target)
 
         found.run(
-            40.0, found.every(8.0, end_all), found.often(60.0, POPULAR + RARE)
+            40.0,
+            found.periodic_load(8.0, end_all),
+            found.random_load(60.0, POPULAR + RARE),
         )
         self.assertEqual(set(), found.quarantined())
 
@@ -157,17 +168,17 @@
         found = crash_world.CrashWorld(3, 6, has_supervisors=True)
 
         def cut_all() -> None:
-            for target in found.living():
-                found.cut(target)
+            for target in found.live_targets():
+                found.break_connections(target)
 
         def end_one() -> None:
-            found.end(found.random.choice(found.living()))
+            found.end(found.random.choice(found.live_targets()))
 
         found.run(
             SECONDS,
-            found.every(1.0, cut_all),
-            found.every(4.0, end_one),
-            found.often(60.0, RARE + POPULAR * 100),
+            found.periodic_load(1.0, cut_all),
+            found.periodic_load(4.0, end_one),
+            found.random_load(60.0, RARE + POPULAR * 100),
         )
         self.assertEqual(set(), found.quarantined())
 
@@ -177,13 +188,13 @@
         found = crash_world.CrashWorld(3, 3)
 
         def cut_all() -> None:
-            for target in found.living():
-                found.cut(target)
+            for target in found.live_targets():
+                found.break_connections(target)
 
         found.run(
             SECONDS,
-            found.every(0.3, cut_all),
-            found.often(60.0, bodies),
+            found.periodic_load(0.3, cut_all),
+            found.random_load(60.0, bodies),
         )
         self.assertEqual(set(), found.quarantined())
         for each in found.instances_by_name.values():
--- a/packages/yuccarill-daemon/tests/gateway/test_placement.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_placement.py
@@ -20,7 +20,7 @@
             self.run_for(1.1)
         self.submit('m')
         self.run_for(0.15)
-        self.engine('e1').gap = 4 * runner_world.GAP
+        self.engine('e1').gap = 4 * runner_world.EVENT_SECONDS
         self.run_for(2.0)
         whole = runner_world.whole_text()
         texts = [result.text for result in self.results('m')]
@@ -29,14 +29,14 @@
         self.assertEqual({'e1', 'e2'}, known)
 
     def test_runs_leave_a_silent_engine(self) -> None:
-        self.engine('e1').is_dark = True
+        self.engine('e1').is_silent = True
         self.hold('a')
         self.submit()
         self.run_for(2.0)
         self.assertEqual(4, len(self.results()))
 
     def test_engine_paces_are_estimated_from_runs(self) -> None:
-        self.engine('e1').gap = 2 * runner_world.GAP
+        self.engine('e1').gap = 2 * runner_world.EVENT_SECONDS
         running = self.hold('a')
         for name in ('j', 'k', 'l', 'm'):
             self.submit(name, groups=4)
--- a/packages/yuccarill-daemon/tests/gateway/test_runner.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_runner.py
@@ -36,7 +36,7 @@
         self.submit()
         self.run_for(2.0)
         self.assert_whole()
-        self.assertEqual({1}, set(self.busiest().values()))
+        self.assertEqual({1}, set(self.runs_by_item().values()))
 
     def test_a_job_stored_before_the_start_is_run(self) -> None:
         self.submit()
@@ -76,13 +76,13 @@
         self.hold('a')
         self.submit()
         self.run_for(0.15)
-        self.engine('e1').gap = 4 * runner_world.GAP
+        self.engine('e1').gap = 4 * runner_world.EVENT_SECONDS
         self.run_for(1.1)
         self.assert_whole()
 
     def test_runs_do_not_move_back_and_forth(self) -> None:
         """Guard against moving all runs of a slow engine for one free slot."""
-        self.engine('e1').gap = 4 * runner_world.GAP
+        self.engine('e1').gap = 4 * runner_world.EVENT_SECONDS
         self.hold('a')
         self.submit(groups=10)
         self.run_for(6.0)
@@ -90,7 +90,7 @@
         self.assertLess(len(self.engines.runs), 2 * 20)
 
     def test_runs_leave_a_silent_engine(self) -> None:
-        self.engine('e1').is_dark = True
+        self.engine('e1').is_silent = True
         self.hold('a')
         self.submit()
         self.run_for(2.0)
@@ -106,7 +106,7 @@
         self.assertEqual(
             [ResultState.FAILED] * 2, [result.state for result in found]
         )
-        self.assertEqual({3}, set(self.busiest().values()))
+        self.assertEqual({3}, set(self.runs_by_item().values()))
 
     def test_an_impossible_item_is_not_retried(self) -> None:
         self.engine('e1').status = 422
@@ -114,7 +114,7 @@
         self.hold('a')
         self.submit(groups=1)
         self.run_for(3.0)
-        self.assertEqual({1}, set(self.busiest().values()))
+        self.assertEqual({1}, set(self.runs_by_item().values()))
 
     def test_no_item_runs_on_weights_that_are_too_old(self) -> None:
         self.hold('a')
@@ -351,11 +351,11 @@
         ]
         self.assertEqual([1] * len(received), received)
 
-    def start_engines(self, born: int) -> None:
+    def start_engines(self, started_at: int) -> None:
         for name in ('e1', 'e2'):
             engine = self.engine(name)
-            engine.target = world.started(name, born)
-            engine.version, engine.born, engine.orders = 1, born, 0
+            engine.target = world.started(name, started_at)
+            engine.version, engine.started_at, engine.orders = 1, started_at, 0
 
     def list_engines(self) -> None:
         for engine in self.engines.engines_by_id.values():
--- a/packages/yuccarill-daemon/tests/gateway/test_shared_jobs.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_shared_jobs.py
@@ -126,7 +126,7 @@
         states = {each['state'] for each in found['results']}
         self.assertEqual({ResultState.COMPLETED.value}, states)
         # Each item ran once, on the holder of its partition.
-        self.assertEqual({1}, set(self.busiest().values()))
+        self.assertEqual({1}, set(self.runs_by_item().values()))
 
     def test_every_reader_gets_the_same_positions(self) -> None:
         """Guard against positions that differ between reading instances."""
