--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/__init__.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/__init__.py
@@ -1,1 +1,1 @@
-"""Controllers that do I/O for the decisions of the core."""
+"""Controllers that perform the I/O for decisions made in yuccarill.core."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/attempts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/attempts.py
@@ -247,12 +247,12 @@
             now, self._call.deadline, left, dispatcher.limit.unloaded
         )
         if attempt_by < self._call.deadline:
-            self._add_later(attempt_by - now, metrics.Metric.CALLS_RETRIES)
+            self._schedule(attempt_by - now, metrics.Metric.CALLS_RETRIES)
         hedge = dispatcher.hedge_after()
         if hedge is not None and self._entry.is_urgent and pending == 1:
-            self._add_later(hedge, metrics.Metric.CALLS_HEDGES)
+            self._schedule(hedge, metrics.Metric.CALLS_HEDGES)
 
-    def _add_later(self, seconds: float, metric: metrics.Metric) -> None:
+    def _schedule(self, seconds: float, metric: metrics.Metric) -> None:
         """Schedule an attempt in parallel to a pending one."""
         # The pending attempt continues: most slow calls are long ones, which a
         # restart would only delay further.
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/calls.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/calls.py
@@ -113,7 +113,7 @@
     async def handle(
         self, body: messages.CallRequest | messages.OutcomeQuery
     ) -> messages.Body:
-        """Answer a peer's message about calls."""
+        """Answer a peer's forwarded call or outcome query."""
         return await self._homes.handle(body)
 
     async def generate(
@@ -121,14 +121,14 @@
         caller: CallerId | None,
         model: ModelName,
         request: dict[str, object],
-        seconds: float,
+        timeout: float,
         on_chunk: Callable[[Chunk], None],
     ) -> None:
         """Stream one generation for a caller."""
         self._active += 1
         try:
             await self._generations.generate(
-                caller, model, request, seconds, on_chunk
+                caller, model, request, timeout, on_chunk
             )
         finally:
             self._active -= 1
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/configuration.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/configuration.py
@@ -125,7 +125,7 @@
     async def audit(self, last: Revision | None = None) -> documents.AuditPage:
         """Return the audit page that ends at a revision, or the newest one.
 
-        The previous page ends at `previous` of the page. Raises
+        Pass `previous` of a page to get the page before it. Raises
         StoreUnavailable, or RequestError if the page does not exist.
         """
         if last is not None:
@@ -159,9 +159,9 @@
         return result
 
     async def _resolve_later(self, request: apply_module.ApplyRequest) -> None:
-        # The operator got "outcome unknown": the lost write can still arrive
-        # until the version of the head changes. Fencing it as soon as the
-        # store answers shortens that time.
+        # The unconfirmed write can still take effect until the version of the
+        # head changes. Fencing the write as soon as the store answers shortens
+        # that time.
         while True:
             await task.deferLater(
                 self._clock, RESOLVE_RETRY_SECONDS, lambda: None
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/configuration_intake.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/configuration_intake.py
@@ -137,7 +137,7 @@
         ):
             return
         self._blackboard.snapshot = held
-        log.info('Revision in force.', revision=held.revision)
+        log.info('Configuration in force.', revision=held.revision)
 
     async def _catch_up(self) -> None:
         try:
@@ -145,8 +145,8 @@
             while self._follower.revision < self._known_revision:
                 is_found = await self._fetch_from_peers()
                 # A change too large for a delta leaves a gap on all instances
-                # at once; only watchers load it from the platform, to limit
-                # its load. The others fetch it from watchers.
+                # at once. Only watchers load it from the platform at first, to
+                # limit its load; the others fetch the document from peers.
                 if not is_found and self._may_load(rounds):
                     await self._load()
                 self._put_in_force()
@@ -203,8 +203,8 @@
         outcome = self._follower.install(change, inventory)
         if outcome is follower.OfferOutcome.GAP:
             log.error(
-                'Document does not match its digest; run the same program '
-                'version on all instances.',
+                'Configuration does not match its digest; run the same '
+                'program version on all instances.',
                 revision=change.revision,
             )
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/disk_store.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/disk_store.py
@@ -63,7 +63,7 @@
         return messages.Done()
 
     async def follow(self) -> None:
-        """Drop the samples of closed steps until the process ends.
+        """Drop the samples of closed steps periodically.
 
         Covers steps whose SamplesDrop request was lost and closed steps
         that a restart loaded from the disk.
@@ -160,7 +160,7 @@
         return {instance.id for instance in self._membership.live()}
 
     async def follow(self, own: Disk | None) -> None:
-        """Register the own disk, if any, and refresh the list periodically."""
+        """Register this disk, if any, and refresh the list periodically."""
         while True:
             try:
                 await self.refresh(own)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/dissemination.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/dissemination.py
@@ -82,7 +82,7 @@
         self._forward(record, self._disseminator.publish(record))
 
     def subscribe(self, key: str, callback: Callable[[Record], None]) -> None:
-        """Call back with the known record of a key and each newer one."""
+        """Call back with a key's newest known record and each newer one."""
         self._callbacks_by_key.setdefault(key, []).append(callback)
         known = self._disseminator.records.get(key)
         if known is not None:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/generations.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/generations.py
@@ -46,7 +46,7 @@
         caller: CallerId | None,
         model: ModelName,
         request: dict[str, Any],
-        seconds: float,
+        timeout: float,
         on_chunk: Callable[[Chunk], None],
     ) -> None:
         """Stream one generation, resumed on other engines if interrupted.
@@ -57,7 +57,7 @@
         queue = self._queues.for_model(model)
         entry = lines.Entry(
             caller=self._queues.caller(caller),
-            deadline=Instant(self._now() + seconds),
+            deadline=Instant(self._now() + timeout),
         )
         await queue.enter(entry)
         try:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/leases.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/leases.py
@@ -277,7 +277,7 @@
             )
         except errors.YuccarillError as error:
             log.warning(
-                'Instance did not accept a shard transfer.',
+                'Invitation to a shard transfer failed.',
                 instance=successor.id,
                 cause=error.message,
             )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/probing.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/probing.py
@@ -95,8 +95,8 @@
         self.spread(changes, probe.sender)
         records = [self._view.me] if self._view.me in changes else []
         sender = self._view.members_by_id.get(probe.sender)
-        # Tells a peer that it is suspected or marked as gone, and that this
-        # instance can be asked for its view.
+        # Sends a peer that is not marked alive its state, so that it can
+        # refute a suspicion, and this instance's record, to request its view.
         if sender is not None and sender.state is not MemberState.ALIVE:
             records += [sender, self._view.me]
         return messages.ProbeReply(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/rollouts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/rollouts.py
@@ -76,7 +76,7 @@
     ) -> None:
         """Start a step unless it is already started.
 
-        Raises StepClosed, StepConflict or UnknownTrainer.
+        Raises NotRun, RequestError, StepClosed, StepConflict, UnknownTrainer.
         """
         trainer = self._trainer(trainer_id)
         if not records.manifest_fits(trainer_id, request.size):
@@ -91,7 +91,7 @@
             # Samples can be generated but not delivered without the store. The
             # next fetch retries the claim.
             log.warning('Step claim delayed.', cause=error.message)
-            work.waits_for = 'the key-value service, to be claimed'
+            work.waits_for = 'the key-value service to store its claim'
         except errors.RolloutError as error:
             self._forget(work, error)
             raise
@@ -173,7 +173,7 @@
         if work is not None and work.error is None:
             if work.digest != request.digest:
                 raise errors.StepConflict(
-                    f'Step {request.step} was submitted with other groups.'
+                    f'Step {request.step} was submitted with different groups.'
                 )
             return work
         if self._blackboard.is_leaving:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/sample_store.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/sample_store.py
@@ -73,7 +73,7 @@
         return kept
 
     def is_kept(self, disks: Iterable[Disk]) -> bool:
-        """Return whether no usable disk can add a missing copy."""
+        """Return whether a sample has all copies that usable disks allow."""
         return not replicas.choose(
             'any', self._registry.known(), self._registry.usable(), disks
         )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/sampling.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/sampling.py
@@ -44,9 +44,9 @@
 
 log = logs.for_part('rollouts')
 
-# Per generation; a stalled stream times out much earlier.
+# Time limit of a generation; a stalled stream times out much earlier.
 SAMPLE_SECONDS = 600.0
-# Engines serve lower values first; callers have lower ones than samples.
+# Engines serve lower values first; calls have lower values than samples.
 PRIORITY = 20
 # Interval for rechecking paused engines and aging attempts.
 PUMP_SECONDS = 0.25
@@ -253,7 +253,7 @@
             f'Group {group} of step {work.step} can not be completed '
             f'({cause}); submit the step again or delete it.'
         )
-        log.error('Step failed.', trainer=work.trainer, cause=cause)
+        log.error('Sample group failed.', trainer=work.trainer, cause=cause)
         self._report(work)
         self.end(work)
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/shutdown.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/shutdown.py
@@ -111,7 +111,7 @@
         self._is_handed_over = True
 
     def _log_release_error(self, failure: Any) -> None:
-        # The next holders wait until the session expires.
+        # The shards' next holders wait until the lease session expires.
         log.error('Shard transfer failed.', cause=failure.getErrorMessage())
 
     def _pause(self) -> defer.Deferred[None]:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_decider.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_decider.py
@@ -25,7 +25,7 @@
     from yuccarill.daemon.controllers.fresh_samples import FreshSamples
     from yuccarill.daemon.controllers.sample_store import SampleStore
 
-# Each announcement and each claim of another holder replaces the claim.
+# Retried because announcements and other holders' claims replace the claim.
 MAX_DECIDE_ATTEMPTS = 3
 
 
@@ -78,7 +78,7 @@
     async def decide(self, work: StepWork) -> None:
         """Write a step's manifest unless samples or the claim are missing.
 
-        Raises StoreUnavailable.
+        Raises StepClosed, StepConflict, UnknownTrainer or StoreUnavailable.
         """
         for _ in range(MAX_DECIDE_ATTEMPTS):
             if work.manifest is not None:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_delivery.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_delivery.py
@@ -99,7 +99,7 @@
         try:
             await self._decider.decide(work)
         except errors.StoreUnavailable as error:
-            work.waits_for = 'the key-value service, to be decided'
+            work.waits_for = 'the key-value service to store its manifest'
             raise self._pending_error(work) from error
         if work.manifest is None:
             raise self._pending_error(work)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_ledger.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_ledger.py
@@ -23,7 +23,7 @@
 
 log = logs.for_part('rollouts')
 
-# Each failed attempt implies a successful write by another writer.
+# Each conflict implies a successful write by another writer.
 MAX_SWAPS = 8
 
 
@@ -86,7 +86,7 @@
     ) -> WeightVersion:
         """Store a trainer's newest version and return the newest known.
 
-        Raises the version of the claims on open steps as well.
+        Also updates the version in the claims on open steps.
         Raises StoreUnavailable.
         """
         progress = await self._change_progress(
@@ -100,7 +100,7 @@
     ) -> records.Manifest:
         """Write a step's manifest; return the one in effect.
 
-        Raises ClaimLost or StoreUnavailable.
+        Raises ClaimLost, StepClosed or StoreUnavailable.
         """
         key = records.step_key(manifest.trainer, manifest.step)
 
@@ -246,7 +246,7 @@
         )
     if record.epoch > claim.epoch:
         raise errors.ClaimLost(
-            f'Instance {record.holder} has taken step {step} over.',
+            f'Instance {record.holder} has taken over step {step}.',
             retry_after=0.5,
         )
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_routing.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_routing.py
@@ -52,7 +52,7 @@
         await self._send(messages.StepSubmit(trainer=trainer, request=encoded))
 
     async def fetch(self, trainer: TrainerId, step: StepNumber) -> bytes:
-        """Return a delivered step."""
+        """Return the bytes of a complete step."""
         return await _collect(trainer, step, self._send)
 
     async def announce(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/targets.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/targets.py
@@ -67,7 +67,7 @@
         self.report_here: Any = None
 
     async def follow(self) -> None:
-        """Run periodically until the process ends."""
+        """Start due polls and reports periodically."""
         while True:
             self.run_once()
             await task.deferLater(self._clock, TICK_SECONDS, lambda: None)
@@ -232,5 +232,5 @@
 
 def _run_in_background(work: Coroutine[Any, Any, None]) -> None:
     defer.ensureDeferred(work).addErrback(
-        lambda failure: log.error('Task failed.', cause=str(failure)[:500])
+        lambda error: log.error('Target task failed.', cause=str(error)[:500])
     )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/weights.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/weights.py
@@ -44,20 +44,20 @@
 STORE_SECONDS = 2.0
 SEND_SECONDS = 2.0
 QUERY_SECONDS = 1.0
-# A holder that has answered sends later changes unasked.
+# A holder that has answered sends later changes without a query.
 ANSWERED_QUERY_SECONDS = 10.0
 
 
 @dataclasses.dataclass
 class _HeldModel:
-    """Hold the rollout state of a model that this instance holds."""
+    """Store the rollout state of a model whose lease is held here."""
 
     model: ModelName
     epoch: Epoch
     snapshot: Snapshot
     rollout: rollout_module.ModelRollout
     targets_by_shard: dict[ShardNumber, list[TargetId]]
-    # The holders that reported the targets of each shard.
+    # The holder of each shard at the last lookup.
     holders_by_shard: dict[ShardNumber, InstanceId] = dataclasses.field(
         default_factory=dict
     )
@@ -93,7 +93,7 @@
         targets.report_here = self.handle
 
     async def follow(self) -> None:
-        """Run periodically until the process ends."""
+        """Advance the weight rollouts periodically."""
         while True:
             seconds = ACTIVE_SECONDS if self.run_once() else IDLE_SECONDS
             await task.deferLater(self._clock, seconds, lambda: None)
@@ -210,7 +210,7 @@
             )
             return
         if version > held.rollout.newest:
-            log.info('New version found.', model=held.model, version=version)
+            log.info('New weights found.', model=held.model, version=version)
         held.rollout.raise_newest(version, self._now())
 
     def _query_holders(self, held: _HeldModel) -> None:
@@ -226,8 +226,8 @@
                 held.query_at_by_holder.pop(holder.id, None)
                 for record in records:
                     record.mark_unknown()
-            # A report may have gone to an instance that wrongly believed
-            # itself the holder of the model; it would never arrive here.
+            # Queries again: a report that was sent to an instance that wrongly
+            # acted as the holder of the model never arrives here.
             if any(r.state is WeightState.UNKNOWN for r in records):
                 holders_to_query[holder.id] = holder
         now = self._now()
@@ -264,7 +264,7 @@
             # The orders may have been accepted. Reports confirm it, or the
             # orders expire.
             log.warning(
-                'Delivery of orders is unconfirmed.',
+                'Delivery of weight orders is unconfirmed.',
                 holder=holder.id,
                 cause=error.message,
             )
@@ -302,5 +302,5 @@
 
 def _run_in_background(work: Coroutine[Any, Any, None]) -> None:
     defer.ensureDeferred(work).addErrback(
-        lambda failure: log.error('Task failed.', cause=str(failure)[:500])
+        lambda error: log.error('Weight task failed.', cause=str(error)[:500])
     )
--- a/packages/yuccarill-daemon/tests/controllers/rollout_world.py
+++ b/packages/yuccarill-daemon/tests/controllers/rollout_world.py
@@ -157,7 +157,7 @@
         await self.gates.arrive('assigned')
         if self.failures:
             self.failures -= 1
-            raise errors.AnswerCut('the engine broke off')
+            raise errors.AnswerCut('the engine failed')
         if self.unversioned:
             self.unversioned -= 1
             on_chunk(Chunk(None, (1, 2)))
--- a/packages/yuccarill-daemon/tests/controllers/test_configuration.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_configuration.py
@@ -31,7 +31,7 @@
         self.fleet.advance(IN_FORCE_SECONDS)
         self.assertEqual({1}, self.revisions())
 
-    def test_few_watch_and_all_follow(self) -> None:
+    def test_watchers_update_all_instances(self) -> None:
         self.start_with_revision_1(*range(6))
         for base in range(1, 40):
             results = self.fleet.apply(base % 6, base, 'a', f'b{base}')
--- a/packages/yuccarill-daemon/tests/controllers/test_rollouts.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_rollouts.py
@@ -265,7 +265,7 @@
             body, self.world.run(self.holder.fetch(TRAINER, STEP))
         )
 
-    def test_engine_that_names_no_version(self) -> None:
+    def test_engine_that_sends_no_version(self) -> None:
         # Guards against tokens that can't be attributed to a weight version.
         self.world.fleet.unversioned = 2
         self.world.run(self.holder.submit(TRAINER, request()))
--- a/packages/yuccarill-daemon/tests/controllers/test_shutdown.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Test what a graceful shutdown does, with all it touches stood in."""
+"""Test graceful shutdown with fakes of the other controllers."""
 
 from __future__ import annotations
 
