--- a/tools/configuration_fleet.py
+++ b/tools/configuration_fleet.py
@@ -34,7 +34,7 @@
 REGION_SECONDS = 0.0005
 FAR_SECONDS = 0.08
 STORE_SECONDS = 0.002
-# Until a call across a partition fails.
+# Time until a call across a partition fails.
 PARTITION_SECONDS = 2.0
 
 
@@ -79,7 +79,7 @@
 
 
 class RemoteStore:
-    """Delay calls to the store by the distance of a region."""
+    """Add the network delay of a region to calls to the store."""
 
     def __init__(
         self, store: memory.MemoryKeyValue, clock: SimulatedClock, delay: float
@@ -177,7 +177,7 @@
         ]
 
     def kill(self, me: Instance) -> None:
-        """Kill an instance, which no longer answers requests."""
+        """Kill an instance; requests to it never get a reply."""
 
         async def never_reply(_: messages.Body) -> messages.Body:
             return await defer.Deferred()
@@ -203,7 +203,7 @@
             store.is_partitioned = False
 
     def apply(self, at: Instance, base: int, document: Any) -> list[Any]:
-        """Apply a document; return a list that receives the finish time."""
+        """Apply a document; return a list that gets the end time or error."""
         accepted: list[Any] = []
         defer.ensureDeferred(
             self.controllers_by_id[at.id].apply('operator', base, document)
--- a/tools/control_fleet.py
+++ b/tools/control_fleet.py
@@ -53,7 +53,7 @@
             ],
         )
         ready = self._folder / 'platform.json'
-        wait_until(lambda: ready.exists() and ready.stat().st_size > 0)
+        wait_for(lambda: ready.exists() and ready.stat().st_size > 0)
         self._platform = json.loads(ready.read_text())
         inventory = self._folder / 'inventory.json'
         self._document = json.loads(inventory.read_text())
@@ -61,9 +61,9 @@
         for number in range(self._instance_count):
             self._start_instance(number, free[2 * number : 2 * number + 2])
         for port in self.http_ports:
-            wait_until(lambda port=port: self._status(port) is not None)
+            wait_for(lambda port=port: self._status(port) is not None)
         self.apply_change()
-        wait_until(lambda: self._is_applied(self._revision))
+        wait_for(lambda: self._is_applied(self._revision))
 
     def apply_change(self) -> float:
         """Apply a changed inventory and return the time of sending."""
@@ -107,14 +107,14 @@
         return dict(send('GET', url))
 
     def bytes_sent(self) -> list[int]:
-        """Return the bytes that each instance sent to its peers."""
+        """Return the bytes sent to peers by each instance since its start."""
         return [
             (self._status(port) or {}).get('peer_bytes_sent', 0)
             for port in self.http_ports
         ]
 
     def count_list_reads(self) -> float:
-        """Return the reads of the instance list, or 0 if not available."""
+        """Return the instance list reads, or 0 if the count is unavailable."""
         try:
             url = f'{self._platform["instance_list"]}/admin/calls'
             return float(sum(send('GET', url).values()))
@@ -202,7 +202,7 @@
         return json.load(reply)
 
 
-def wait_until(condition: Any) -> None:
+def wait_for(condition: Any) -> None:
     """Wait until a condition holds; exit the program on a timeout."""
     deadline = time.monotonic() + START_TIMEOUT_SECONDS
     while not condition():
--- a/tools/lease_fleet.py
+++ b/tools/lease_fleet.py
@@ -24,9 +24,9 @@
 
 TICK_SECONDS = 0.25
 STORE_SECONDS = 0.005
-# From a write of the lease table until every instance has read it.
+# Delay from a write of the lease table until every instance has read it.
 READ_SECONDS = 0.1
-# Until all instances have detected a start or a crash.
+# Delay until all instances have detected a start or a crash.
 DETECTION_SECONDS = 5.0
 TARGETS = 1300
 START_TIME = 1000.0
@@ -79,16 +79,14 @@
     def stop(self, name: InstanceId) -> None:
         """Stop an instance gracefully; the others detect it at once."""
         leaving = self.nodes_by_id[name].keeper
-        handovers: dict[int, table.Holder | None] = {}
-        for shard, successor in leaving.next_holders().items():
-            assert successor is not None
-            peer = self.nodes_by_id[successor].keeper
+        offers: dict[int, table.Holder | None] = {}
+        for shard, next_id in leaving.next_holders().items():
+            assert next_id is not None
+            peer = self.nodes_by_id[next_id].keeper
             peer.keep_session_open(Instant(self.now + 10))
             session = self._time(lambda k=peer: k.usable_session(self.now))
-            handovers[shard] = (
-                table.Holder(successor, session) if session else None
-            )
-        leaving.transfer(handovers)
+            offers[shard] = table.Holder(next_id, session) if session else None
+        leaving.transfer(offers)
         while not leaving.close():
             self.run(TICK_SECONDS)
         self.nodes_by_id[name].is_dead = True
--- a/tools/measure_calls.py
+++ b/tools/measure_calls.py
@@ -27,7 +27,7 @@
     'oracle': calls_policies.Oracle,
 }
 DECISIONS = 20_000
-# Time after a fault that is not counted as recovered.
+# Time allowed for recovery after a fault.
 RECOVERY_SECONDS = 5.0
 
 
--- a/tools/measure_configuration.py
+++ b/tools/measure_configuration.py
@@ -61,7 +61,7 @@
         }
 
 
-def measure_propagation(count: int, changes: int, killed: int) -> None:
+def measure_fleet(count: int, changes: int, killed: int) -> None:
     """Print propagation times, bytes and processor time."""
     fleet = Fleet(count, seed=1)
     source = documents(TARGETS)
@@ -97,14 +97,13 @@
     watchers = 2 * len({i.data_centre for i in fleet.instances})
     head = watched / changes / watchers
     after = fleet.traffic()
-    per_change = [
+    sent = [
         (after[i] - before[i] - idle_bytes[i] * elapsed) / changes
         for i in after
     ]
     daily = CHANGES_A_DAY / DAY_SECONDS
     steady = [
-        rate + daily * (n + head)
-        for rate, n in zip(idle_bytes.values(), per_change)
+        rate + daily * (n + head) for rate, n in zip(idle_bytes.values(), sent)
     ]
     processor = used / changes / count
     share = idle_processor / count + processor * daily
@@ -112,11 +111,8 @@
     _print('in force everywhere, worst', f'{max(delays):.2f} s')
     _print('in force everywhere, median', f'{statistics.median(delays):.2f} s')
     _print('idle, bytes/s a node', f'{idle_mean:.0f}')
-    _print(
-        'bytes a node a change, mean',
-        f'{statistics.mean(per_change):.0f}',
-    )
-    _print('bytes a node a change, most', f'{max(per_change):.0f}')
+    _print('bytes a node a change, mean', f'{statistics.mean(sent):.0f}')
+    _print('bytes a node a change, most', f'{max(sent):.0f}')
     _print('head read by a watcher a change, bytes', f'{head:.0f}')
     _print('written to the store a change, bytes', f'{written / changes:.0f}')
     _print('bytes/s at 6,000 a day, busiest watcher', f'{max(steady):.0f}')
@@ -286,9 +282,7 @@
         wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL)
     )
     print(f'{options.instances} instances, {TARGETS} targets')
-    measure_propagation(
-        options.instances, options.changes, options.instances // 10
-    )
+    measure_fleet(options.instances, options.changes, options.instances // 10)
     measure_naive(options.instances, options.changes)
     measure_store_calls([6, 12, 24, 48, 96, 205, 410])
 
--- a/tools/measure_control.py
+++ b/tools/measure_control.py
@@ -25,7 +25,7 @@
 
 
 class Row(msgspec.Struct, frozen=True, kw_only=True):
-    """Results of one measurement window."""
+    """Store the results of one measurement window."""
 
     build: str
     instances: int
@@ -51,7 +51,7 @@
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """Snapshot of the counters."""
+    """Store a snapshot of the counters."""
 
     at: float
     cpu_by_member: list[float]
@@ -75,7 +75,7 @@
     fleet: control_fleet.Fleet,
     before: Sample,
     after: Sample,
-    in_force: list[float],
+    delays: list[float],
     **labels: Any,
 ) -> Row:
     seconds = after.at - before.at
@@ -107,8 +107,8 @@
         store_watches=rate('watch'),
         waiting_watches=after.store.get('waiting_watches', 0),
         list_reads=(after.list_reads - before.list_reads) / seconds,
-        in_force_median=statistics.median(in_force) if in_force else 0.0,
-        in_force_worst=max(in_force, default=0.0),
+        in_force_median=statistics.median(delays) if delays else 0.0,
+        in_force_worst=max(delays, default=0.0),
         **labels,
     )
 
@@ -146,12 +146,12 @@
                 time.sleep(seconds / changes)
             after = _take_sample(fleet)
             # Outside the window, since polling uses processor time too.
-            in_force = [fleet.measure_change() for _ in range(changes)]
+            delays = [fleet.measure_change() for _ in range(changes)]
             yield _build_row(
                 fleet,
                 before,
                 after,
-                in_force,
+                delays,
                 build=build,
                 targets=targets,
                 window=f'{changes / seconds:.1f} changes/s',
--- a/tools/measure_crashes.py
+++ b/tools/measure_crashes.py
@@ -42,12 +42,10 @@
     for name, instances, targets, rate, count in LOADS:
         others = [b'other %d' % number for number in range(count)]
         cells = [name]
-        for is_naive in (True, False):
+        for naive in (True, False):
             crashes, served = [], []
             for seed in range(seeds):
-                world = crash_world.CrashWorld(
-                    instances, targets, seed, is_naive
-                )
+                world = crash_world.CrashWorld(instances, targets, seed, naive)
                 world.run(
                     SECONDS,
                     world.often(CRASH_REQUEST_RATE, [b'crash']),
--- a/tools/measure_membership.py
+++ b/tools/measure_membership.py
@@ -1,8 +1,7 @@
 """Measure membership in one process on a simulated clock.
 
-Runs the real controllers on the in-memory network of the tests. Compares them
-with a naive design, in which every instance probes all others and reads the
-instance list each second.
+Runs the real controllers on the in-memory network of the tests, and a naive
+design where every instance probes all others and reads the list each second.
 """
 
 from __future__ import annotations
@@ -169,7 +168,7 @@
 
 
 def print_detection(size: int) -> None:
-    """Print the time until all instances know that one has ended."""
+    """Print the time until all instances detect the end of one."""
     fleet = _start_fleet(size)
     names = iter(list(fleet.processes_by_id))
     worst: dict[str, float] = collections.defaultdict(float)
--- a/tools/measure_prefixes.py
+++ b/tools/measure_prefixes.py
@@ -48,7 +48,7 @@
         return is_hit
 
 
-def measure(uses_prefix: bool) -> tuple[float, float, int]:
+def measure(by_prefix: bool) -> tuple[float, float, int]:
     """Return the hit rate, the best possible rate and the peak load."""
     generator = random.Random(SEED)
     loop = calls_model.Loop()
@@ -69,9 +69,7 @@
         loop.schedule(generator.expovariate(CALLS_PER_SECOND), arrive)
         prompt = f'prompt {next(prompts)}'
         chosen = generator.choice(pools)
-        target = chosen.choose(
-            loop.now, prefix=prompt if uses_prefix else None
-        )
+        target = chosen.choose(loop.now, prefix=prompt if by_prefix else None)
         assert target is not None
         chosen.record_send(target)
         counts['calls'] += 1
@@ -102,8 +100,8 @@
     """Compare routing by load alone with routing by prefix and load."""
     click.echo('| routing | cached | best possible | most calls at once |')
     click.echo('|---|---|---|---|')
-    for name, uses_prefix in (('load', False), ('prefix and load', True)):
-        hits, best, peak = measure(uses_prefix)
+    for name, by_prefix in (('load', False), ('prefix and load', True)):
+        hits, best, peak = measure(by_prefix)
         click.echo(f'| {name} | {hits:.1%} | {best:.1%} | {peak} |')
 
 
--- a/tools/measure_process.py
+++ b/tools/measure_process.py
@@ -58,14 +58,12 @@
             str(EXAMPLE),
             str(self._folder),
         )
-        ready = self._folder / 'platform.json'
-        control_fleet.wait_until(
-            lambda: ready.exists() and ready.stat().st_size
-        )
+        path = self._folder / 'platform.json'
+        control_fleet.wait_for(lambda: path.exists() and path.stat().st_size)
         inventory = json.loads((self._folder / 'inventory.json').read_text())
         self._register_instance()
         self.instance = self._spawn(*self._argv('entry-1', *self._ports[:2]))
-        control_fleet.wait_until(self._is_ready)
+        control_fleet.wait_for(self._is_ready)
         control_fleet.send(
             'PUT',
             f'127.0.0.1:{self.instance_port}/v1/operators/configuration',
@@ -77,8 +75,8 @@
             str(self.relay_port),
             inventory['targets'][0]['address'],
         )
-        control_fleet.wait_until(lambda: _is_listening(self.relay_port))
-        # Guards against measuring another program that took a free port.
+        control_fleet.wait_for(lambda: _is_listening(self.relay_port))
+        # Guards against measuring a program that took one of the ports.
         if any(process.poll() is not None for process in self._processes):
             raise SystemExit('A process ended at start-up; try again.')
 
@@ -93,7 +91,7 @@
         free_ports = ports.free(2)
         started_at = time.monotonic()
         process = self._spawn(*self._argv('entry-2', *free_ports))
-        control_fleet.wait_until(lambda: _is_listening(free_ports[0]))
+        control_fleet.wait_for(lambda: _is_listening(free_ports[0]))
         seconds = time.monotonic() - started_at
         process.kill()
         process.wait()
@@ -166,7 +164,7 @@
         reply = connection.getresponse()
         reply.read()
         if reply.status != 200:
-            raise SystemExit(f'{path}: status {reply.status}')
+            raise SystemExit(f'{path} returned status {reply.status}.')
     connection.close()
 
 
--- a/tools/measure_rollouts.py
+++ b/tools/measure_rollouts.py
@@ -126,12 +126,10 @@
         scheduler.open_step(trainer, work)
         waiting = tracemalloc.get_traced_memory()[0]
         for place in work.places():
-            name = sample_module.sample_id(
+            id_ = sample_module.sample_id(
                 work.trainer, work.step, place, product_rollouts.INCARNATION, 1
             )
-            work.add_sample(
-                sample_module.Finished(name, WeightVersion(1), b'')
-            )
+            work.add_sample(sample_module.Finished(id_, WeightVersion(1), b''))
         done = tracemalloc.get_traced_memory()[0] - waiting
         tracemalloc.stop()
         print(
--- a/tools/measure_streams.py
+++ b/tools/measure_streams.py
@@ -40,7 +40,7 @@
     return float(sum(fleet.instances[0].cpu_times()[:2]))
 
 
-def _cpu_seconds_per_request(
+def _request_cost(
     fleet: control_fleet.Fleet,
     numbers: itertools.count[int],
     tokens: int,
@@ -73,9 +73,7 @@
         try:
             fleet.start()
             for length in TOKEN_COUNTS * rounds:
-                cost = _cpu_seconds_per_request(
-                    fleet, numbers, length, requests
-                )
+                cost = _request_cost(fleet, numbers, length, requests)
                 lengths.append(float(length))
                 costs.append(1000 * cost)
                 click.echo(f'{length} tokens: {1000 * cost:.2f} ms a request')
--- a/tools/paired_days.py
+++ b/tools/paired_days.py
@@ -4,7 +4,7 @@
 --state before=../before --day DAY --seed 11 --seed 12 --why "..."`. Each
 state is a checkout of the code. Every state runs each day with each seed,
 without processor time, so that random effects are paired. Prints the mean
-score of each state and its difference from the first state with a 95%
+worth of each state and its difference from the first state with a 95%
 confidence interval. Copies new journal entries of the states to the journal
 of this repository.
 """
@@ -37,13 +37,13 @@
 
 
 class Run:
-    """Store the result of one day run by one state."""
+    """Store the result of one day, state and seed."""
 
     def __init__(self, state: str, day: str, seed: int) -> None:
         self.state = state
         self.day = day
         self.seed = seed
-        self.score = math.nan
+        self.worth = math.nan
         # Seconds that all trainers lag at the end, less the scheduled time
         # of their steps; only differences between states are meaningful.
         self.lag_seconds = math.nan
@@ -75,7 +75,7 @@
     if not found:
         run.error = (done.stdout + done.stderr).strip()[-300:]
         return
-    run.score = float(found[0])
+    run.worth = float(found[0])
     run.lag_seconds = sum(
         float(match['seconds']) - STEP_INTERVAL_SECONDS * int(match['steps'])
         for match in TRAINER_LAG.finditer(done.stdout)
@@ -112,8 +112,8 @@
     if results is None:
         return
     for run in runs:
-        if not math.isnan(run.score):
-            results_by_name[run.name] = [run.score, run.lag_seconds]
+        if not math.isnan(run.worth):
+            results_by_name[run.name] = [run.worth, run.lag_seconds]
     results.write_text(json.dumps(results_by_name, indent=1))
 
 
@@ -128,7 +128,7 @@
 def _print_comparison(runs: list[Run], names: list[str]) -> None:
     by_state: dict[str, dict[tuple[str, int], Run]] = {}
     for run in runs:
-        if not math.isnan(run.score):
+        if not math.isnan(run.worth):
             by_state.setdefault(run.state, {})[run.key] = run
     first = by_state.get(names[0], {})
     click.echo(
@@ -141,28 +141,28 @@
         if not found:
             click.echo(f'| {name} | 0 | | | | |')
             continue
-        scores = [run.score for run in found.values()]
+        worths = [run.worth for run in found.values()]
         shared = sorted(first.keys() & found.keys())
-        differences = [found[key].score - first[key].score for key in shared]
+        differences = [found[key].worth - first[key].worth for key in shared]
         mean, width = _confidence_interval(differences)
         lag, lag_width = _confidence_interval(
             [found[key].lag_seconds - first[key].lag_seconds for key in shared]
         )
         click.echo(
-            f'| {name} | {len(scores)} | {statistics.fmean(scores):.4f} '
-            f'| {min(scores):.3f} | {mean:+.4f} ± {width:.4f} '
+            f'| {name} | {len(worths)} | {statistics.fmean(worths):.4f} '
+            f'| {min(worths):.3f} | {mean:+.4f} ± {width:.4f} '
             f'| {lag:+.2f} ± {lag_width:.2f} |'
         )
     for day in sorted({run.day for run in runs}):
         parts = []
         for name in names:
-            scores = [
-                run.score
+            worths = [
+                run.worth
                 for run in by_state.get(name, {}).values()
                 if run.day == day
             ]
-            if scores:
-                parts.append(f'{name} {statistics.fmean(scores):.3f}')
+            if worths:
+                parts.append(f'{name} {statistics.fmean(worths):.3f}')
         click.echo(f'{day}: ' + ', '.join(parts))
     for run in runs:
         if run.error or run.rules:
@@ -216,12 +216,10 @@
         for day in days
         for name in roots_by_name
     ]
-    results_by_name = _read_results(results)
+    known = _read_results(results)
     for run in runs:
-        run.score, run.lag_seconds = results_by_name.get(
-            run.name, [math.nan] * 2
-        )
-    pending = [run for run in runs if math.isnan(run.score)]
+        run.worth, run.lag_seconds = known.get(run.name, [math.nan] * 2)
+    pending = [run for run in runs if math.isnan(run.worth)]
     with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
         futures = [
             pool.submit(_execute, p, bench, site, roots_by_name[p.state], why)
@@ -229,7 +227,7 @@
         ]
         for future in futures:
             future.result()
-    _write_results(results, results_by_name, runs)
+    _write_results(results, known, runs)
     _print_comparison(runs, list(roots_by_name))
     copied = _copy_journal(list(roots_by_name.values()))
     click.echo(f'{copied} journal files copied.')
--- a/tools/product_rollouts.py
+++ b/tools/product_rollouts.py
@@ -39,16 +39,14 @@
         size: rollout_model.Size,
         lengths: rollout_model.Lengths,
         policy: inventory.TrainerPolicy,
-        spare_part: float = 0.0,
+        surplus: float = 0.0,
     ) -> None:
         self.loop = rollout_model.Loop()
         self.fleet = rollout_model.Fleet(self.loop, size)
         self.fleet.on_crash = self._crash
         self._size = size
         self._lengths = lengths
-        self.spare = round(
-            spare_part * size.samples / rollout_model.GROUP_SIZE
-        )
+        self.spare = round(surplus * size.samples / rollout_model.GROUP_SIZE)
         self._scheduler = scheduler_module.Scheduler(SLOTS)
         self._scheduler.set_engines(MODEL, self.fleet.names)
         self.trainers = [
@@ -60,7 +58,7 @@
                 id=trainer.id,
                 model=MODEL,
                 scorer=ScorerId('s'),
-                staleness_bound=rollout_model.STALENESS_BOUND,
+                staleness_bound=rollout_model.MAX_LAG,
                 policy=policy,
             )
             for trainer in self.trainers
@@ -71,7 +69,7 @@
         self._attempts_by_engine: dict[TargetId, set[Attempt]] = (
             collections.defaultdict(set)
         )
-        self._tokens_by_place: dict[tuple[Any, Any], float] = {}
+        self._kept_tokens: dict[tuple[Any, Any], float] = {}
         self.cpu_seconds = 0.0
         self.starts = self.resumed = self.cached = 0
 
@@ -153,9 +151,7 @@
         for other in attempt.plan.attempts_by_place[attempt.place]:
             if other in self._running:
                 return self._tokens(other)
-        return self._tokens_by_place.pop(
-            (attempt.plan.work, attempt.place), 0.0
-        )
+        return self._kept_tokens.pop((attempt.plan.work, attempt.place), 0.0)
 
     def _stop(self, attempt: Attempt) -> None:
         if self._running.pop(attempt, None) is not None:
@@ -203,7 +199,7 @@
             return
         if attempt.spans:
             key = (attempt.plan.work, attempt.place)
-            self._tokens_by_place[key] = self._tokens(attempt)
+            self._kept_tokens[key] = self._tokens(attempt)
         self._stop(attempt)
         self._scheduler.fail_attempt(attempt, Instant(self.loop.now))
         self.loop.schedule(1.0, self._dispatch)
@@ -219,7 +215,7 @@
                 attempt: Attempt = attempt, tokens: float = tokens
             ) -> None:
                 self._scheduler.fail_attempt(attempt, Instant(self.loop.now))
-                self._tokens_by_place[key] = tokens
+                self._kept_tokens[key] = tokens
                 self.loop.schedule(1.0, self._dispatch)
                 self._dispatch()
 
@@ -230,7 +226,7 @@
         work = self._work_by_step.get((trainer.index, trainer.step))
         if not trainer.is_waiting or work is None or not work.is_whole:
             return
-        stale = work.drop_stale(trainer.newest, rollout_model.STALENESS_BOUND)
+        stale = work.drop_stale(trainer.newest, rollout_model.MAX_LAG)
         if stale:
             self._scheduler.requeue_places(work, stale)
             self._dispatch()
@@ -253,9 +249,7 @@
         del self._work_by_step[trainer.index, work.step]
         for (owner, _), other in list(self._work_by_step.items()):
             if owner == trainer.index:
-                stale = other.drop_stale(
-                    trainer.newest, rollout_model.STALENESS_BOUND
-                )
+                stale = other.drop_stale(trainer.newest, rollout_model.MAX_LAG)
                 self._scheduler.requeue_places(other, stale)
         self._submit(trainer)
         self._fetch_step(trainer)
--- a/tools/regression.py
+++ b/tools/regression.py
@@ -3,7 +3,7 @@
 Run as `.venv/bin/python tools/regression.py BENCH SITE... --why "..."` with
 the site files named in docs/regression.toml. Scores the sites in turn and
 prints one table. Exits with 1 if a gate fails, a rule is broken or the mean
-score of a site is more than 0.03 below its baseline.
+worth of a site is more than 0.03 below its baseline.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 ROOT = pathlib.Path(__file__).resolve().parents[1]
 BASELINE = ROOT / 'docs' / 'regression.toml'
-# Largest accepted drop of a site's mean score.
+# Largest accepted drop of a site's mean worth.
 MAX_DROP = 0.03
 FAULT_SLOTS = ('trouble', 'scale')
 
@@ -31,15 +31,15 @@
     site: str
     is_gate_passed: bool
     rules: tuple[str, ...]
-    mean_score: float
+    mean_worth: float
 
-    def drop(self, baseline_by_site: dict[str, float]) -> float | None:
-        """Return the drop below the baseline, or None without one."""
-        baseline = baseline_by_site.get(self.site)
-        return None if baseline is None else baseline - self.mean_score
+    def drop(self, baselines: dict[str, float]) -> float | None:
+        """Return the drop below the baseline, or None without a baseline."""
+        baseline = baselines.get(self.site)
+        return None if baseline is None else baseline - self.mean_worth
 
-    def is_acceptable(self, baseline_by_site: dict[str, float]) -> bool:
-        drop = self.drop(baseline_by_site)
+    def is_acceptable(self, baselines: dict[str, float]) -> bool:
+        drop = self.drop(baselines)
         is_in_bound = drop is None or drop <= MAX_DROP
         return self.is_gate_passed and not self.rules and is_in_bound
 
@@ -47,10 +47,10 @@
 def read_score(entry: dict) -> SiteScore:
     """Return the score in a journal entry.
 
-    Days drawn for this run count for the gate, not for the mean score.
+    Days drawn for this run count for the gate, not for the mean worth.
     """
     days = entry['days']
-    standard_scores = [
+    standard_worths = [
         day['G']
         for day in days
         if day['slot'] in FAULT_SLOTS and not day['name'].startswith('fresh-')
@@ -61,25 +61,23 @@
         rules=tuple(
             f'{day["name"]}: {rule}' for day in days for rule in day['rules']
         ),
-        mean_score=statistics.fmean(standard_scores),
+        mean_worth=statistics.fmean(standard_worths),
     )
 
 
-def render_table(
-    scores: list[SiteScore], baseline_by_site: dict[str, float]
-) -> str:
+def render_table(scores: list[SiteScore], baselines: dict[str, float]) -> str:
     """Return a Markdown table with one row per site."""
     rows = [
         '| site | gate | rules broken | mean worth | against landed |',
         '|---|---|---|---|---|',
     ]
     for score in scores:
-        drop = score.drop(baseline_by_site)
+        drop = score.drop(baselines)
         change = 'none landed' if drop is None else f'{-drop:+.3f}'
         gate = 'passed' if score.is_gate_passed else 'FAILED'
         rules = '; '.join(score.rules) or 'none'
         rows.append(
-            f'| {score.site} | {gate} | {rules} | {score.mean_score:.3f} '
+            f'| {score.site} | {gate} | {rules} | {score.mean_worth:.3f} '
             f'| {change} |'
         )
     return '\n'.join(rows)
@@ -105,10 +103,10 @@
 @click.option('--why', required=True, help='Reason to record in the journal.')
 def main(bench: str, sites: tuple[str, ...], jobs: int, why: str) -> None:
     """Score the sites and print one table."""
-    baseline_by_site = tomllib.loads(BASELINE.read_text())['worth']
+    baselines = tomllib.loads(BASELINE.read_text())['worth']
     scores = [_score_site(bench, site, jobs, why) for site in sites]
-    click.echo(render_table(scores, baseline_by_site))
-    if not all(score.is_acceptable(baseline_by_site) for score in scores):
+    click.echo(render_table(scores, baselines))
+    if not all(score.is_acceptable(baselines) for score in scores):
         sys.exit(1)
 
 
--- a/tools/rollout_model.py
+++ b/tools/rollout_model.py
@@ -29,7 +29,7 @@
 PREFILL_SECONDS = 0.5
 TRAIN_SECONDS = 240.0
 SWAP_SECONDS = 14.0
-STALENESS_BOUND = 1
+MAX_LAG = 1
 REPAIR_SECONDS = 120.0
 # Detection delay of the half of crashes seen only as a stalled stream.
 STALL_SECONDS = 5.0
@@ -228,7 +228,7 @@
 
 
 def bound_idle(size: Size, lengths: Lengths) -> float:
-    """Return the trainers' idle share if engines are always busy."""
+    """Return the least possible idle share of the trainers."""
     tokens = sum(
         sum(lengths.of_step(trainer, step))
         for trainer in range(TRAINERS)
--- a/tools/tests/test_regression.py
+++ b/tools/tests/test_regression.py
@@ -16,9 +16,9 @@
 
 
 def day(
-    name: str, score: float, slot: str = 'trouble', **rules: object
+    name: str, worth: float, slot: str = 'trouble', **rules: object
 ) -> dict:
-    return {'name': name, 'G': score, 'slot': slot, 'rules': rules}
+    return {'name': name, 'G': worth, 'slot': slot, 'rules': rules}
 
 
 def entry(*days: dict, gate: float = 1.0) -> dict:
@@ -35,7 +35,7 @@
                 day('fresh-1', 0.1),
             )
         )
-        self.assertAlmostEqual(0.7, found.mean_score)
+        self.assertAlmostEqual(0.7, found.mean_worth)
 
     @params(
         ('unchanged', entry(day('trouble-1', 0.7)), True),
