--- a/packages/yuccarill-core/src/yuccarill/core/calls/admission.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/admission.py
@@ -137,8 +137,7 @@
         if self.in_flight >= limit * self._headroom(waiting.caller_class):
             wait = self.expected_wait(waiting.caller_class)
             if now + wait + latency > waiting.deadline:
-                # The call would miss its deadline. An early refusal leaves
-                # its caller time to retry.
+                # An early refusal leaves the caller time to retry.
                 return [waiting]
         waiting.is_queued = True
         self._queues[waiting.caller_class].push(waiting)
--- a/packages/yuccarill-core/src/yuccarill/core/calls/attempt.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/attempt.py
@@ -21,5 +21,5 @@
 def may_have_run(step: Step) -> bool:
     """Return whether a byte can have reached the target."""
     # The target may act on bytes written to an open connection, even if the
-    # write fails here.
+    # local write fails.
     return step >= Step.SENDING
--- a/packages/yuccarill-core/src/yuccarill/core/calls/deadlines.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/deadlines.py
@@ -4,7 +4,7 @@
 
 from yuccarill.core.ids import Instant
 
-# A shorter attempt deadline would waste the work of answers that are due.
+# With less time, attempts would be given up shortly before their answers.
 _MIN_LATENCY_MULTIPLE = 4.0
 
 
--- a/packages/yuccarill-core/src/yuccarill/core/calls/ledger.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/ledger.py
@@ -41,7 +41,7 @@
 
     digest: int
     stage: RecordState = RecordState.RUNNING
-    # Dropped before the record if answers exceed their memory limit.
+    # Removed from a stored record if answers exceed their memory limit.
     answer: Answer | None = None
 
 
@@ -155,7 +155,8 @@
         ):
             # A forged expiry would keep records indefinitely.
             raise errors.TicketError(
-                'This instance did not issue the ticket; request addresses.'
+                'This instance did not issue the ticket; request addresses to '
+                'get another.'
             )
         if self._record_count >= self._limits.records:
             # A delayed copy of a refused request must not start later, and
--- a/packages/yuccarill-core/src/yuccarill/core/calls/limit.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/limit.py
@@ -29,9 +29,9 @@
     # Fraction removed at twice the accepted pressure, and its maximum.
     decrease: float = 0.2
     max_decrease: float = 0.5
-    # Growth factor per window until pressure first exceeds the accepted one.
+    # Growth factor of the limit per window before the first excess pressure.
     first_growth: float = 1.5
-    # Ratio of the limit to the calls in flight above which it decreases.
+    # Ratio of the limit to the calls in flight above which the limit falls.
     headroom: float = 2.5
     # Seconds after which the unloaded latency is measured anew.
     memory: float = 120.0
--- a/packages/yuccarill-core/src/yuccarill/core/calls/paths.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/paths.py
@@ -1,4 +1,4 @@
-"""Check request paths and tell which may run more than once."""
+"""Check request paths and tell which calls are repeatable."""
 
 from __future__ import annotations
 
--- a/packages/yuccarill-core/src/yuccarill/core/calls/pool.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/pool.py
@@ -64,7 +64,7 @@
 _EJECTION_WEIGHT = 2
 _SAMPLE_SIZE = 2
 _MAX_LIGHTLY_LOADED = 64
-# Lightly loaded targets kept for urgent calls; candidates of one such call.
+# Lightly loaded targets: reserved for urgent calls; considered for each one.
 _RESERVED_FOR_URGENT = 4
 _URGENT_CANDIDATES = 8
 _LOAD_SMOOTHING = 0.02
--- a/packages/yuccarill-core/src/yuccarill/core/calls/prefixes.py
+++ b/packages/yuccarill-core/src/yuccarill/core/calls/prefixes.py
@@ -21,8 +21,8 @@
 class PrefixRing:
     """Map prefixes to engines by consistent hashing.
 
-    All instances map a prefix to the same engine without coordination. If
-    an engine has not cached a prefix, it only has to compute it again.
+    All instances map a prefix to the same engine without coordination. An
+    engine that has not cached the prefix computes it again.
     """
 
     def __init__(self) -> None:
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/broker.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/broker.py
@@ -209,7 +209,7 @@
                 )
             ),
             valid_for=self._policy.valid_for,
-            second_rate=self._second_rate(report),
+            second_rate=self._second_attempt_rate(report),
             retry_after=self._retry_after(),
             free_part=self._free_part(),
         )
@@ -225,7 +225,7 @@
         others = self.lent_rate() - self.leases_by_instance[instance].rate
         return min(1.0, max(0.0, self._lendable - others) / rate)
 
-    def _second_rate(self, report: DemandReport) -> float:
+    def _second_attempt_rate(self, report: DemandReport) -> float:
         """Return the second attempts a second lent to an instance."""
         # Half of the budget is divided in proportion to refused requests:
         # equal parts would mostly go to instances that need none.
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/estimate.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/estimate.py
@@ -58,7 +58,7 @@
     def __init__(self, policy: EstimatePolicy) -> None:
         self._policy = policy
         self._rate: float | None = None
-        self._next_at = Instant(-math.inf)
+        self._next_update_at = Instant(-math.inf)
         # Fraction of the slots in use.
         self.used_part = 0.0
 
@@ -80,11 +80,11 @@
     ) -> None:
         """Update the estimate, at most once a period.
 
-        `capped_part` is the fraction lent to classes with excess demand.
+        `capped_part` is the capacity fraction of classes with excess demand.
         """
-        if now < self._next_at:
+        if now < self._next_update_at:
             return
-        self._next_at = Instant(now + self._policy.period)
+        self._next_update_at = Instant(now + self._policy.period)
         rate = self._measure(reports, places, capped_part)
         if self._rate is None:
             self._rate = rate
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/fairness.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/fairness.py
@@ -15,7 +15,7 @@
 
 K = TypeVar('K', bound='Hashable')
 
-# Priority of calls that text generation depends on. They precede callers'
+# Priority of calls that text generation depends on, served before callers'
 # requests up to a fixed part: a generation step waits for all of its calls.
 INTERNAL_PRIORITY = -1
 
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/gate.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/gate.py
@@ -1,4 +1,4 @@
-"""Define the requests to a capacity gate and its rulings."""
+"""Define the requests to a capacity gate and its decisions."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class GateDecision(msgspec.Struct, frozen=True, kw_only=True):
-    """Store a decision on a request and the prediction behind it."""
+    """Store a decision on a request and the predicted times."""
 
     answer: GateVerdict
     # Seconds that the request is expected to wait.
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/local_throttle.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/local_throttle.py
@@ -72,7 +72,7 @@
             self._ratio = self._policy.late_ratio
         part = self._class_part_to_refuse(demand_class, demands, now)
         if part > 0.0 and self._generator.random() < part:
-            # Counts as not accepted by targets.
+            # The request counts as not accepted by targets.
             self._refused.record(now)
             return False
         return True
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/messages.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/messages.py
@@ -57,7 +57,7 @@
     demand_class: DemandClass
     # Requests a second.
     rate: float
-    # Fraction of the class's requests that the rate covers.
+    # Lent fraction of the class's demand in the whole fleet.
     part: float
 
 
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/second_attempts.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/second_attempts.py
@@ -25,7 +25,7 @@
 
 
 class SecondAttempts:
-    """Grant second attempts from the lent rate or local budgets."""
+    """Grant second attempts from a broker's rate or local budgets."""
 
     def __init__(self, policy: SecondPolicy, now: Instant) -> None:
         self._policy = policy
@@ -58,7 +58,7 @@
         return self._retries.withdraw()
 
     def take_lent(self, now: Instant) -> bool:
-        """Take a second attempt from the lent rate, if one is left."""
+        """Take a lent second attempt; return whether one was left."""
         return self._lent.try_take(now)
 
     def take_hedge(self) -> bool:
--- a/packages/yuccarill-core/src/yuccarill/core/capacity/service_gate.py
+++ b/packages/yuccarill-core/src/yuccarill/core/capacity/service_gate.py
@@ -60,37 +60,37 @@
         self._wanted_seconds = 0.0
 
     def offer(self, request: CapacityRequest, now: Instant) -> GateDecision:
-        """Return the ruling on a new request."""
-        # Counted last: a request must not raise the demand it is judged by.
-        ruling = self._rule(request, now)
+        """Decide on a new request."""
+        # Counted last: the decision depends on the demand of earlier requests.
+        decision = self._decide(request, now)
         self._demand_meter.record(request.demand_class, now)
         wanted = request.wanted_by - request.arrived_at
         self._wanted_seconds += 0.1 * (wanted - self._wanted_seconds)
-        return ruling
+        return decision
 
-    def _rule(self, request: CapacityRequest, now: Instant) -> GateDecision:
+    def _decide(self, request: CapacityRequest, now: Instant) -> GateDecision:
         if not self.is_congested(now):
             self._throttle.record(now)
             return _SEND
         grant = self._valid_grant(now)
         if grant is None:
-            return self._rule_locally(request, now)
+            return self._decide_locally(request, now)
         self._throttle.record(now)
         if not grant.is_congested:
             return self._allow()
-        return self._rule_by_lane(request, now)
+        return self._decide_by_lane(request, now)
 
     def admit(
         self, now: Instant
     ) -> list[tuple[CapacityRequest, GateDecision]]:
-        """Return waiting requests to send or refuse now, with rulings."""
+        """Return waiting requests to send or refuse now, with decisions."""
         if self._grant is not None and self._valid_grant(now) is None:
             self._released += self._lanes.clear()
-        ruled = [(each, self._allow()) for each in self._released]
+        decisions = [(each, self._allow()) for each in self._released]
         self._released.clear()
         for lane in list(self._lanes.iterate()):
-            ruled += self._admit_from_lane(lane, now)
-        return ruled
+            decisions += self._admit_from_lane(lane, now)
+        return decisions
 
     def next_wakeup(self, now: Instant) -> Instant | None:
         """Return when to call `admit` next, None if no request waits."""
@@ -228,7 +228,7 @@
     def _valid_grant(self, now: Instant) -> CapacityGrant | None:
         return self._grant if now < self._grant_until else None
 
-    def _rule_locally(
+    def _decide_locally(
         self, request: CapacityRequest, now: Instant
     ) -> GateDecision:
         is_late = (
@@ -240,7 +240,7 @@
             return self._allow()
         return self._refuse(request, 0.0, 'the targets are overloaded', now)
 
-    def _rule_by_lane(
+    def _decide_by_lane(
         self, request: CapacityRequest, now: Instant
     ) -> GateDecision:
         seconds = self.congestion.service_seconds or 0.0
@@ -265,24 +265,24 @@
     def _admit_from_lane(
         self, lane: lanes.Lane, now: Instant
     ) -> list[tuple[CapacityRequest, GateDecision]]:
-        ruled: list[tuple[CapacityRequest, GateDecision]] = []
+        decisions: list[tuple[CapacityRequest, GateDecision]] = []
         while lane.waiting:
             head = lane.waiting[0]
             latest = self._latest_start(head)
             if now <= latest and lane.bucket.try_take(now):
-                ruling = self._allow()
+                decision = self._allow()
             elif now >= latest:
-                ruling = self._refuse(head, 0.0, 'no capacity in time', now)
+                decision = self._refuse(head, 0.0, 'no capacity in time', now)
             else:
                 break
             lane.waiting.popleft()
-            ruled.append((head, ruling))
-        return ruled
+            decisions.append((head, decision))
+        return decisions
 
     def _latest_start(self, request: CapacityRequest) -> Instant:
         """Return the latest start for an answer within the wanted time."""
         seconds = self.congestion.service_seconds or 0.0
-        # The mean alone would make about half of the answers late.
+        # With only the mean reserved, about half of the answers would be late.
         latest = request.wanted_by - self._policy.margin * seconds
         return Instant(max(request.arrived_at, latest))
 
--- a/packages/yuccarill-core/src/yuccarill/core/flow/memory_budget.py
+++ b/packages/yuccarill-core/src/yuccarill/core/flow/memory_budget.py
@@ -23,7 +23,7 @@
 # Divisors of the process bound for one connection and one account.
 CONNECTION_PART = 8
 ACCOUNT_PART = 2
-# Answers are paused above the account and process bounds divided by this.
+# Divisor of the account and process bounds above which answers are paused.
 AHEAD_PART = 2
 
 
@@ -63,7 +63,7 @@
     NONE = 'none'
     # Stop reading from the sender.
     PAUSE = 'pause'
-    # Drop requests, as chosen by `MemoryBudget.drops`.
+    # Drop requests, as chosen by `MemoryBudget.choose_drops`.
     DROP = 'drop'
 
 
@@ -96,13 +96,13 @@
     id: HolderId
     account: AccountName | None = None
     stage: RequestStage = RequestStage.ARRIVING
-    bytes_by_holding: dict[BufferKind, int] = dataclasses.field(
+    bytes_by_kind: dict[BufferKind, int] = dataclasses.field(
         default_factory=dict
     )
 
     @property
     def held(self) -> int:
-        return sum(self.bytes_by_holding.values())
+        return sum(self.bytes_by_kind.values())
 
 
 class Scope(enum.Enum):
@@ -130,19 +130,19 @@
         self._held_by_account: dict[AccountName, int] = {}
 
     def set_buffered(
-        self, holder: Holder, holding: BufferKind, count: int
+        self, holder: Holder, kind: BufferKind, count: int
     ) -> Pressure:
         """Set a holder's buffered bytes of one kind; return the pressure."""
-        before = holder.bytes_by_holding.get(holding, 0)
+        before = holder.bytes_by_kind.get(kind, 0)
         if count:
-            holder.bytes_by_holding[holding] = count
+            holder.bytes_by_kind[kind] = count
             self._holders_by_id[holder.id] = holder
         else:
-            holder.bytes_by_holding.pop(holding, None)
-            if not holder.bytes_by_holding:
+            holder.bytes_by_kind.pop(kind, None)
+            if not holder.bytes_by_kind:
                 self._holders_by_id.pop(holder.id, None)
         self._add_bytes(holder.account, count - before)
-        return self._pressure(holder, holding, count)
+        return self._pressure(holder, kind, count)
 
     def set_account(self, holder: Holder, account: AccountName | None) -> None:
         """Set the client account of a holder's request."""
@@ -154,8 +154,8 @@
 
     def release(self, holder: Holder) -> None:
         """Remove a holder whose request has ended."""
-        for holding in list(holder.bytes_by_holding):
-            self.set_buffered(holder, holding, 0)
+        for kind in list(holder.bytes_by_kind):
+            self.set_buffered(holder, kind, 0)
 
     def choose_drops(self) -> list[Drop]:
         """Return the holders to drop, in order, to meet every bound."""
@@ -198,7 +198,7 @@
         return found
 
     def _pressure(
-        self, holder: Holder, holding: BufferKind, count: int
+        self, holder: Holder, kind: BufferKind, count: int
     ) -> Pressure:
         of_account = (
             0
@@ -207,7 +207,7 @@
         )
         if self.held > self.bounds.process or of_account > self.bounds.account:
             return Pressure.DROP
-        if holding is BufferKind.REQUEST_BODY or not count:
+        if kind is BufferKind.REQUEST_BODY or not count:
             # A paused body could wait indefinitely for other requests.
             return Pressure.NONE
         # A target disconnects if its answer stays unread, so an answer that
--- a/packages/yuccarill-core/tests/calls/test_ledger.py
+++ b/packages/yuccarill-core/tests/calls/test_ledger.py
@@ -76,7 +76,7 @@
             self.begin(digest=DIGEST + 1)
 
     def test_expired_ticket_starts_nothing(self) -> None:
-        # Guard against a repeat that starts as the record of the first
+        # Guard against a repeat that starts after the record of the first
         # submission was dropped.
         with self.assertRaises(errors.TicketExpired) as caught:
             self.begin(now=START + 10.0)
--- a/packages/yuccarill-core/tests/capacity/load.py
+++ b/packages/yuccarill-core/tests/capacity/load.py
@@ -240,15 +240,15 @@
             return
         gate = self.gates[arrival.instance]
         gate.congestion.slots = self.setting.places
-        self._rule(arrival, gate.offer(arrival.request, self.now))
+        self._handle(arrival, gate.offer(arrival.request, self.now))
         self._schedule_wakeup(arrival.instance)
 
-    def _rule(self, arrival: Arrival, ruling: GateDecision) -> None:
-        match ruling.answer:
+    def _handle(self, arrival: Arrival, decision: GateDecision) -> None:
+        match decision.answer:
             case GateVerdict.SEND:
                 self._send(arrival, frozenset())
             case GateVerdict.REFUSE:
-                self._refuse(arrival, ruling.retry_after)
+                self._refuse(arrival, decision.retry_after)
             case GateVerdict.WAIT:
                 self._waiting_by_id[arrival.request.id] = arrival
 
@@ -258,8 +258,8 @@
             self.call_at(max(at, self.now) + 1e-6, lambda: self._admit(number))
 
     def _admit(self, number: int) -> None:
-        for request, ruling in self.gates[number].admit(self.now):
-            self._rule(self._waiting_by_id.pop(request.id), ruling)
+        for request, decision in self.gates[number].admit(self.now):
+            self._handle(self._waiting_by_id.pop(request.id), decision)
             self._schedule_wakeup(number)
 
     def _refuse(self, arrival: Arrival, retry_after: float) -> None:
--- a/packages/yuccarill-core/tests/capacity/test_failures.py
+++ b/packages/yuccarill-core/tests/capacity/test_failures.py
@@ -60,7 +60,7 @@
 
         served = run(load.Setting(), change)
         usual = run(load.Setting(), lambda _: None)
-        self.assertGreaterEqual(served, test_load.LEAST_SHARE * usual)
+        self.assertGreaterEqual(served, test_load.MIN_SHARE * usual)
 
     def test_targets_halved(self) -> None:
         """Guard against lending the capacity of lost targets."""
@@ -76,7 +76,7 @@
 
         served = run(load.Setting(targets=4), change)
         usual = run(load.Setting(targets=4), lambda _: None)
-        self.assertGreaterEqual(served, test_load.LEAST_SHARE * usual / 2)
+        self.assertGreaterEqual(served, test_load.MIN_SHARE * usual / 2)
 
     def test_an_instance_that_starts_under_overload(self) -> None:
         """Guard against a new instance that is lent nothing."""
@@ -116,4 +116,4 @@
         self.assertLessEqual(sends, (1.0 + 2 * 0.1) * len(outage))
         after = test_load.between(model, 8.0, 12.0)
         share = test_load.in_time(after) / len(after)
-        self.assertGreaterEqual(share, test_load.LEAST_BELOW)
+        self.assertGreaterEqual(share, test_load.MIN_BELOW)
--- a/packages/yuccarill-core/tests/capacity/test_load.py
+++ b/packages/yuccarill-core/tests/capacity/test_load.py
@@ -13,11 +13,11 @@
 
 from . import load
 
-LEAST_SHARE = 0.95
-LEAST_BELOW = 0.99
-LEAST_JAIN = 0.95
-MOST_LATE = 0.01
-MOST_SECOND = 0.1
+MIN_SHARE = 0.95
+MIN_BELOW = 0.99
+MIN_JAIN = 0.95
+MAX_LATE = 0.01
+MAX_SECOND = 0.1
 # Seconds for recovery after an overload or failure begins or ends.
 SETTLE_SECONDS = 2.0
 
@@ -50,7 +50,7 @@
     return found
 
 
-def most_second(model: load.Model) -> float:
+def max_second_part(model: load.Model) -> float:
     """Return the maximum fraction of second attempts in any second."""
     parts = []
     for second in range(int(model.now)):
@@ -65,9 +65,9 @@
     def check(self, model: load.Model, best: int) -> None:
         answered = [e for e in model.arrivals if e.ended_at is not None]
         served = in_time(answered)
-        self.assertGreaterEqual(served / best, LEAST_SHARE)
-        self.assertLessEqual(1.0 - served / len(answered), MOST_LATE)
-        self.assertLessEqual(most_second(model), MOST_SECOND)
+        self.assertGreaterEqual(served / best, MIN_SHARE)
+        self.assertLessEqual(1.0 - served / len(answered), MAX_LATE)
+        self.assertLessEqual(max_second_part(model), MAX_SECOND)
 
     @params(
         (load.Setting(), 10.0),
@@ -90,7 +90,7 @@
         model.run(until + 2.0)
         self.check(model, best)
         shares = by_account(between(model, 2.0, 7.0)).values()
-        self.assertGreaterEqual(jain(map(in_time, shares)), LEAST_JAIN)
+        self.assertGreaterEqual(jain(map(in_time, shares)), MIN_JAIN)
 
     def test_one_account_at_ten_times_its_share(self) -> None:
         """Guard against an account that takes the share of the others."""
@@ -108,11 +108,11 @@
             others = by_account(between(model, 2.0, 7.0))
             del others['flood']
             self.assertGreaterEqual(
-                jain(map(in_time, others.values())), LEAST_JAIN
+                jain(map(in_time, others.values())), MIN_JAIN
             )
             for arrivals in others.values():
                 below += arrivals
-        self.assertGreaterEqual(in_time(below) / len(below), LEAST_BELOW)
+        self.assertGreaterEqual(in_time(below) / len(below), MIN_BELOW)
 
     def test_a_load_spike_of_thirty_times(self) -> None:
         """Guard against an overload that outlasts its cause."""
@@ -127,7 +127,7 @@
         model.run(22.0)
         self.check(model, best)
         after = between(model, 10.0 + SETTLE_SECONDS, 20.0)
-        self.assertGreaterEqual(in_time(after) / len(after), LEAST_BELOW)
+        self.assertGreaterEqual(in_time(after) / len(after), MIN_BELOW)
 
     def test_retries_of_refused_callers(self) -> None:
         """Guard against refused callers that retry at the same time."""
@@ -144,7 +144,7 @@
         model.run(14.0)
         self.check(model, best)
         after = between(model, 4.0 + SETTLE_SECONDS, 12.0)
-        self.assertGreaterEqual(in_time(after) / len(after), LEAST_BELOW)
+        self.assertGreaterEqual(in_time(after) / len(after), MIN_BELOW)
         for each in model.arrivals:
             if each.retry_after is not None:
                 left = each.request.deadline - each.at
@@ -164,7 +164,7 @@
         self.check(model, best)
         found = by_account(between(model, SETTLE_SECONDS, 10.0))
         parts = {name: in_time(f) / len(f) for name, f in found.items()}
-        self.assertGreaterEqual(parts['urgent'], LEAST_SHARE)
+        self.assertGreaterEqual(parts['urgent'], MIN_SHARE)
         self.assertGreater(parts['usual'], parts['patient'])
         self.assertGreater(in_time(found['patient']), 0)
 
--- a/packages/yuccarill-core/tests/capacity/test_service_gate.py
+++ b/packages/yuccarill-core/tests/capacity/test_service_gate.py
@@ -1,4 +1,4 @@
-"""Test the rulings of a service gate."""
+"""Test the decisions of a service gate."""
 
 from __future__ import annotations
 
@@ -139,9 +139,9 @@
             pass
         wakes_at = self.gate.next_wakeup(Instant(10.0))
         self.assertLessEqual(wakes_at, offered.wanted_by)
-        ((found, ruling),) = self.gate.admit(Instant(wakes_at + 1e-6))
+        ((found, decision),) = self.gate.admit(Instant(wakes_at + 1e-6))
         self.assertIs(offered, found)
-        self.assertIs(GateVerdict.SEND, ruling.answer)
+        self.assertIs(GateVerdict.SEND, decision.answer)
 
     def test_an_expired_grant_limits_no_request(self) -> None:
         """Guard against requests blocked by a lost broker's grant."""
@@ -149,8 +149,8 @@
         offered = request()
         while self.answer(offered) is not GateVerdict.WAIT:
             pass
-        ((_, ruling),) = self.gate.admit(Instant(11.0))
-        self.assertIs(GateVerdict.SEND, ruling.answer)
+        ((_, decision),) = self.gate.admit(Instant(11.0))
+        self.assertIs(GateVerdict.SEND, decision.answer)
         self.assertIs(GateVerdict.SEND, self.answer(request(at=11.1)))
 
     def test_an_unlimited_grant_releases_waiting_requests(self) -> None:
@@ -170,9 +170,9 @@
             Instant(10.01),
         )
         self.assertEqual(10.01, self.gate.next_wakeup(Instant(10.01)))
-        ((found, ruling),) = self.gate.admit(Instant(10.01))
+        ((found, decision),) = self.gate.admit(Instant(10.01))
         self.assertIs(offered, found)
-        self.assertIs(GateVerdict.SEND, ruling.answer)
+        self.assertIs(GateVerdict.SEND, decision.answer)
 
     def test_waiting_requests_are_refused_once_too_late(self) -> None:
         """Guard against requests that wait longer than is useful."""
@@ -191,8 +191,8 @@
         )
         wakes_at = self.gate.next_wakeup(Instant(10.001))
         self.assertLessEqual(wakes_at, offered.wanted_by)
-        ((found, ruling),) = self.gate.admit(Instant(wakes_at + 1e-6))
-        self.assertIs(GateVerdict.REFUSE, ruling.answer)
+        ((found, decision),) = self.gate.admit(Instant(wakes_at + 1e-6))
+        self.assertIs(GateVerdict.REFUSE, decision.answer)
 
     @params(0.3, 1.0, 2.0)
     def test_refused_callers_retry_in_time(self, left: float) -> None:
--- a/packages/yuccarill-core/tests/flow/test_budget.py
+++ b/packages/yuccarill-core/tests/flow/test_budget.py
@@ -42,9 +42,9 @@
     ) -> Pressure:
         """Buffer bytes for one holder per row; return the last pressure."""
         found = Pressure.NONE
-        for number, (stage, holding, count, account) in enumerate(rows):
+        for number, (stage, kind, count, account) in enumerate(rows):
             each = holder(number, stage, account)
-            found = self.budget.set_buffered(each, holding, count)
+            found = self.budget.set_buffered(each, kind, count)
         return found
 
     def dropped(self) -> list[int]:
