--- a/packages/yuccarill-core/src/yuccarill/core/accounts/credentials.py
+++ b/packages/yuccarill-core/src/yuccarill/core/accounts/credentials.py
@@ -10,7 +10,7 @@
 
 # Longer input is refused without hashing; keys of the platform have 20 bytes.
 MAX_KEY_BYTES = 512
-# Long enough that no second key with the digest of an account can be found.
+# Long enough to resist a search for another key with the same digest.
 _DIGEST_BYTES = 32
 # The scheme is case-insensitive; a key is one word of visible ASCII without
 # commas, which separate credentials.
--- a/packages/yuccarill-core/src/yuccarill/core/accounts/decision.py
+++ b/packages/yuccarill-core/src/yuccarill/core/accounts/decision.py
@@ -42,13 +42,13 @@
     # If false, an instance partitioned from the store keeps admitting the
     # accounts that it knows.
     is_strict: bool = False
-    # Seconds since the configuration was confirmed; applies if strict.
+    # Maximum seconds since the configuration was confirmed; applies if strict.
     max_age: float = 5.0
 
 
 def decide(
-    standing: KeyState,
-    look: LookupResult,
+    key_state: KeyState,
+    lookup: LookupResult,
     age: float,
     policy: RevocationPolicy,
 ) -> KeyVerdict:
@@ -58,7 +58,7 @@
     version must not refuse a key that was just added: an unknown key is looked
     up in the newest version first, and deferred if that fails.
     """
-    match standing:
+    match key_state:
         case KeyState.HELD if policy.is_strict and age > policy.max_age:
             return KeyVerdict.DEFER
         case KeyState.HELD:
@@ -66,7 +66,7 @@
         case KeyState.REMOVED:
             return KeyVerdict.REFUSE
         case KeyState.UNKNOWN:
-            return _UNKNOWN_KEY_VERDICTS[look]
+            return _UNKNOWN_KEY_VERDICTS[lookup]
 
 
 _UNKNOWN_KEY_VERDICTS = {
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/abandoned.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/abandoned.py
@@ -14,7 +14,7 @@
 # silence after which a run is abandoned.
 ABANDONED_SECONDS = 2.0
 MAX_ABANDONED_RUNS = 1024
-# Unexpired failed runs of one content that block further attempts.
+# Unexpired failed runs of one content from which on it gets no new attempt.
 MAX_FAILED_RUNS = 2
 
 
@@ -50,7 +50,7 @@
         """Record a run whose response is no longer awaited."""
         self._expire(now)
         if len(self._runs) >= MAX_ABANDONED_RUNS:
-            self._settle(self._runs.popleft())
+            self._decrement_failed_count(self._runs.popleft())
         until = Instant(now + ABANDONED_SECONDS)
         self._runs.append(
             _AbandonedRun(target, content, request, began_at, until, is_failed)
@@ -70,7 +70,7 @@
         found = [run for run in self._runs if run.target == target]
         for run in found:
             self._runs.remove(run)
-            self._settle(run)
+            self._decrement_failed_count(run)
         # A run that began after the exit never reached the exited process.
         return {
             run.content: run.request
@@ -80,9 +80,9 @@
 
     def _expire(self, now: Instant) -> None:
         while self._runs and now >= self._runs[0].until:
-            self._settle(self._runs.popleft())
+            self._decrement_failed_count(self._runs.popleft())
 
-    def _settle(self, run: _AbandonedRun) -> None:
+    def _decrement_failed_count(self, run: _AbandonedRun) -> None:
         self._failed_by_content[run.content] -= run.is_failed
         if not self._failed_by_content[run.content]:
             del self._failed_by_content[run.content]
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/crash_ledger.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/crash_ledger.py
@@ -31,7 +31,7 @@
 # its targets rarely crashes two of them so close together.
 SAME_INCIDENT_SECONDS = 0.05
 MAX_COMPLETED_CONTENTS = 1024
-# Seconds after a completed run in which its content is not blamed for an end.
+# Seconds for which a completed run clears its content of blame for an end.
 # Bounded, since a new version of the service may crash on the same content.
 COMPLETED_SECONDS = 30.0
 # Seconds within which reports about one target id describe the same end;
@@ -127,7 +127,7 @@
     def known_completed(
         self, contents: Iterable[ContentDigest], now: Instant
     ) -> tuple[ContentDigest, ...]:
-        """Return the contents that a target recently completed."""
+        """Return those of the contents that a target recently completed."""
         return tuple(
             content
             for content in contents
@@ -207,7 +207,7 @@
         return self._quarantined_until.keys()
 
     def reports(self, now: Instant) -> tuple[CrashReport, ...]:
-        """Return reports of the ends with contents for a new instance."""
+        """Return the ends as reports that a new instance can load."""
         return tuple(
             CrashReport(
                 target=end.target,
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/directory.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/directory.py
@@ -17,8 +17,7 @@
 # Bounded, since each instance has its own connection pool to the targets and
 # more instances mean more handshakes.
 MAX_LOCAL_INSTANCES = 12
-# Further instances, spread over all data centres; for failover if the caller's
-# own is lost.
+# Further instances, spread over all data centres; used if the caller's fails.
 REMOTE_INSTANCES = 4
 
 
@@ -48,8 +47,8 @@
         if places_by_address[address].data_centre == caller_centre
     ][:MAX_LOCAL_INSTANCES]
     remote = [address for address in ordered if address not in local]
-    wanted = MAX_LOCAL_INSTANCES + REMOTE_INSTANCES - len(local)
-    return local + _interleave_centres(remote, places_by_address)[:wanted]
+    count = MAX_LOCAL_INSTANCES + REMOTE_INSTANCES - len(local)
+    return local + _interleave_centres(remote, places_by_address)[:count]
 
 
 def _interleave_centres(
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/last_target_guard.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/last_target_guard.py
@@ -21,21 +21,21 @@
 # Replaces HOLD_SECONDS if another request is at least as likely the cause;
 # shorter than a caller's timeout, since the request may be harmless.
 SHARED_HOLD_SECONDS = 2.8
-# Live targets from which on a request that may be the cause is not held.
+# A request is not held while at least this many targets are live.
 MIN_LIVE_TARGETS = 2
-# Targets lost while they ran a request from which on the request is held.
+# A request is not held before this many targets were lost while they ran it.
 LOST_TARGETS = 2
-# Lost targets, with at least one unconfirmed exit, from which on a request is
-# sent to no target until the target list confirms or refutes the exit.
+# A request is held from all live targets once this many were lost while they
+# ran it, at least one of them without a confirmed exit.
 UNCONFIRMED_LOSSES = 3
 
 
 class LastTargetGuard:
     """Decide which requests put a service's last live target at risk."""
 
-    def __init__(self, ledger: CrashLedger, doubts: UnconfirmedLosses) -> None:
+    def __init__(self, ledger: CrashLedger, losses: UnconfirmedLosses) -> None:
         self._ledger = ledger
-        self._doubts = doubts
+        self._losses = losses
 
     def must_hold(
         self, content: ContentDigest, ready: Set[TargetId], now: Instant
@@ -43,13 +43,13 @@
         """Return whether a request must not be sent to the ready targets.
 
         Two simultaneous exits do not prove that the request is the cause, but
-        they suffice to protect the third target for other clients.
+        are reason enough to keep the last live target for other clients.
         """
         since = Instant(now - HOLD_SECONDS)
         lost = self._ledger.end_times_since(content, since)
         silent = {
-            doubt.target.id: doubt.at
-            for doubt in self._doubts.losses_of(content, now)
+            loss.target.id: loss.at
+            for loss in self._losses.losses_of(content, now)
         }
         lost |= silent
         if len(lost) < LOST_TARGETS:
@@ -62,12 +62,12 @@
         if silent and len(silent) + end_count >= UNCONFIRMED_LOSSES:
             return True
         ended = self._ledger.ended_since(since)
-        live = ready - ended - self._doubts.silent_targets(now)
+        live = ready - ended - self._losses.silent_targets(now)
         return len(live) < MIN_LIVE_TARGETS
 
     def _is_likeliest(
         self, content: ContentDigest, since: Instant, now: Instant
     ) -> bool:
-        counts = self._ledger.counts_since(since) + self._doubts.counts(now)
+        counts = self._ledger.counts_since(since) + self._losses.counts(now)
         own_count = counts.pop(content)
         return own_count > max(counts.values(), default=0)
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/leadership.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/leadership.py
@@ -41,8 +41,8 @@
 
     lease: float
     # Time after sending a renewal in which orders may be sent. A successor
-    # waits this long, since the store may delete a holder's keys before the
-    # holder learns of it; so it is shorter than the lease.
+    # waits for this time, since the store may delete a holder's keys before
+    # the holder learns of it. Shorter than the lease to limit that wait.
     order_window: float
     # Minimum time between orders of two holders to one engine.
     handover_pause: float
@@ -102,7 +102,7 @@
         # The duty never had a holder, since each holder writes the record.
         return now
     if last.instance == me:
-        # To an engine, a restarted instance is the same holder. It may have
+        # Engines treat a restarted instance as the same holder. It may have
         # been killed while it waited for its predecessor, so the rest of that
         # wait still applies.
         return Instant(now + last.waits)
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/partitions.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/partitions.py
@@ -93,7 +93,7 @@
     """Return whether an engine belongs to a part.
 
     Depends only on the engine id, so that two holders with different target
-    lists never order the same engine.
+    lists never send orders to the same engine.
     """
     number = part_number(engine, count)
     return part_name(service_of_part(part), number, count) == part
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/suspicion.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/suspicion.py
@@ -32,9 +32,9 @@
     """State how a content may be sent to targets."""
 
     CLEAR = 'clear'
-    # Running at one end, or unlikely the cause: one attempt at a time.
+    # Was running at one end, or is unlikely the cause: one attempt at a time.
     WATCHED = 'watched'
-    # Running at two or more ends: one at a time, never at the last target.
+    # Was running at more ends: one at a time, never at the last target.
     SUSPECT = 'suspect'
     # Not sent to any target.
     QUARANTINED = 'quarantined'
@@ -87,7 +87,7 @@
         to_quarantine = _contents_to_quarantine(ends_by_content)
         if not to_quarantine:
             break
-        # Repeated, since ends with a quarantined content may clear others.
+        # Repeated, since the ends of these contents stop counting for others.
         found |= to_quarantine
     verdicts = {
         content: _verdict(content, ends_by_content)
@@ -111,10 +111,10 @@
     ends_by_content: dict[ContentDigest, frozenset[int]],
 ) -> set[ContentDigest]:
     """Return the likeliest content with enough ends, and its rivals."""
-    most_first = sorted(
+    by_end_count = sorted(
         ends_by_content, key=lambda c: (-len(ends_by_content[c]), c)
     )
-    for content in most_first:
+    for content in by_end_count:
         count = len(ends_by_content[content])
         if count < QUARANTINE_ENDS:
             return set()
@@ -130,8 +130,8 @@
 ) -> list[ContentDigest]:
     """Return the contents that are equally likely the cause of the same ends.
 
-    A rival was running at no fewer ends, and the content has fewer than
-    QUARANTINE_ENDS without the rival. Running each alone finds the cause.
+    A rival was running at no fewer ends, and the content was running at fewer
+    than QUARANTINE_ENDS ends without it. Running each alone finds the cause.
     """
     own = ends_by_content[content]
     return [
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/targets.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/targets.py
@@ -18,7 +18,7 @@
 
 
 class TargetStart(msgspec.Struct, frozen=True, kw_only=True):
-    """Distinguish process starts of a target under the same id."""
+    """Identify one of several process starts under the same target id."""
 
     # Unix milliseconds by the target's clock; None if not reported.
     started_at: int | None = None
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/unconfirmed_losses.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/unconfirmed_losses.py
@@ -1,7 +1,6 @@
 """Track lost connections whose target process may have exited.
 
-A doubt is a lost connection to a target whose port is still open, so that it
-is unknown whether the target process exited.
+A loss is unconfirmed if the port is open: the process may have been replaced.
 """
 
 from __future__ import annotations
@@ -17,13 +16,13 @@
 from yuccarill.core.ids import RequestId
 from yuccarill.core.ids import TargetId
 
-# Seconds for which a doubt waits for the replacement process to be listed.
-DOUBT_SECONDS = 8.0
-# Bounds memory while the network drops many connections.
-MAX_DOUBTS = 256
+# Seconds for which a loss is kept until the replacement process is listed.
+UNCONFIRMED_SECONDS = 8.0
+# Bounds memory if the network drops many connections.
+MAX_LOSSES = 256
 # Seconds within which all connections of an exited process break. Requests
-# that are lost later, at a target still silent, never reached a process.
-LOSS_SECONDS = 0.1
+# lost later, without a response in between, never reached a process.
+SAME_EXIT_SECONDS = 0.1
 
 
 class UnconfirmedLoss(msgspec.Struct, kw_only=True):
@@ -37,16 +36,16 @@
 
 
 class UnconfirmedLosses:
-    """Hold the doubts until the target list confirms or refutes an exit."""
+    """Hold losses until the target list confirms an exit or they expire."""
 
     def __init__(self) -> None:
-        self._doubts: collections.deque[UnconfirmedLoss] = collections.deque(
-            maxlen=MAX_DOUBTS
+        self._losses: collections.deque[UnconfirmedLoss] = collections.deque(
+            maxlen=MAX_LOSSES
         )
 
     @property
     def is_empty(self) -> bool:
-        return not self._doubts
+        return not self._losses
 
     def add(
         self,
@@ -57,13 +56,13 @@
         """Record requests lost at a target whose port is open."""
         self._expire(at)
         if any(
-            doubt.is_silent
-            and doubt.target.id == target.id
-            and at >= doubt.at + LOSS_SECONDS
-            for doubt in self._doubts
+            loss.is_silent
+            and loss.target.id == target.id
+            and at >= loss.at + SAME_EXIT_SECONDS
+            for loss in self._losses
         ):
             return
-        self._doubts.append(
+        self._losses.append(
             UnconfirmedLoss(
                 target=target,
                 requests_by_content=requests_by_content,
@@ -73,71 +72,73 @@
 
     def record_response(self, target: TargetId) -> None:
         """Record that a target responded."""
-        for doubt in self._doubts:
-            if doubt.target.id == target:
-                doubt.is_silent = False
+        for loss in self._losses:
+            if loss.target.id == target:
+                loss.is_silent = False
 
     def completed(self, content: ContentDigest) -> None:
-        """Drop a content that a target completed from all doubts."""
-        for doubt in self._doubts:
-            doubt.requests_by_content.pop(content, None)
+        """Remove a content that a target completed from all losses."""
+        for loss in self._losses:
+            loss.requests_by_content.pop(content, None)
 
     def pop_confirmed(
         self, target: ListedTarget, now: Instant
     ) -> list[UnconfirmedLoss]:
-        """Remove and return the doubts about a listed target's predecessor."""
+        """Remove and return the losses at a listed target's predecessor."""
         self._expire(now)
-        found = [doubt for doubt in self._doubts if _precedes(doubt, target)]
-        for doubt in found:
-            self._doubts.remove(doubt)
+        found = [loss for loss in self._losses if _precedes(loss, target)]
+        for loss in found:
+            self._losses.remove(loss)
         return found
 
     def silent_targets(self, now: Instant) -> frozenset[TargetId]:
         """Return the targets that have not responded since a loss."""
         self._expire(now)
-        return frozenset(e.target.id for e in self._doubts if e.is_silent)
+        return frozenset(
+            loss.target.id for loss in self._losses if loss.is_silent
+        )
 
     def losses_of(
         self, content: ContentDigest, now: Instant
     ) -> list[UnconfirmedLoss]:
-        """Return the doubts at silent targets that include a content."""
+        """Return the losses at silent targets that include a content."""
         self._expire(now)
         return [
-            doubt
-            for doubt in self._doubts
-            if doubt.is_silent and content in doubt.requests_by_content
+            loss
+            for loss in self._losses
+            if loss.is_silent and content in loss.requests_by_content
         ]
 
     def counts(self, now: Instant) -> collections.Counter[ContentDigest]:
-        """Count the doubts at silent targets by content."""
+        """Count the losses at silent targets by content."""
         self._expire(now)
         return collections.Counter(
             content
-            for doubt in self._doubts
-            if doubt.is_silent
-            for content in doubt.requests_by_content
+            for loss in self._losses
+            if loss.is_silent
+            for content in loss.requests_by_content
         )
 
     def reports(
         self, content: ContentDigest, now: Instant
     ) -> tuple[CrashReport, ...]:
-        """Return the doubts about a content as reports for other instances."""
+        """Return the losses of a content as reports for other instances."""
         return tuple(
             CrashReport(
-                target=doubt.target.id,
+                target=loss.target.id,
                 contents=(content,),
-                age=now - doubt.at,
+                age=now - loss.at,
             )
-            for doubt in self.losses_of(content, now)
+            for loss in self.losses_of(content, now)
         )
 
     def _expire(self, now: Instant) -> None:
-        while self._doubts and now >= self._doubts[0].at + DOUBT_SECONDS:
-            self._doubts.popleft()
+        while self._losses and now >= self._losses[0].at + UNCONFIRMED_SECONDS:
+            self._losses.popleft()
 
 
-def _precedes(doubt: UnconfirmedLoss, target: ListedTarget) -> bool:
-    if doubt.target.address != target.address:
+def _precedes(loss: UnconfirmedLoss, target: ListedTarget) -> bool:
+    if loss.target.address != target.address:
         return False
-    is_same = doubt.target.id == target.id
-    return not (is_same and doubt.target.is_same_start(target))
+    is_same = loss.target.id == target.id
+    return not (is_same and loss.target.is_same_start(target))
--- a/packages/yuccarill-core/src/yuccarill/core/gateway/watchers.py
+++ b/packages/yuccarill-core/src/yuccarill/core/gateway/watchers.py
@@ -11,8 +11,8 @@
 
     from yuccarill.core.ids import DataCentreId
 
-# Tolerates the failure of one. A watch ends with each change, so each watcher
-# costs a billed store call per change.
+# Tolerates the failure of one. More are costly: a watch ends with each change,
+# and each watcher then makes a billed store call.
 MIN_WATCHERS = 2
 # Instances per additional watcher; the other instances poll the watchers.
 INSTANCES_PER_WATCHER = 50
--- a/packages/yuccarill-core/src/yuccarill/core/scaling/measure.py
+++ b/packages/yuccarill-core/src/yuccarill/core/scaling/measure.py
@@ -37,9 +37,9 @@
         while self._samples[0].at < sample.at - self._window:
             self._samples.popleft()
         has_work = sample.busy > 0 or sample.waiting > 0
-        # An idle start is not representative before `idle_seconds` passed.
-        is_idle = sample.at - self._first_at >= self._idle
-        if self._since is None and (has_work or is_idle):
+        # Samples before the first work count only after `idle_seconds`.
+        has_timed_out = sample.at - self._first_at >= self._idle
+        if self._since is None and (has_work or has_timed_out):
             self._since = sample.at
 
     def has_full_window(self, now: Instant) -> bool:
--- a/packages/yuccarill-core/src/yuccarill/core/scaling/plan.py
+++ b/packages/yuccarill-core/src/yuccarill/core/scaling/plan.py
@@ -19,7 +19,7 @@
 
 
 class ScalingBounds(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the configured limits of each data centre."""
+    """Hold the configured limits that apply to each data centre."""
 
     # Limits of both kinds together; regular targets alone reach `least`.
     least: int
--- a/packages/yuccarill-core/src/yuccarill/core/scaling/scaling.py
+++ b/packages/yuccarill-core/src/yuccarill/core/scaling/scaling.py
@@ -48,7 +48,7 @@
         self._policy = policy
         # Ordered targets, as far as known to this holder.
         self._counts: Counts = {}
-        # Time of the earliest next order, for places ordered by this holder.
+        # Earliest next order to each place that this holder sent one to.
         self._may_order_at: dict[Place, Instant] = {}
         self._unavailable_until: dict[Place, Instant] = {}
         # When a place began to have fewer targets than ordered.
@@ -165,10 +165,10 @@
         }
 
     def _needed(
-        self, bounds: ScalingBounds, wanted: float, slots: int
+        self, bounds: ScalingBounds, demand: float, slots: int
     ) -> sizing.Size:
         """Return the size for the demand, at least the configured minimum."""
-        found = sizing.size(self._policy.sizing, bounds, wanted, slots)
+        found = sizing.size(self._policy.sizing, bounds, demand, slots)
         least = bounds.least * len(self._centres())
         return sizing.Size(
             total=max(found.total, least), regular=max(found.regular, least)
--- a/packages/yuccarill-core/src/yuccarill/core/scaling/sizing.py
+++ b/packages/yuccarill-core/src/yuccarill/core/scaling/sizing.py
@@ -21,12 +21,12 @@
 
 
 class SizingPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Configure the target utilisation."""
+    """Configure how many of the slots may be busy."""
 
     # Fraction of the slots that may be busy on average; leaves headroom for
     # bursts of twice the mean.
     max_busy_fraction: float = 0.5
-    # Fraction of busy regular slots if all revocable targets are reclaimed.
+    # The same for regular targets alone, if all revocable ones are reclaimed.
     max_regular_busy_fraction: float = 0.8
 
 
@@ -39,13 +39,13 @@
 
 
 def size(
-    policy: SizingPolicy, bounds: ScalingBounds, wanted: float, slots: int
+    policy: SizingPolicy, bounds: ScalingBounds, demand: float, slots: int
 ) -> Size:
-    """Return the size for a demand of `wanted` slots."""
-    total = _targets_for(wanted, slots, policy.max_busy_fraction)
+    """Return the size for a demand, in slots."""
+    total = _targets_for(demand, slots, policy.max_busy_fraction)
     regular = total
     if bounds.revocable_part is not None:
-        regular = _targets_for(wanted, slots, policy.max_regular_busy_fraction)
+        regular = _targets_for(demand, slots, policy.max_regular_busy_fraction)
     return Size(total=total, regular=min(total, regular))
 
 
@@ -62,8 +62,8 @@
     """
     kept = {
         (centre, kind): min(bounds.most, current.get((centre, kind), 0))
-        for kind, lacking in unavailable.items()
-        for centre in lacking
+        for kind, unavailable_centres in unavailable.items()
+        for centre in unavailable_centres
     }
     regular = spread_evenly(
         needed.regular,
@@ -129,5 +129,5 @@
     return min(least, most), most
 
 
-def _targets_for(wanted: float, slots: int, max_busy_fraction: float) -> int:
-    return max(1, math.ceil(wanted / max_busy_fraction / max(1, slots)))
+def _targets_for(demand: float, slots: int, max_busy_fraction: float) -> int:
+    return max(1, math.ceil(demand / max_busy_fraction / max(1, slots)))
--- a/packages/yuccarill-core/src/yuccarill/core/speeds/pace_estimator.py
+++ b/packages/yuccarill-core/src/yuccarill/core/speeds/pace_estimator.py
@@ -23,7 +23,7 @@
 # Units of work in this time are averaged into one measurement, since
 # concurrent units share the pauses of their target.
 WINDOW_SECONDS = 0.1
-# Variance that the logarithm of a lasting pace gains per second.
+# Variance per second that drift adds to the logarithm of a lasting pace.
 _DRIFT = 0.005**2
 # Variance of the logarithm of one measurement.
 _NOISE = 0.08**2
@@ -33,13 +33,13 @@
 _OUTLIER_ERRORS = 3.0
 # Logarithm of the smallest ratio to the lasting pace that is an outlier.
 _MIN_LOG_SHIFT = math.log(1.4)
-# Seconds of outliers after which a target is faulty; longer than transient
-# slowdowns of a busy machine.
+# Seconds of outliers after which a target is faulty, or its faster pace is the
+# lasting one; longer than transient slowdowns of a busy machine.
 FAULT_SECONDS = 0.7
-# Seconds after which the pace in a fault becomes the lasting pace.
+# Seconds after which the pace of a faulty target becomes its lasting pace.
 LASTING_SECONDS = 30.0
-# Time constant with which a fault expires without measurements; otherwise a
-# recovered target would never be used again.
+# Time constant of the decay of a fault's probability without measurements;
+# otherwise a recovered target would never be used again.
 UNSEEN_SECONDS = 3.0
 # Fraction by which each concurrent unit slows a unit, and its variance.
 _INITIAL_SLOPE = 0.01
@@ -58,7 +58,7 @@
     start: TargetStart = TargetStart()
     log_pace: float | None = None
     variance: float = _PRIOR
-    # Smoothed deviation of outliers from `log_pace`; time of the first one.
+    # Smoothed deviation of outliers from `log_pace`; start of the outliers.
     shift: float = 0.0
     shifted_at: Instant | None = None
     measured_at: Instant = Instant(-math.inf)
@@ -216,7 +216,7 @@
         return SpeedState.USUAL
 
     def _median_log_pace(self, now: Instant) -> float:
-        """Return the median logarithm of the paces."""
+        """Return the median `log_pace` of the measured targets."""
         is_old = now >= self._median_at + _MEDIAN_SECONDS
         if self._cached_median is None or is_old:
             self._median_at = now
--- a/packages/yuccarill-core/tests/accounts/test_decision.py
+++ b/packages/yuccarill-core/tests/accounts/test_decision.py
@@ -15,7 +15,7 @@
 STRICT = decision.RevocationPolicy(is_strict=True, max_age=5.0)
 # Seconds since the configuration was confirmed; the latter two stand for a
 # partition from the store.
-FRESH, CUT_OFF, LONG_CUT_OFF = 0.5, 6.0, 600.0
+FRESH, PARTITIONED, LONG_PARTITIONED = 0.5, 6.0, 600.0
 
 
 class DecisionTest(unittest.TestCase):
@@ -31,21 +31,21 @@
         (
             KeyState.HELD,
             LookupResult.NOT_YET,
-            CUT_OFF,
+            PARTITIONED,
             LENIENT,
             KeyVerdict.ADMIT,
         ),
         (
             KeyState.HELD,
             LookupResult.NOT_YET,
-            LONG_CUT_OFF,
+            LONG_PARTITIONED,
             LENIENT,
             KeyVerdict.ADMIT,
         ),
         (
             KeyState.HELD,
             LookupResult.FAILED,
-            CUT_OFF,
+            PARTITIONED,
             LENIENT,
             KeyVerdict.ADMIT,
         ),
@@ -53,14 +53,14 @@
         (
             KeyState.HELD,
             LookupResult.NOT_YET,
-            CUT_OFF,
+            PARTITIONED,
             STRICT,
             KeyVerdict.DEFER,
         ),
         (
             KeyState.HELD,
             LookupResult.FAILED,
-            CUT_OFF,
+            PARTITIONED,
             STRICT,
             KeyVerdict.DEFER,
         ),
@@ -75,14 +75,14 @@
         (
             KeyState.REMOVED,
             LookupResult.NOT_YET,
-            CUT_OFF,
+            PARTITIONED,
             LENIENT,
             KeyVerdict.REFUSE,
         ),
         (
             KeyState.REMOVED,
             LookupResult.FAILED,
-            CUT_OFF,
+            PARTITIONED,
             STRICT,
             KeyVerdict.REFUSE,
         ),
@@ -97,7 +97,7 @@
         (
             KeyState.UNKNOWN,
             LookupResult.NOT_YET,
-            CUT_OFF,
+            PARTITIONED,
             LENIENT,
             KeyVerdict.LOOK_UP,
         ),
@@ -111,7 +111,7 @@
         (
             KeyState.UNKNOWN,
             LookupResult.ANSWERED,
-            CUT_OFF,
+            PARTITIONED,
             STRICT,
             KeyVerdict.REFUSE,
         ),
@@ -126,18 +126,18 @@
         (
             KeyState.UNKNOWN,
             LookupResult.FAILED,
-            CUT_OFF,
+            PARTITIONED,
             LENIENT,
             KeyVerdict.DEFER,
         ),
     )
     def test_verdict(
         self,
-        standing: KeyState,
-        look: LookupResult,
+        key_state: KeyState,
+        lookup: LookupResult,
         age: float,
         policy: decision.RevocationPolicy,
         expected: KeyVerdict,
     ) -> None:
-        found = decision.decide(standing, look, age, policy)
+        found = decision.decide(key_state, lookup, age, policy)
         self.assertIs(expected, found)
--- a/packages/yuccarill-core/tests/gateway/test_abandoned.py
+++ b/packages/yuccarill-core/tests/gateway/test_abandoned.py
@@ -34,7 +34,7 @@
             {X: R} if counts else {}, self.runs.pop_running_at(T, now, now)
         )
 
-    def test_an_exit_settles_the_runs_of_its_target(self) -> None:
+    def test_an_exit_removes_the_runs_of_its_target(self) -> None:
         for target in (T, TargetId('u')):
             self.runs.add(target, X, R, True, NOW, NOW)
         self.assertEqual({X: R}, self.runs.pop_running_at(T, NOW, NOW))
--- a/packages/yuccarill-core/tests/gateway/test_directory.py
+++ b/packages/yuccarill-core/tests/gateway/test_directory.py
@@ -33,7 +33,7 @@
     }
 
 
-class NamedTest(unittest.TestCase):
+class AddressesForCallerTest(unittest.TestCase):
     def setUp(self) -> None:
         self.places = fleet()
 
--- a/packages/yuccarill-core/tests/gateway/test_leadership.py
+++ b/packages/yuccarill-core/tests/gateway/test_leadership.py
@@ -28,7 +28,7 @@
     )
 
 
-class OrdersFromTest(unittest.TestCase):
+class EarliestOrderTest(unittest.TestCase):
     # Guards against orders of two holders to one engine within three seconds.
     # A partitioned holder continues until its order window ends.
     @params(
@@ -49,8 +49,8 @@
         self.assertAlmostEqual(expected, found)
 
 
-class TenureTest(unittest.TestCase):
-    def tenure(self) -> leadership.HeldLease:
+class HeldLeaseTest(unittest.TestCase):
+    def new_lease(self) -> leadership.HeldLease:
         return leadership.HeldLease(
             Epoch(7), POLICY, Instant(10.0), Instant(10.0)
         )
@@ -65,35 +65,35 @@
     def test_orders_end_before_the_lease(
         self, now: float, may_order: bool, is_held: bool
     ) -> None:
-        tenure = self.tenure()
-        self.assertEqual(may_order, tenure.may_order(Instant(now)))
-        self.assertEqual(is_held, tenure.is_held(Instant(now)))
+        lease = self.new_lease()
+        self.assertEqual(may_order, lease.may_order(Instant(now)))
+        self.assertEqual(is_held, lease.is_held(Instant(now)))
 
     def test_the_lease_counts_from_sending_the_renewal(self) -> None:
         """Guards against a slow reply that extends the lease."""
-        tenure = self.tenure()
-        tenure.renew(Instant(11.0))
-        self.assertFalse(tenure.is_held(Instant(13.4)))
+        lease = self.new_lease()
+        lease.renew(Instant(11.0))
+        self.assertFalse(lease.is_held(Instant(13.4)))
 
     def test_an_old_renewal_does_not_shorten_the_lease(self) -> None:
-        tenure = self.tenure()
-        tenure.renew(Instant(12.0))
-        tenure.renew(Instant(11.0))
-        self.assertTrue(tenure.is_held(Instant(14.0)))
+        lease = self.new_lease()
+        lease.renew(Instant(12.0))
+        lease.renew(Instant(11.0))
+        self.assertTrue(lease.is_held(Instant(14.0)))
 
     def test_no_order_before_the_pause_is_over(self) -> None:
-        tenure = leadership.HeldLease(
+        lease = leadership.HeldLease(
             Epoch(7), POLICY, Instant(10.0), Instant(14.6)
         )
-        tenure.renew(Instant(14.0))
-        self.assertFalse(tenure.may_order(Instant(14.5)))
-        self.assertTrue(tenure.may_order(Instant(14.7)))
+        lease.renew(Instant(14.0))
+        self.assertFalse(lease.may_order(Instant(14.5)))
+        self.assertTrue(lease.may_order(Instant(14.7)))
 
     def test_idle_seconds_count_from_the_last_order(self) -> None:
-        tenure = self.tenure()
-        self.assertEqual(math.inf, tenure.idle_seconds(Instant(11.0)))
-        tenure.record_order(Instant(11.0))
-        self.assertEqual(2.0, tenure.idle_seconds(Instant(13.0)))
+        lease = self.new_lease()
+        self.assertEqual(math.inf, lease.idle_seconds(Instant(11.0)))
+        lease.record_order(Instant(11.0))
+        self.assertEqual(2.0, lease.idle_seconds(Instant(13.0)))
 
 
 class TwoHoldersTest(unittest.TestCase):
@@ -101,12 +101,12 @@
     # the keys of a partitioned holder at once.
     @params(0.0, 0.3, 0.6, 1.0, 1.29)
     def test_orders_of_two_holders_are_separated(
-        self, cut_after_renewal: float
+        self, deleted_after_renewal: float
     ) -> None:
         old = leadership.HeldLease(
             Epoch(1), POLICY, Instant(0.0), Instant(0.0)
         )
-        deleted_at = Instant(cut_after_renewal)
+        deleted_at = Instant(deleted_after_renewal)
         first = leadership.earliest_order_at(
             InstanceId('b'), last('a'), POLICY, deleted_at
         )
--- a/packages/yuccarill-core/tests/gateway/test_partitions.py
+++ b/packages/yuccarill-core/tests/gateway/test_partitions.py
@@ -59,7 +59,7 @@
         value = partitions.encode(partitions.division_for(45))
         self.assertEqual(1, msgspec.msgpack.decode(value))
 
-    def test_a_division_survives_encoding(self) -> None:
+    def test_a_division_is_decoded_as_encoded(self) -> None:
         division = partitions.division_for(2667)
         value = partitions.encode(division)
         self.assertEqual(division, partitions.decode(value))
--- a/packages/yuccarill-core/tests/gateway/test_spared_targets.py
+++ b/packages/yuccarill-core/tests/gateway/test_spared_targets.py
@@ -39,9 +39,9 @@
 class SparedTargetsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.ledger = crash_ledger.CrashLedger()
-        self.doubts = unconfirmed_losses.UnconfirmedLosses()
-        self.spared = last_target_guard.LastTargetGuard(
-            self.ledger, self.doubts
+        self.losses = unconfirmed_losses.UnconfirmedLosses()
+        self.guard = last_target_guard.LastTargetGuard(
+            self.ledger, self.losses
         )
 
     def lose(self, number: int, at: float, has_ended: bool, *contents) -> None:
@@ -54,12 +54,12 @@
             )
             self.ledger.report(report, Instant(at))
         else:
-            self.doubts.add(target(f't{number}'), found, Instant(at))
+            self.losses.add(target(f't{number}'), found, Instant(at))
 
     def must_hold(self, content: str, targets: int, at: float) -> bool:
         ready = {TargetId(f't{number}') for number in range(targets)}
         found = ContentDigest(content)
-        return self.spared.must_hold(found, ready, Instant(at))
+        return self.guard.must_hold(found, ready, Instant(at))
 
     # Targets, targets lost at once, whether the request is held back if the
     # ports of these are closed, and if they are open.
@@ -98,11 +98,11 @@
         """Guards against refusing callers when only connections broke."""
         for number in range(2):
             self.lose(number, 1.0, False, X)
-        self.doubts.record_response(TargetId('t0'))
+        self.losses.record_response(TargetId('t0'))
         self.assertFalse(self.must_hold('x', 3, 1.1))
 
 
-class DoubtsTest(unittest.TestCase):
+class UnconfirmedLossesTest(unittest.TestCase):
     # Seconds between two losses at a target, whether the target responded in
     # between, whether the later loss counts.
     @params(
@@ -111,18 +111,18 @@
         (0.5, True, True),
     )
     def test_calls_that_reached_no_process_do_not_count(
-        self, seconds: float, has_answered: bool, counts: bool
+        self, seconds: float, has_responded: bool, counts: bool
     ) -> None:
         """Guards against holding requests that reached no process."""
         found = unconfirmed_losses.UnconfirmedLosses()
         found.add(target('t'), {X: RequestId('r')}, Instant(1.0))
-        if has_answered:
+        if has_responded:
             found.record_response(TargetId('t'))
         at = Instant(1.0 + seconds)
         found.add(target('t'), {P: RequestId('q')}, at)
         self.assertEqual(counts, bool(found.losses_of(P, at)))
 
-    def test_a_completed_content_is_not_doubted(self) -> None:
+    def test_a_completed_content_is_removed(self) -> None:
         found = unconfirmed_losses.UnconfirmedLosses()
         found.add(target('t'), {X: RequestId('r')}, Instant(1.0))
         found.completed(X)
@@ -135,12 +135,12 @@
         (target('u'), 4.0, False),
         (target('u', 't:80'), 9.1, False),
     )
-    def test_the_target_list_settles_doubts(
-        self, listed: ListedTarget, at: float, settles: bool
+    def test_the_target_list_confirms_an_exit(
+        self, listed: ListedTarget, at: float, is_confirmed: bool
     ) -> None:
         found = unconfirmed_losses.UnconfirmedLosses()
         found.add(target('t'), {X: RequestId('r')}, Instant(1.0))
         self.assertEqual(
-            settles, bool(found.pop_confirmed(listed, Instant(at)))
+            is_confirmed, bool(found.pop_confirmed(listed, Instant(at)))
         )
         self.assertEqual([], found.pop_confirmed(listed, Instant(at)))
--- a/packages/yuccarill-core/tests/scaling/test_sizing.py
+++ b/packages/yuccarill-core/tests/scaling/test_sizing.py
@@ -29,7 +29,7 @@
 
 
 class SizeTest(unittest.TestCase):
-    # Wanted slots, slots per target, price fraction of revocable targets,
+    # Demand in slots, slots per target, price fraction of revocable targets,
     # expected targets in total and regular ones.
     @params(
         (0.0, 6, None, 1, 1),
@@ -41,7 +41,7 @@
     )
     def test_half_of_the_slots_are_busy(
         self,
-        wanted: float,
+        demand: float,
         slots: int,
         revocable: float | None,
         total: int,
@@ -50,7 +50,7 @@
         found = sizing.size(
             sizing.SizingPolicy(),
             bounds(revocable_part=revocable),
-            wanted,
+            demand,
             slots,
         )
         self.assertEqual((total, regular), (found.total, found.regular))
--- a/packages/yuccarill-core/tests/usage/test_counts.py
+++ b/packages/yuccarill-core/tests/usage/test_counts.py
@@ -15,37 +15,37 @@
 NEXT = WindowNumber(8)
 
 
-class OwnCountsTest(unittest.TestCase):
+class LocalCountsTest(unittest.TestCase):
     def test_a_reported_window_is_closed(self) -> None:
-        own = counts.LocalCounts()
-        self.assertTrue(own.add(W, A))
-        own.close(W)
-        self.assertFalse(own.add(W, A))
-        self.assertTrue(own.add(NEXT, A))
-        self.assertEqual({NEXT: {A: 1}}, own.counts_by_window)
+        local = counts.LocalCounts()
+        self.assertTrue(local.add(W, A))
+        local.close(W)
+        self.assertFalse(local.add(W, A))
+        self.assertTrue(local.add(NEXT, A))
+        self.assertEqual({NEXT: {A: 1}}, local.counts_by_window)
 
     def test_unreported_windows_are_bounded(self) -> None:
-        own = counts.LocalCounts()
+        local = counts.LocalCounts()
         for window in range(counts.MAX_WINDOWS + 3):
-            own.add(WindowNumber(window), A)
-        self.assertEqual(3, own.drop_excess())
-        self.assertEqual(counts.MAX_WINDOWS, len(own.counts_by_window))
+            local.add(WindowNumber(window), A)
+        self.assertEqual(3, local.drop_excess())
+        self.assertEqual(counts.MAX_WINDOWS, len(local.counts_by_window))
 
 
-class UsageBookTest(unittest.TestCase):
+class UsageTotalsTest(unittest.TestCase):
     def test_repeated_and_reordered_messages(self) -> None:
-        book = counts.UsageTotals()
+        totals = counts.UsageTotals()
         source = Incarnation('s')
-        self.assertTrue(book.merge_source(source, {W: {A: 2}}))
-        self.assertFalse(book.merge_source(source, {W: {A: 2}}))
-        self.assertFalse(book.merge_source(source, {W: {A: 1}}))
-        self.assertEqual({A: 2}, book.totals(W))
+        self.assertTrue(totals.merge_source(source, {W: {A: 2}}))
+        self.assertFalse(totals.merge_source(source, {W: {A: 2}}))
+        self.assertFalse(totals.merge_source(source, {W: {A: 1}}))
+        self.assertEqual({A: 2}, totals.totals(W))
 
     def test_a_restarted_process_adds_to_its_predecessor(self) -> None:
-        book = counts.UsageTotals()
-        book.merge_source(Incarnation('s1'), {W: {A: 2}})
-        book.merge_source(Incarnation('s2'), {W: {A: 1}})
-        self.assertEqual({A: 3}, book.totals(W))
+        totals = counts.UsageTotals()
+        totals.merge_source(Incarnation('s1'), {W: {A: 2}})
+        totals.merge_source(Incarnation('s2'), {W: {A: 1}})
+        self.assertEqual({A: 3}, totals.totals(W))
 
     def test_a_change_of_holder_keeps_the_counts(self) -> None:
         """Guards against counts lost or doubled by a change of holder.
@@ -56,7 +56,7 @@
         for seed in range(50):
             draw = random.Random(seed)
             processes = [counts.LocalCounts() for _ in range(10)]
-            book = counts.UsageTotals()
+            totals = counts.UsageTotals()
             in_flight: list = []
             for _ in range(300):
                 number = draw.randrange(10)
@@ -65,14 +65,14 @@
                 in_flight.append((Incarnation(f's{number}'), copied))
                 draw.shuffle(in_flight)
                 if draw.random() < 0.5:
-                    book.merge_source(*in_flight.pop())
+                    totals.merge_source(*in_flight.pop())
                 if draw.random() < 0.02:
                     successor = counts.UsageTotals()
-                    successor.merge(book.sources_by_window)
-                    book = successor
-            for number, own in enumerate(processes):
-                if own.counts_by_window:
-                    book.merge_source(
-                        Incarnation(f's{number}'), own.counts_by_window
+                    successor.merge(totals.sources_by_window)
+                    totals = successor
+            for number, local in enumerate(processes):
+                if local.counts_by_window:
+                    totals.merge_source(
+                        Incarnation(f's{number}'), local.counts_by_window
                     )
-            self.assertEqual(300, sum(book.totals(W).values()))
+            self.assertEqual(300, sum(totals.totals(W).values()))
