--- a/packages/yuccarill-core/src/yuccarill/core/dissemination/disseminator.py
+++ b/packages/yuccarill-core/src/yuccarill/core/dissemination/disseminator.py
@@ -50,11 +50,11 @@
         """Store a new record; return its receivers, None if stale."""
         if not self.records.store(record):
             return None
-        # Sent to the watchers of all data centres, since the store may fail
-        # after the write and notify none of them.
+        # The receivers include the watchers of all data centres, since the
+        # store may fail after the write and notify none of them.
         self.refresh()
-        view = self.position
-        return _distinct(view.watchers + view.children)
+        position = self.position
+        return _distinct(position.watchers + position.children)
 
     def receive(self, record: Record) -> list[Instance] | None:
         """Store a received record; return its receivers, None if stale."""
--- a/packages/yuccarill-core/src/yuccarill/core/leases/__init__.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases that give each duty one holder, fenced by an epoch."""
+"""Leases: one holder per shard of duties, fenced by an epoch."""
--- a/packages/yuccarill-core/src/yuccarill/core/leases/claim_scheduler.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/claim_scheduler.py
@@ -90,8 +90,8 @@
         # A former holder may stay in the instance list for long, so its
         # rank adds no delay for the instances ranked after it.
         entry = self._entry(shard)
-        gone = entry.holder.instance if entry.holder else entry.previous
-        return self._placement.rank_without(shard, gone)
+        former = entry.holder.instance if entry.holder else entry.previous
+        return self._placement.rank_without(shard, former)
 
     def _schedule_request(
         self,
--- a/packages/yuccarill-core/src/yuccarill/core/leases/lease_manager.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/lease_manager.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from yuccarill.core.ids import Instant
-from yuccarill.core.leases import claim_scheduler as demand_module
+from yuccarill.core.leases import claim_scheduler
 from yuccarill.core.leases import life_cycle
 from yuccarill.core.leases import operations
 from yuccarill.core.leases.operations import Step
@@ -60,7 +60,7 @@
             policy, numbers
         )
         self._placement = shard_placement.ShardPlacement(instance)
-        self._claims = demand_module.ClaimScheduler(policy, self._placement)
+        self._claims = claim_scheduler.ClaimScheduler(policy, self._placement)
         self._pending_holders_by_shard: dict[ShardNumber, Holder | None] = {}
         self._watches_by_number: dict[int, watched_sessions.SessionWatch] = {}
         self._session_needed_until = Instant(float('-inf'))
@@ -84,7 +84,7 @@
             self._is_view_stale = True
 
     def epoch_of(self, shard: ShardNumber, now: Instant) -> Epoch | None:
-        """Return the epoch for an order, None if none may be sent now."""
+        """Return a shard's epoch, None if no order may be sent under it."""
         if not self._session.is_usable(now) or not self._is_held(shard):
             return None
         return self._tables.table.entries[shard].epoch
@@ -145,7 +145,7 @@
                     watch.complete(operation, outcome, now)
 
     def keep_session_open(self, until: Instant) -> None:
-        """Keep a session open until an instant, to receive shards."""
+        """Keep a session open until a given time, to receive shards."""
         self._session_needed_until = max(self._session_needed_until, until)
 
     def due_transfer_requests(self, now: Instant) -> list[TransferRequest]:
@@ -155,28 +155,28 @@
             return []
         shards_by_holder = self._claims.next_requests(now)
         return [
-            TransferRequest(holder, session, tuple(numbers))
-            for holder, numbers in shards_by_holder.items()
+            TransferRequest(holder, session, tuple(shards))
+            for holder, shards in shards_by_holder.items()
         ]
 
     def transfer_requested(
         self,
         to: Holder,
-        numbers: Iterable[ShardNumber],
+        shards: Iterable[ShardNumber],
         busy: frozenset[ShardNumber] = frozenset(),
     ) -> list[ShardNumber]:
         """Transfer requested shards to a peer; return the accepted ones."""
         # A shard moves only if this instance also ranks the peer higher;
         # otherwise differing membership views would move it back and forth.
-        given = [
+        accepted = [
             shard
-            for shard in numbers
+            for shard in shards
             if self._is_held(shard)
             and shard not in busy
             and self._may_transfer(to.instance, shard)
         ]
-        self.transfer(dict.fromkeys(given, to))
-        return given
+        self.transfer(dict.fromkeys(accepted, to))
+        return accepted
 
     def transfer(
         self, holders_by_shard: Mapping[ShardNumber, Holder | None]
@@ -191,12 +191,12 @@
     def next_holders(self) -> dict[ShardNumber, InstanceId | None]:
         """Stop claiming shards; return the next holder of each held one."""
         self.begin_leaving()
-        heirs_by_shard: dict[ShardNumber, InstanceId | None] = {}
+        next_by_shard: dict[ShardNumber, InstanceId | None] = {}
         for shard in self.held():
             order = self._placement.order(shard)
             others = [i for i in order if i != self._me]
-            heirs_by_shard[shard] = others[0] if others else None
-        return heirs_by_shard
+            next_by_shard[shard] = others[0] if others else None
+        return next_by_shard
 
     def close(self) -> bool:
         """Close the session once no shard is held; return if it is closed."""
@@ -248,7 +248,7 @@
         watchers = self._placement.watchers(holder, len(paces))
         if self._me not in watchers:
             return None
-        # A holder absent from the live instances is read more often.
+        # The session of a holder that is not live is read more often.
         if not self._placement.is_live(holder.instance):
             return 1.0
         return paces[watchers.index(self._me)]
--- a/packages/yuccarill-core/src/yuccarill/core/leases/life_cycle.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/life_cycle.py
@@ -18,7 +18,7 @@
 
 
 class LifeCycle(Protocol):
-    """Inputs of the state machine."""
+    """Inputs of the state machine of a session."""
 
     def state(self) -> OwnState:
         """Return the current state."""
--- a/packages/yuccarill-core/src/yuccarill/core/leases/staleness.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/staleness.py
@@ -48,7 +48,7 @@
 
     def next_read(self, now: Instant, pace: float = 1.0) -> Instant:
         """Return when to read again; the pace is in renewal periods."""
-        # A record unchanged since the last read missed a renewal.
+        # An unchanged record may lack a renewal, so it is read sooner.
         if self._is_unchanged:
             pace = 1.0
         regular = Instant(now + pace * self._policy.renewal_period)
--- a/packages/yuccarill-core/src/yuccarill/core/leases/watched_sessions.py
+++ b/packages/yuccarill-core/src/yuccarill/core/leases/watched_sessions.py
@@ -41,7 +41,7 @@
         self.has_ended = False
 
     def set_pace(self, pace: float) -> None:
-        """Set the renewal periods between reads; read now if reduced."""
+        """Set the read interval in renewal periods; if shorter, read now."""
         if pace < self._pace:
             self._slot.not_before = Instant(float('-inf'))
         self._pace = pace
@@ -110,7 +110,7 @@
         self._watches_by_holder: dict[Holder, SessionWatch] = {}
 
     def set_watched(self, paces_by_holder: Mapping[Holder, float]) -> None:
-        """Replace the watched holders and their read paces."""
+        """Replace the watched holders and their read intervals."""
         # Watches share no reads: a read sent before a session was in the
         # table could return the previous session of the same instance,
         # which would look like proof that the new session has ended.
--- a/packages/yuccarill-core/src/yuccarill/core/membership/gossip.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/gossip.py
@@ -12,7 +12,7 @@
     from yuccarill.core.membership.member import Member
 
 # Bounds the size of one message.
-MAX_RECORDS = 32
+MAX_STATEMENTS = 32
 
 
 class StatementGossip:
@@ -38,7 +38,7 @@
     def batch(self, neighbour: InstanceId) -> tuple[Member, ...]:
         """Return the next statements to send to a neighbour."""
         pending = self._pending_by_id.get(neighbour, {})
-        return tuple(pending.values())[:MAX_RECORDS]
+        return tuple(pending.values())[:MAX_STATEMENTS]
 
     def confirm(self, neighbour: InstanceId, sent: Iterable[Member]) -> None:
         """Drop the statements that a neighbour has received."""
--- a/packages/yuccarill-core/src/yuccarill/core/membership/list_merger.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/list_merger.py
@@ -40,12 +40,12 @@
 ) -> Instant:
     """Return when to read the list again, with jitter."""
     if len(view.members_by_id) == 1:
-        pause = SINGLE_MEMBER_INTERVAL_SECONDS
+        interval = SINGLE_MEMBER_INTERVAL_SECONDS
     elif is_reader(view) or view.me.state is MemberState.LISTED_LEAVING:
-        pause = READER_INTERVAL_SECONDS
+        interval = READER_INTERVAL_SECONDS
     else:
-        pause = NON_READER_INTERVAL_SECONDS
-    return Instant(now + pause * generator.uniform(0.5, 1.5))
+        interval = NON_READER_INTERVAL_SECONDS
+    return Instant(now + interval * generator.uniform(0.5, 1.5))
 
 
 class ListMerger:
--- a/packages/yuccarill-core/src/yuccarill/core/membership/ring.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/ring.py
@@ -59,8 +59,8 @@
             other = ring[(position + offset + step) % len(ring)]
             if other == me:
                 continue
-            # The first one is probed whatever its state, so that the
-            # recovery of a suspect is detected.
+            # The member at the offset itself is probed in any state, so
+            # that the recovery of a suspect is detected.
             if step == 0:
                 found[other] = None
             if members[other].state is MemberState.ALIVE:
--- a/packages/yuccarill-core/src/yuccarill/core/membership/shutdown.py
+++ b/packages/yuccarill-core/src/yuccarill/core/membership/shutdown.py
@@ -91,8 +91,8 @@
 
     def _is_hand_over_due(self, now: Instant, in_flight: InFlight) -> bool:
         """Return whether shards go to their next holders now."""
-        # Running steps finish here if time allows, since the next holder
-        # would have to repeat their samples.
+        # The next holder repeats the samples of steps that are cut off, so
+        # running steps may finish until the time reserved for hand-over.
         hand_over_at = self._deadline - self._policy.hand_over
         return not in_flight.steps or now >= hand_over_at
 
--- a/packages/yuccarill-core/src/yuccarill/core/weights/capacity.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/capacity.py
@@ -87,7 +87,7 @@
 
 
 class Slack:
-    """Engines that may still leave service, per data centre and in all."""
+    """Number of engines that may leave service, per data centre and in all."""
 
     def __init__(
         self, records: Iterable[TargetRecord] | Counts, serving_part: float
--- a/packages/yuccarill-core/src/yuccarill/core/weights/engine_orders.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/engine_orders.py
@@ -66,9 +66,8 @@
 
     def accept_model_epoch(self, model: ModelName, epoch: Epoch) -> bool:
         """Return whether no newer epoch of the model's holder is known."""
-        # A holder that resumes after its lease may send a batch of orders.
-        # Together with its successor's orders they would leave too few
-        # engines serving.
+        # Orders that a paused holder sends after its lease has expired would,
+        # with its successor's orders, leave too few engines serving.
         if epoch < self._epochs_by_model.get(model, epoch):
             return False
         self._epochs_by_model[model] = epoch
--- a/packages/yuccarill-core/src/yuccarill/core/weights/index.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/index.py
@@ -122,8 +122,8 @@
         if record.is_busy or record.order is not None:
             return False
         if record.state is WeightState.STAGED:
-            # The engine first switches to a staged version that it may
-            # switch to; a staged version above that is out of date.
+            # A staged version up to switchable is switched to first; the
+            # newest version replaces a higher one.
             return record.staged_version > self._switchable
         return record.state is WeightState.SERVING
 
--- a/packages/yuccarill-core/src/yuccarill/core/weights/orders.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/orders.py
@@ -27,7 +27,7 @@
     """Outcome of an order, as known to its sender."""
 
     DONE = 'done'
-    # The engine reported a failure; its old version serves.
+    # The engine reported a failure and still serves its old version.
     FAILED = 'failed'
     # The engine has seen a newer epoch.
     REFUSED = 'refused'
--- a/packages/yuccarill-core/src/yuccarill/core/weights/polling.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/polling.py
@@ -14,7 +14,7 @@
     from yuccarill.core.ids import TargetId
 
 INTERVAL_SECONDS = 5.0
-LONGEST_SECONDS = 60.0
+MAX_INTERVAL_SECONDS = 60.0
 # Bounds the cost of polling for an instance that holds many targets.
 READS_PER_SECOND = 5.0
 BURST_SECONDS = 0.25
@@ -66,4 +66,4 @@
         state.is_running = False
         state.failures = 0 if is_reachable else state.failures + 1
         backoff = INTERVAL_SECONDS * 2.0 ** min(state.failures, 8)
-        state.due_at = Instant(now + min(LONGEST_SECONDS, backoff))
+        state.due_at = Instant(now + min(MAX_INTERVAL_SECONDS, backoff))
--- a/packages/yuccarill-core/src/yuccarill/core/weights/record.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/record.py
@@ -75,8 +75,8 @@
 
     @property
     def is_switching(self) -> bool:
-        # A busy engine may still execute a previous holder's order; if it
-        # were not counted, one engine too many would leave service.
+        # A busy engine may still execute a previous holder's order; leaving
+        # it out would take one engine too many out of service.
         return self.state is WeightState.SWITCHING or self.is_busy
 
     @property
@@ -99,7 +99,7 @@
         return max(self.weight_version, self.staged_version)
 
     def begin(self, order: Order, until: Instant) -> None:
-        """Record an order that is being given."""
+        """Record an order that is about to be sent."""
         self.changed_targets.add(self.target)
         self.order = order
         self.order_epoch = self.last_report[0]
@@ -110,10 +110,11 @@
             else WeightState.SWITCHING
         )
 
-    def take(self, report: Report, now: Instant, retries: RetryPolicy) -> bool:
+    def apply_report(
+        self, report: Report, now: Instant, retries: RetryPolicy
+    ) -> bool:
         """Apply a report if it is newer than the last; return if it was."""
-        # Reports can be reordered when a stream reconnects; an older one
-        # must not restore a former version.
+        # After a reconnect an older report must not restore a former version.
         if (report.epoch, report.sequence) <= self.last_report:
             return False
         self.last_report = (report.epoch, report.sequence)
--- a/packages/yuccarill-core/src/yuccarill/core/weights/retries.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/retries.py
@@ -9,12 +9,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class RetryPolicy:
-    """Exponential backoff, with a pause once all tries have failed."""
+    """Exponential backoff, with a pause after every `tries` failures."""
 
     tries: int = 5
     base_seconds: float = 0.5
     longest_seconds: float = 8.0
-    # Each failed try takes the engine out of service for a time.
+    # Longer, since each failed try takes the engine out of service.
     pause_seconds: float = 60.0
 
     def retry_at(self, failures: int, now: Instant) -> Instant:
--- a/packages/yuccarill-core/src/yuccarill/core/weights/rollout.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/rollout.py
@@ -27,11 +27,11 @@
     from yuccarill.core.weights.orders import Report
 
 # An order times out only when it can no longer take effect: its sender may
-# pause and send it just before the lease expires, and the engine needs time.
+# pause and send it just before the lease expires, and it takes time to run.
 ORDER_VALID_SECONDS = 16.0
 # How long the switch waits for engines that fail to stage, in addition to
 # the time that staging takes at the store's rate limit.
-STAGE_PATIENCE_SECONDS = 30.0
+STAGE_GRACE_SECONDS = 30.0
 EPOCH_SHIFT = 32
 
 
@@ -82,7 +82,7 @@
         # the deadline, or no engine would ever switch.
         if self.switchable == self.newest:
             staging = len(self.records_by_id) / max(self.tokens.rate, 1e-9)
-            self._switch_by = Instant(now + staging + STAGE_PATIENCE_SECONDS)
+            self._switch_by = Instant(now + staging + STAGE_GRACE_SECONDS)
         self.newest = version
         self._is_idle = False
         for record in self.records_by_id.values():
@@ -93,7 +93,7 @@
         record = self.records_by_id.get(report.target)
         if record is None:
             return
-        if not record.take(report, now, self._retries):
+        if not record.apply_report(report, now, self._retries):
             return
         self._is_idle = False
         # The store may return an older version than engines already have;
@@ -152,7 +152,7 @@
 
     def _switches(self, now: Instant) -> list[Order]:
         slack = Slack(self._index.counts, self._serving_part)
-        # Only as many engines of a data centre as its slack can switch.
+        # No more engines of a data centre can switch than its slack allows.
         ready = [
             itertools.islice(ranked, max(0, slack.remaining(data_centre)))
             for data_centre, ranked in self._index.ready_by_data_centre.items()
--- a/packages/yuccarill-core/src/yuccarill/core/weights/token_bucket.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/token_bucket.py
@@ -26,11 +26,11 @@
     def rate(self) -> float:
         """Return the refill rate in tokens per second."""
         # A full burst at the start of a second adds to the tokens refilled
-        # in that second, so the burst less one token reduces the rate.
+        # in that second, so the rate is lower by the burst less one token.
         return self.limit - (self._burst - 1.0)
 
     def try_consume(self, now: Instant, cost: float = 1.0) -> bool:
-        """Take tokens if there are enough."""
+        """Consume tokens if enough are left; return whether it did."""
         self._fill(now)
         if self.tokens < cost:
             return False
@@ -47,8 +47,8 @@
         return max(1.0, self.limit * self.burst_seconds)
 
     def _fill(self, now: Instant) -> None:
-        grown = self.tokens + self.rate * max(0.0, now - self.filled_at)
-        self.tokens = min(self._burst, grown)
+        refilled = self.tokens + self.rate * max(0.0, now - self.filled_at)
+        self.tokens = min(self._burst, refilled)
         self.filled_at = max(self.filled_at, now)
 
 
--- a/packages/yuccarill-core/tests/dissemination/test_tree.py
+++ b/packages/yuccarill-core/tests/dissemination/test_tree.py
@@ -29,7 +29,7 @@
     ]
 
 
-def spread(live: list[Instance], lost: set[str]) -> set[str]:
+def disseminate(live: list[Instance], lost: set[str]) -> set[str]:
     """Return the holders of a record sent to every live watcher."""
     by_id = {
         member.id: disseminator.Disseminator(
@@ -57,7 +57,7 @@
         self, count: int, data_centres: int
     ) -> None:
         live = members(count, data_centres)
-        self.assertEqual({m.id for m in live}, spread(live, set()))
+        self.assertEqual({m.id for m in live}, disseminate(live, set()))
         views = [tree.TreePosition(member, live) for member in live]
         self.assertLessEqual(
             max(len(view.children) for view in views), 2 * tree.FAN_OUT
@@ -69,12 +69,12 @@
         watchers = sum(view.is_watcher for view in views)
         self.assertLessEqual(watchers, 2 * data_centres)
 
-    def test_one_loss_cuts_off_nobody(self) -> None:
+    def test_one_failure_cuts_off_no_instance(self) -> None:
         # The second tree delivers what a failed instance does not forward,
         # before its failure is detected.
         live = members(37, 1)
         for lost in live:
-            held = spread(live, {lost.id})
+            held = disseminate(live, {lost.id})
             self.assertEqual({m.id for m in live} - {lost.id}, held)
 
     def test_rejects_lower_versions(self) -> None:
--- a/packages/yuccarill-core/tests/leases/test_faults.py
+++ b/packages/yuccarill-core/tests/leases/test_faults.py
@@ -64,7 +64,7 @@
         if self._step_at_fault is Step.RELEASE:
             # Watchers that are leaving claim no shards but free them.
             for node in self.nodes_by_name.values():
-                node.keeper.begin_leaving()
+                node.manager.begin_leaving()
         self.crash('c')
         self.run(FAULT_SECONDS + 2)
         self.start('d')
@@ -126,7 +126,7 @@
                 if not n.is_dead and n is not node
             ]
             for rival in others[:1]:
-                rival.keeper.set_live(())
+                rival.manager.set_live(())
 
 
 class FaultMatrixTest(unittest.TestCase):
--- a/packages/yuccarill-core/tests/leases/test_keeper.py
+++ b/packages/yuccarill-core/tests/leases/test_lease_manager.py
@@ -25,7 +25,7 @@
     return cluster
 
 
-class KeeperTest(unittest.TestCase):
+class LeaseManagerTest(unittest.TestCase):
     @params(SIX[:1], SIX[:2], SIX)
     def test_first_instances_hold_all_shards_soon(self, *names: str) -> None:
         cluster = world.World(names)
@@ -53,17 +53,17 @@
         self.assertEqual([], cluster.faults)
 
     def test_resumed_holder_sends_no_order(self) -> None:
-        # A holder that resumes after its lease still has itself in its
+        # A holder whose lease has expired still has itself in its
         # cached table and must not act beside its successor.
         cluster = settled()
         node = cluster.nodes_by_name['b']
-        keeper = node.keeper
-        held = keeper.held()
+        manager = node.manager
+        held = manager.held()
         node.is_paused = True
         cluster.run(12)
-        self.assertEqual(held, keeper.held())
+        self.assertEqual(held, manager.held())
         epochs = [
-            keeper.epoch_of(shard, node.clock(cluster.now)) for shard in held
+            manager.epoch_of(shard, node.clock(cluster.now)) for shard in held
         ]
         self.assertEqual({None}, set(epochs))
         node.is_paused = False
@@ -71,11 +71,11 @@
         self.assertEqual([], cluster.faults)
         self.assertIn('b', cluster.held())
 
-    def test_restart_does_not_inherit(self) -> None:
+    def test_restart_keeps_no_shards(self) -> None:
         # A restarted instance must not act on its former shards while its
         # previous process may be paused, not dead, and still act.
         cluster = settled()
-        held = cluster.nodes_by_name['d'].keeper.held()
+        held = cluster.nodes_by_name['d'].manager.held()
         cluster.crash('d')
         cluster.start('d')
         cluster.run(POLICY.time_to_live)
@@ -94,7 +94,7 @@
         )
         cluster.nodes_by_name['previous'] = previous
         previous.is_paused = True
-        cluster.start('d').keeper.keep_session_open(Instant(float('inf')))
+        cluster.start('d').manager.keep_session_open(Instant(float('inf')))
         cluster.run(3)
         previous.is_paused = False
         cluster.run(1)
@@ -103,7 +103,7 @@
         self.assertEqual(shards.SHARD_COUNT, cluster.covered())
         self.assertEqual([], cluster.faults)
 
-    def test_crashed_holder_that_stays_listed_is_not_waited_for(self) -> None:
+    def test_listed_crashed_holder_does_not_delay_claims(self) -> None:
         seconds = []
         policy = LeasePolicy(watch_paces=(1.0, 1.0))
         for is_seen in (True, False):
@@ -122,7 +122,7 @@
         # them would move shards back and forth.
         cluster = settled(SIX[:5])
         cluster.start('f')
-        cluster.nodes_by_name['f'].keeper.set_live(())
+        cluster.nodes_by_name['f'].manager.set_live(())
         cluster.run(20)
         self.assertLess(cluster.held()['f'], shards.SHARD_COUNT / 3)
 
@@ -132,7 +132,7 @@
         cluster = settled()
         before = cluster.held()
         writes = cluster.store.calls_by_step[Step.CLAIM]
-        cluster.nodes_by_name['a'].keeper.set_live(())
+        cluster.nodes_by_name['a'].manager.set_live(())
         cluster.run(30)
         self.assertEqual(before, cluster.held())
         self.assertEqual(writes, cluster.store.calls_by_step[Step.CLAIM])
@@ -160,13 +160,13 @@
     def test_busy_shard_stays(self) -> None:
         cluster = settled(SIX[:1])
         newcomer = cluster.start('f')
-        keeper = cluster.nodes_by_name['a'].keeper
+        manager = cluster.nodes_by_name['a'].manager
         to = Holder(newcomer.id, SessionId('s'))
-        placed = keeper.transfer_requested(to, keeper.held())
-        given = keeper.transfer_requested(
-            to, keeper.held(), frozenset(placed[:1])
+        first_accepted = manager.transfer_requested(to, manager.held())
+        accepted = manager.transfer_requested(
+            to, manager.held(), frozenset(first_accepted[:1])
         )
-        self.assertEqual(placed[1:], given)
+        self.assertEqual(first_accepted[1:], accepted)
 
     @params(0.0, 0.5)
     def test_hand_over_leaves_no_gap(self, delay: float) -> None:
@@ -194,7 +194,7 @@
 
 
 class OutageTest(unittest.TestCase):
-    def test_slow_store_holds_leases(self) -> None:
+    def test_slow_store_expires_no_lease(self) -> None:
         # Replies that take 1.5 seconds must not expire leases.
         cluster = settled()
         before = dict(cluster.actor_by_shard)
@@ -219,7 +219,7 @@
         self.assertEqual(shards.SHARD_COUNT, cluster.covered())
         self.assertEqual(before, cluster.actor_by_shard)
 
-    def test_lost_replies_of_renewals_hold_leases(self) -> None:
+    def test_lost_renewal_replies_expire_no_lease(self) -> None:
         # A renewal whose reply is lost is confirmed by reading the record.
         cluster = settled()
         before = dict(cluster.actor_by_shard)
--- a/packages/yuccarill-core/tests/leases/test_life_cycle.py
+++ b/packages/yuccarill-core/tests/leases/test_life_cycle.py
@@ -20,11 +20,11 @@
 
 class LifeCycleTest(unittest.TestCase):
     @params(*OwnState)
-    def test_close_and_end_are_taken_in_every_state(
+    def test_close_and_end_are_accepted_in_each_state(
         self, state: OwnState
     ) -> None:
         # A session may be closed or revoked in any state; a rejected input
-        # would raise in the controller.
+        # would raise an exception.
         inputs, after_close, after_end = CASES[state]
         for name, expected in (('close', after_close), ('end', after_end)):
             cycle = life_cycle.new()
--- a/packages/yuccarill-core/tests/leases/test_model.py
+++ b/packages/yuccarill-core/tests/leases/test_model.py
@@ -82,7 +82,7 @@
     @stateful.rule(name=names, seen=strategies.sets(names))
     def change_view(self, name: str, seen: set[str]) -> None:
         live = [self.world.nodes_by_name[n].id for n in sorted(seen)]
-        self.world.nodes_by_name[name].keeper.set_live(live)
+        self.world.nodes_by_name[name].manager.set_live(live)
 
     @stateful.rule(name=names)
     def leave(self, name: str) -> None:
--- a/packages/yuccarill-core/tests/leases/test_own_session.py
+++ b/packages/yuccarill-core/tests/leases/test_own_session.py
@@ -38,7 +38,7 @@
         return self.own.is_usable(Instant(SENT + seconds))
 
     @params(0.0, 1.9, 5.0)
-    def test_slow_reply_does_not_stretch_the_deadline(
+    def test_slow_reply_does_not_extend_the_deadline(
         self, delay: float
     ) -> None:
         # Counting the deadline from a slow reply, not from the sending of
--- a/packages/yuccarill-core/tests/leases/test_table_keeper.py
+++ b/packages/yuccarill-core/tests/leases/test_table_manager.py
@@ -23,31 +23,31 @@
 NOW = Instant(1.0)
 
 
-class TableKeeperTest(unittest.TestCase):
+class TableManagerTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.keeper = table_manager.TableManager(
+        self.manager = table_manager.TableManager(
             policy.LeasePolicy(), random.Random(1), itertools.count(1)
         )
 
     def test_older_table_is_dropped(self) -> None:
         # A late copy of an older table would restore a former holder.
-        self.keeper.offer(5, table.encode(NEW))
-        self.assertFalse(self.keeper.offer(4, table.encode(OLD)))
-        self.assertEqual(NEW, self.keeper.table)
+        self.manager.offer(5, table.encode(NEW))
+        self.assertFalse(self.manager.offer(4, table.encode(OLD)))
+        self.assertEqual(NEW, self.manager.table)
 
     def test_duplicate_of_an_earlier_reply_is_dropped(self) -> None:
         # A duplicate reply must not count as the reply of the call that is
         # in flight.
-        read = self.keeper.read(NOW)
+        read = self.manager.read(NOW)
         assert read is not None
         found = operations.Found(4, table.encode(OLD))
-        self.keeper.complete(read, found, NOW)
-        change = self.keeper.change(
+        self.manager.complete(read, found, NOW)
+        change = self.manager.change(
             operations.Step.TRANSFER, {SHARD: None}, NOW
         )
-        self.assertFalse(self.keeper.complete(read, found, NOW))
-        self.assertFalse(self.keeper.can_write(NOW))
-        self.keeper.complete(change, operations.Unknown(), NOW)
-        self.assertTrue(self.keeper.is_in_transfer(SHARD))
-        self.keeper.offer(5, table.encode(NEW))
-        self.assertFalse(self.keeper.is_in_transfer(SHARD))
+        self.assertFalse(self.manager.complete(read, found, NOW))
+        self.assertFalse(self.manager.can_write(NOW))
+        self.manager.complete(change, operations.Unknown(), NOW)
+        self.assertTrue(self.manager.is_in_transfer(SHARD))
+        self.manager.offer(5, table.encode(NEW))
+        self.assertFalse(self.manager.is_in_transfer(SHARD))
--- a/packages/yuccarill-core/tests/leases/world.py
+++ b/packages/yuccarill-core/tests/leases/world.py
@@ -12,7 +12,7 @@
 from yuccarill.core.ids import InstanceId
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import ShardNumber
-from yuccarill.core.leases import lease_manager as keeper_module
+from yuccarill.core.leases import lease_manager
 from yuccarill.core.leases import operations
 from yuccarill.core.leases.operations import Step
 from yuccarill.core.leases.policy import LeasePolicy
@@ -67,11 +67,11 @@
 
 
 class Node:
-    """One instance's lease keeper; sends and receives nothing when paused."""
+    """One instance's lease manager; sends and receives nothing when paused."""
 
     def __init__(self, name: str, number: int, policy: LeasePolicy) -> None:
         self.id = InstanceId(name)
-        self.keeper = keeper_module.LeaseManager(
+        self.manager = lease_manager.LeaseManager(
             self.id,
             Incarnation(f'{name}-{number}'),
             policy,
@@ -130,21 +130,21 @@
 
     def leave(self, name: str) -> None:
         """Begin a graceful shutdown: transfer the held shards."""
-        keeper = self.nodes_by_name[name].keeper
+        manager = self.nodes_by_name[name].manager
         holders: dict[ShardNumber, Holder | None] = {}
-        for shard, peer in keeper.next_holders().items():
+        for shard, peer in manager.next_holders().items():
             found = self.nodes_by_name.get(peer or '')
             session = None
             if found is not None and not found.is_dead:
-                session = found.keeper.usable_session(found.clock(self.now))
+                session = found.manager.usable_session(found.clock(self.now))
             holders[shard] = (
                 Holder(peer, session) if session and peer else None
             )
-        keeper.transfer(holders)
+        manager.transfer(holders)
 
     def has_left(self, name: str) -> bool:
         """Close the session of a leaving instance; return if it is closed."""
-        return self.nodes_by_name[name].keeper.close()
+        return self.nodes_by_name[name].manager.close()
 
     def acting(self) -> dict[ShardNumber, list[tuple[str, Epoch]]]:
         """Return the instances that may act now and their epochs, by shard."""
@@ -154,10 +154,10 @@
         for name, node in self.nodes_by_name.items():
             if node.is_dead or node.is_paused:
                 continue
-            if node.keeper.usable_session(node.clock(self.now)) is None:
+            if node.manager.usable_session(node.clock(self.now)) is None:
                 continue
-            for shard in node.keeper.held():
-                epoch = node.keeper.epoch_of(shard, node.clock(self.now))
+            for shard in node.manager.held():
+                epoch = node.manager.epoch_of(shard, node.clock(self.now))
                 if epoch is not None:
                     found[shard].append((name, epoch))
         return found
@@ -186,10 +186,10 @@
         self, is_done: Callable[[], bool], limit: float = 60.0
     ) -> float:
         """Advance the time until a condition holds; return the seconds."""
-        begun = self.now
-        while not is_done() and self.now < begun + limit:
+        started_at = self.now
+        while not is_done() and self.now < started_at + limit:
             self.run(self._tick)
-        return self.now - begun
+        return self.now - started_at
 
     def check(self) -> None:
         """Record a fault if two nodes act at once or an epoch decreases."""
@@ -209,13 +209,13 @@
     def _step(self, node: Node) -> None:
         if node.is_dead or node.is_paused:
             return
-        for operation in node.keeper.next_operations(node.clock(self.now)):
+        for operation in node.manager.next_operations(node.clock(self.now)):
             self._send(node, operation)
-        for ask in node.keeper.due_transfer_requests(node.clock(self.now)):
+        for ask in node.manager.due_transfer_requests(node.clock(self.now)):
             holder = self.nodes_by_name.get(ask.holder)
             if holder is None or holder.is_dead or holder.is_paused:
                 continue
-            holder.keeper.transfer_requested(
+            holder.manager.transfer_requested(
                 Holder(node.id, ask.session), ask.shards
             )
 
@@ -253,7 +253,7 @@
                 # A paused process receives the reply once it resumes.
                 self._at(self._tick, deliver)
                 return
-            node.keeper.complete(operation, outcome, node.clock(self.now))
+            node.manager.complete(operation, outcome, node.clock(self.now))
             self._step(node)
 
         self._at(delay, deliver)
@@ -264,12 +264,12 @@
         found = self.store.table()
         for node in self.nodes_by_name.values():
             if not (node.is_dead or node.is_paused or node.lacks_tables):
-                node.keeper.offer_table(found.version, found.value)
+                node.manager.offer_table(found.version, found.value)
 
     def _update_live(self) -> None:
         live = [n.id for n in self.nodes_by_name.values() if not n.is_dead]
         for node in self.nodes_by_name.values():
-            node.keeper.set_live(live)
+            node.manager.set_live(live)
 
     def _at(
         self, delay: float, do: Callable[..., None], *more: object
--- a/packages/yuccarill-core/tests/membership/test_choices.py
+++ b/packages/yuccarill-core/tests/membership/test_choices.py
@@ -87,7 +87,7 @@
             self.assertEqual((3, 3), (len(chosen), len(centres)))
 
 
-class SpreadingTest(unittest.TestCase):
+class StatementGossipTest(unittest.TestCase):
     def test_statement_is_resent_until_confirmed(self) -> None:
         # A batch is resent until confirmed, and the confirmation of an older
         # statement must not drop a newer one.
@@ -112,17 +112,17 @@
         statement_gossip.add(fleet(410).values(), None)
         rounds = 0
         while batch := statement_gossip.batch('n'):
-            self.assertLessEqual(len(batch), gossip.MAX_RECORDS)
+            self.assertLessEqual(len(batch), gossip.MAX_STATEMENTS)
             statement_gossip.confirm('n', batch)
             rounds += 1
-        self.assertEqual(-(-410 // gossip.MAX_RECORDS), rounds)
+        self.assertEqual(-(-410 // gossip.MAX_STATEMENTS), rounds)
 
 
-class ListReadingTest(unittest.TestCase):
+class ListMergerTest(unittest.TestCase):
     def setUp(self) -> None:
         self.view = view_module.View(statement('a'))
         self.view.merge(statement('b', 1, S.SUSPECT))
-        self.reading = list_merger.ListMerger(self.view)
+        self.merger = list_merger.ListMerger(self.view)
 
     def state_of_b(self) -> MemberState:
         return self.view.members_by_id['b'].state
@@ -135,7 +135,7 @@
     def test_dropped_members(self, name, reads, expected) -> None:
         for ids in reads:
             listed = [statement(i).as_instance() for i in ids]
-            self.reading.merge(listed)
+            self.merger.merge(listed)
         self.assertIs(expected, self.state_of_b(), name)
 
     def test_two_readers_per_data_centre(self) -> None:
@@ -150,10 +150,10 @@
     def test_leaving_in_the_list_is_a_change_only_once(self) -> None:
         self.view.merge(statement('b', 2))
         leaving = statement('b').changed(S.LEAVING).as_instance()
-        self.reading.merge([leaving])
+        self.merger.merge([leaving])
         self.assertIs(S.LISTED_LEAVING, self.state_of_b())
         self.view.merge(statement('b', 3, incarnation='2'))
-        self.reading.merge([leaving])
+        self.merger.merge([leaving])
         self.assertIs(S.ALIVE, self.state_of_b())
 
 
--- a/packages/yuccarill-core/tests/membership/test_shutdown.py
+++ b/packages/yuccarill-core/tests/membership/test_shutdown.py
@@ -68,7 +68,7 @@
         self.assertIs(expected or step, stopping.step)
 
     @params(*S)
-    def test_advance_is_taken_in_each_step(self, step) -> None:
+    def test_advance_is_accepted_in_each_step(self, step) -> None:
         stopping, machine = machine_at(step)
         machine.advance(Instant(100.0), NOTHING)
         following = [new for (old, _), new in NEXT_STEP.items() if old is step]
--- a/packages/yuccarill-core/tests/membership/test_view.py
+++ b/packages/yuccarill-core/tests/membership/test_view.py
@@ -62,7 +62,7 @@
         view.merge(statement('a', 900, state, incarnation='old'))
         self.assertEqual(statement('a', 901, incarnation='new'), view.me)
 
-    def test_gone_member_is_remembered_for_a_while(self) -> None:
+    def test_gone_member_is_kept_until_it_expires(self) -> None:
         view = view_module.View(statement('a'))
         view.merge(statement('b', 1, S.GONE))
         for now in (0.0, view_module.GONE_SECONDS - 1.0):
--- a/packages/yuccarill-core/tests/weights/test_fault_matrix.py
+++ b/packages/yuccarill-core/tests/weights/test_fault_matrix.py
@@ -113,7 +113,7 @@
 
 class FaultMatrixTest(unittest.TestCase):
     @params(*itertools.product(WeightState, Fault))
-    def test_cell(self, state: WeightState, fault: Fault) -> None:
+    def test_fault_in_state(self, state: WeightState, fault: Fault) -> None:
         # A fault during a rollout must neither leave too few engines serving
         # nor keep an engine from the newest version.
         scenario = FaultScenario()
@@ -123,7 +123,7 @@
         fleet.store_newest = max(fleet.store_newest, 2)
         self.assertTrue(fleet.run(SETTLE_SECONDS, fleet.is_done))
         fleet.run(STEADY_SECONDS, lambda: False)
-        self.assertTrue(fleet.is_done(), 'a version was lost again')
+        self.assertTrue(fleet.is_done(), 'an engine left the newest version')
         self.assertEqual([], fleet.faults)
 
 
@@ -147,7 +147,7 @@
         self.assertTrue(record.is_busy)
         self.assertFalse(record.is_serving)
 
-    def test_store_that_answers_an_old_version_orders_nothing(self) -> None:
+    def test_stale_answer_of_the_store_causes_no_order(self) -> None:
         # A stale answer of the store must not return engines to an older
         # version.
         fleet = self.scenario.fleet
@@ -160,9 +160,9 @@
 
     @params(0, 1)
     def test_stale_model_holder_is_rejected(self, age: int) -> None:
-        # Orders of a model's holder that resumes after its lease would leave
+        # Orders sent by a model's holder after its lease expired would leave
         # too few engines serving.
         holder = self.scenario.holder
-        accept: Callable[[str, int], bool] = holder.desk.accept_model_epoch
+        accept: Callable[[str, int], bool] = holder.orders.accept_model_epoch
         self.assertTrue(accept(fleet_module.MODEL, 5))
         self.assertIs(age == 0, accept(fleet_module.MODEL, 5 - age))
--- a/packages/yuccarill-core/tests/weights/test_record.py
+++ b/packages/yuccarill-core/tests/weights/test_record.py
@@ -39,7 +39,7 @@
 class RecordTest(unittest.TestCase):
     def setUp(self) -> None:
         self.record = record.TargetRecord(TargetId('e'), DataCentreId('a'))
-        self.record.take(report(5, 1, 2), NOW, RETRIES)
+        self.record.apply_report(report(5, 1, 2), NOW, RETRIES)
 
     def switch(self, number: int = 7) -> None:
         kind = orders.OrderKind.SWITCH
@@ -47,8 +47,8 @@
         self.record.begin(order, Instant(NOW + 25))
 
     @params(4, 5)
-    def test_overtaken_report_changes_nothing(self, sequence: int) -> None:
-        self.record.take(report(sequence, 0), NOW, RETRIES)
+    def test_late_older_report_changes_nothing(self, sequence: int) -> None:
+        self.record.apply_report(report(sequence, 0), NOW, RETRIES)
         self.assertEqual(1, self.record.weight_version)
 
     # The reply to an order may be lost or wrong: the engine's reported
@@ -62,9 +62,9 @@
         (report(6, 1, 2, order_number=7, outcome=Outcome.DONE), State.FAILED),
         (report(1, 1, 2, epoch=2), State.FAILED),
     )
-    def test_end_of_an_order(self, said, expected: State) -> None:
+    def test_end_of_an_order(self, reported, expected: State) -> None:
         self.switch()
-        self.record.take(said, NOW, RETRIES)
+        self.record.apply_report(reported, NOW, RETRIES)
         self.assertIs(expected, self.record.state)
 
     def test_order_without_reports_ends(self) -> None:
@@ -75,7 +75,7 @@
         self.assertIs(State.FAILED, self.record.state)
 
     def test_numbers_of_two_epochs_differ(self) -> None:
-        # The late end of a predecessor's order must not match an own order.
+        # A late report on a predecessor's order must not end a new order.
         numbers = []
         for epoch in (Epoch(1), Epoch(2)):
             plan = rollout.ModelRollout(
@@ -105,7 +105,7 @@
         self.assertEqual(slack, max(0, found.remaining(DataCentreId('a'))))
 
 
-class TokensTest(unittest.TestCase):
+class TokenBucketTest(unittest.TestCase):
     def test_successor_adds_nothing_to_the_rate(self) -> None:
         schedule = token_bucket.TokenBucket(50.0, NOW)
         self.assertFalse(schedule.try_consume(NOW))
--- a/packages/yuccarill-core/tests/weights/test_rollout.py
+++ b/packages/yuccarill-core/tests/weights/test_rollout.py
@@ -64,9 +64,9 @@
             window = [d for d in fleet.downloads if start <= d < start + 1]
             self.assertLessEqual(len(window), 10)
 
-    def test_exhausted_retries_pause(self) -> None:
+    def test_failing_engine_is_retried_after_a_pause(self) -> None:
         # An engine that fails every switch must not be out of service all
-        # the time, nor keep the others from the version.
+        # the time, nor keep the others on the old version.
         fleet = build(4, 2, 0.5)
         fleet.store_newest = 2
         fleet.engines[0].failures_left = 10**6
@@ -74,9 +74,9 @@
         self.assertEqual([1, 2, 2, 2], [e.version for e in fleet.engines])
         self.assertLess(fleet.orders_sent, 6 + 6)
 
-    def test_versions_that_come_too_fast_still_switch(self) -> None:
+    def test_frequent_versions_do_not_postpone_the_switch(self) -> None:
         # Versions that arrive as fast as they are staged must not postpone
-        # the switch for ever.
+        # the switch forever.
         fleet = build(6, 2, 0.5)
         for n in range(60):
             fleet.at(
