--- a/packages/yuccarill-core/src/yuccarill/core/jobs/engine_assignment.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/engine_assignment.py
@@ -19,7 +19,7 @@
     from yuccarill.core.jobs.engines import EngineState
     from yuccarill.core.jobs.job import Job
 
-# Cost of an engine when it was computed, a tie breaker, and the engine.
+# Heap entry: an engine's cost at insertion, a tie breaker, and the engine.
 _Entry = tuple[float, int, 'EngineState']
 
 
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/engines.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/engines.py
@@ -61,7 +61,7 @@
     urgent_models: set[ModelName] = set()
     # Models whose weights the engine is changing.
     switching_models: set[ModelName] = set()
-    # Models in `switching` whose remaining runs have to move away.
+    # Models in `switching_models` whose remaining runs have to move away.
     draining_models: set[ModelName] = set()
     failures: int = 0
     ejected_until: Instant = Instant(0.0)
@@ -176,18 +176,18 @@
         return _load_cost(engine, self.usual_pace(now) or 0.0, now)
 
     def estimate(
-        self, engine: EngineState, beside: int, now: Instant
+        self, engine: EngineState, other_runs: int, now: Instant
     ) -> PaceEstimate:
-        """Return the expected pace of a run beside `beside` other runs."""
+        """Return the expected pace of a run beside `other_runs` others."""
         if self.speeds is not None:
-            return self.speeds.pace(engine.target.id, beside, now)
+            return self.speeds.pace(engine.target.id, other_runs, now)
         pace = engine.known_pace(now) or self.usual_pace(now)
         return PaceEstimate(pace=pace or DEFAULT_PACE, deviation=0.0)
 
     def full_pace(self, engine: EngineState, now: Instant) -> float:
         """Return the seconds per event with all slots in use."""
-        beside = max(0, engine.target.slots - 1)
-        return self.estimate(engine, beside, now).pace
+        other_runs = max(0, engine.target.slots - 1)
+        return self.estimate(engine, other_runs, now).pace
 
     def can_run(self, engine: EngineState, job: Job, now: Instant) -> bool:
         """Return whether an engine can run an item of a job now."""
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/job_plan.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/job_plan.py
@@ -5,7 +5,7 @@
 import heapq
 from typing import TYPE_CHECKING
 
-from yuccarill.core.jobs import job_queue as board_module
+from yuccarill.core.jobs import job_queue as queue_module
 from yuccarill.core.jobs import triage
 
 if TYPE_CHECKING:
@@ -70,7 +70,7 @@
         lengths = [
             self._events(run)
             for run in self._runs_by_group[group]
-            if run.state is not board_module.RunState.ENDED
+            if run.state is not queue_module.RunState.ENDED
         ]
         return triage.GroupNeed(
             group=group, work=sum(lengths), longest=max(lengths, default=0.0)
@@ -144,7 +144,7 @@
             index += 1
 
     @property
-    def put_off(self) -> int:
+    def deferred_count(self) -> int:
         """Return the number of deferred groups."""
         return len(self._deferred_needs)
 
@@ -189,5 +189,5 @@
 
 
 def _waiting(runs: Iterable[ItemRun]) -> Iterator[ItemRun]:
-    waiting = board_module.RunState.WAITING
+    waiting = queue_module.RunState.WAITING
     return (run for run in runs if run.state is waiting)
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/lengths.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/lengths.py
@@ -51,9 +51,10 @@
     def expected(
         self, model: ModelName | None, item: Item, events: int
     ) -> float:
-        """Return the remaining events, comparable between models.
+        """Return the expected number of events still to come.
 
-        A model without samples is estimated from those of all models.
+        Estimates of different models are comparable, since a model without
+        samples uses those of all models.
         """
         is_hinted = item.hinted_tokens is not None
         if (model, is_hinted) in self._ratios_by_kind:
@@ -67,8 +68,7 @@
     ) -> float:
         """Return the remaining events of a text that has `events` so far.
 
-        Without samples the hint itself is the estimate, good enough to order
-        texts of one model.
+        Without samples the hint is the estimate, to order texts of one model.
         """
         kind = (model, item.hinted_tokens is not None)
         return self._remaining(self._ratios_by_kind.get(kind), item, events)
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/planning.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/planning.py
@@ -8,7 +8,7 @@
 
 from yuccarill.core.ids import Instant
 from yuccarill.core.jobs import job_plan
-from yuccarill.core.jobs import job_queue as board_module
+from yuccarill.core.jobs import job_queue as queue_module
 from yuccarill.core.jobs import triage
 
 if TYPE_CHECKING:
@@ -38,8 +38,8 @@
 class FinishPlan:
     """Plan the items of all open jobs of one service."""
 
-    def __init__(self, board: JobQueue, fleet: EngineFleet) -> None:
-        self._board = board
+    def __init__(self, queue: JobQueue, fleet: EngineFleet) -> None:
+        self._queue = queue
         self._fleet = fleet
         self._plans_by_job: dict[JobId, job_plan.JobPlan] = {}
         self._planned_at = Instant(-math.inf)
@@ -49,7 +49,7 @@
     @property
     def deferred_groups(self) -> int:
         """Return the number of deferred groups."""
-        return sum(plan.put_off for plan in self._plans_by_job.values())
+        return sum(plan.deferred_count for plan in self._plans_by_job.values())
 
     def is_feasible(self, run: ItemRun) -> bool:
         """Return whether the run's group can be complete in time."""
@@ -58,10 +58,10 @@
 
     def slack(self, run: ItemRun, pace: float, now: Instant) -> float:
         """Return the slack: seconds from the expected end to the deadline."""
-        events = self._board.lengths.expected(
+        events = self._queue.lengths.expected(
             run.job.model, run.item, run.text.events
         )
-        state = self._board.jobs_by_id[run.job.id]
+        state = self._queue.jobs_by_id[run.job.id]
         return state.due_at - now - pace * events
 
     def waiting(self, pace: float, now: Instant) -> Iterator[ItemRun]:
@@ -81,14 +81,14 @@
         yield from _merged([p.deferred_runs() for p in plans])
 
     def _update_plans(self, now: Instant) -> None:
-        jobs = self._board.jobs_by_id
+        jobs = self._queue.jobs_by_id
         for removed in self._plans_by_job.keys() - jobs.keys():
             del self._plans_by_job[removed]
             self._planned_at = Instant(-math.inf)
         for name, state in jobs.items():
             current = self._plans_by_job.get(name)
             if current is None or current.state is not state:
-                plan = job_plan.JobPlan(state, self._board.lengths)
+                plan = job_plan.JobPlan(state, self._queue.lengths)
                 self._plans_by_job[name] = plan
                 self._planned_at = Instant(-math.inf)
         if now >= self._planned_at + PLAN_SECONDS:
@@ -116,7 +116,7 @@
     def _are_lengths_known(self) -> bool:
         # Without samples, the number of events per hinted token is unknown.
         return all(
-            self._board.lengths.has_samples(plan.state.job.items[0])
+            self._queue.lengths.has_samples(plan.state.job.items[0])
             for plan in self._plans_by_job.values()
             if plan.state.job.items
         )
@@ -132,14 +132,14 @@
             if _serves(engine, needs, now):
                 pace = self._fleet.full_pace(engine, now)
                 rate += engine.target.slots / pace
-        pace = self._fleet.usual_pace(now) or board_module.DEFAULT_PACE
+        pace = self._fleet.usual_pace(now) or queue_module.DEFAULT_PACE
         return triage.Supply(rate=rate, pace=pace)
 
     def is_better_off(
         self,
         run: ItemRun,
         engine: EngineState,
-        places: EngineAssigner,
+        assigner: EngineAssigner,
         now: Instant,
     ) -> bool:
         """Return whether a run ends sooner on the best free engine.
@@ -153,7 +153,7 @@
             and self.slack(run, pace, now) >= MAX_MOVE_SLACK_SECONDS
         ):
             return False
-        other = places.choose(run.job)
+        other = assigner.choose(run.job)
         if other is None or other is engine:
             return False
         return self.gain(run, engine, other, now) > 0.0
@@ -166,7 +166,7 @@
         now: Instant,
     ) -> float:
         """Return the seconds that a move gains, less the standard error."""
-        events = self._board.lengths.expected(
+        events = self._queue.lengths.expected(
             run.job.model, run.item, run.text.events
         )
         here = self._fleet.estimate(engine, engine.running - 1, now)
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/shares.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/shares.py
@@ -20,7 +20,7 @@
 
 
 def share_id(job: JobId, number: int) -> JobId:
-    """Return the job id of a partition's share."""
+    """Return the id of the share of a job in one partition."""
     return JobId(f'{job}{_SEPARATOR}{number}')
 
 
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/text.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/text.py
@@ -90,7 +90,7 @@
                 f'Event {event.number} does not follow event {self.events}.'
             )
         # A guess from the last requested weight change could attribute the
-        # sample to weights that did not generate it.
+        # text to weights that did not generate it.
         if self._current_version is None:
             raise TextSequenceError('The engine reports no weight version.')
         self._parts.append(event.data)
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/text_copies.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/text_copies.py
@@ -83,11 +83,11 @@
 
 
 def limit_size(
-    changes: Iterable[TextChange], most: int
+    changes: Iterable[TextChange], max_size: int
 ) -> tuple[TextChange, ...]:
-    """Return the leading changes with at most `most` characters."""
+    """Return the leading changes with at most `max_size` characters."""
     chosen = []
-    remaining = most
+    remaining = max_size
     for change in changes:
         remaining -= change.size
         if remaining < 0:
--- a/packages/yuccarill-core/src/yuccarill/core/jobs/weight_change_hold.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/weight_change_hold.py
@@ -34,7 +34,7 @@
     def held_models(
         self,
         versions_by_model: Mapping[ModelName, WeightVersion],
-        board: JobQueue,
+        queue: JobQueue,
         now: Instant,
     ) -> set[ModelName]:
         """Return the models whose next step is not placed yet."""
@@ -42,7 +42,7 @@
             model
             for model, version in versions_by_model.items()
             if now < self._announced_at(model, version, now) + HOLD_SECONDS
-            and not _is_placed(board, model, version)
+            and not _is_placed(queue, model, version)
         }
 
     def _announced_at(
@@ -55,11 +55,11 @@
 
 
 def _is_placed(
-    board: JobQueue, model: ModelName, version: WeightVersion
+    queue: JobQueue, model: ModelName, version: WeightVersion
 ) -> bool:
     steps = [
         state
-        for state in board.jobs_by_id.values()
+        for state in queue.jobs_by_id.values()
         if state.job.model == model and state.job.min_version >= version - 1
     ]
     return bool(steps) and not any(any(step.waiting()) for step in steps)
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/placement.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/placement.py
@@ -73,7 +73,7 @@
     def hedge(
         self, lane: Lane, pool: EnginePool, mean_rate: float, now: Instant
     ) -> list[Attempt]:
-        """Start second attempts for the slow last places of a step."""
+        """Start second attempts at the last, slow samples of a step."""
         if now < lane.hedge_due:
             return []
         lane.hedge_due = now + HEDGE_INTERVAL_SECONDS
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/replicas.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/replicas.py
@@ -16,7 +16,7 @@
 
 # Number of replicas; one of two survives the loss of a data centre.
 COPIES = 2
-
+# Store key of the list of disks.
 DISKS_KEY = 'disks'
 
 
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/scheduler.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/scheduler.py
@@ -82,7 +82,7 @@
                 self._cancel(attempt)
 
     def close_step(self, work: StepWork) -> None:
-        """Remove a step that its trainer has closed, in any order."""
+        """Remove a closed step; steps may close in any order."""
         self.cancel_step(work)
         plan = self.plan_of(work)
         if plan is not None:
@@ -110,9 +110,9 @@
                 plan.add(place)
 
     def pause_engine(self, attempt: Attempt, now: Instant) -> None:
-        """Pause an engine that queues samples, whoever sent them."""
+        """Pause an engine that queues samples of any instance."""
         # Instances don't know each other's samples. Sending more would only
-        # move samples from the queue here to the queue of the engine, where
+        # move samples from the local queue to the queue of the engine, where
         # they can't go to another engine that becomes free.
         until = Instant(now + QUEUEING_PAUSE_SECONDS)
         self._pool_of(attempt).pause(attempt.engine, until)
--- a/packages/yuccarill-core/tests/jobs/load_model.py
+++ b/packages/yuccarill-core/tests/jobs/load_model.py
@@ -15,7 +15,7 @@
 from yuccarill.core.ids import Instant
 from yuccarill.core.jobs import engine_assignment
 from yuccarill.core.jobs import engines as engines_module
-from yuccarill.core.jobs import job_queue as board_module
+from yuccarill.core.jobs import job_queue as queue_module
 from yuccarill.core.jobs import text
 
 from . import items
@@ -44,7 +44,7 @@
 class Running:
     """Track one text that an engine generates."""
 
-    run: board_module.ItemRun
+    run: queue_module.ItemRun
     engine: engines_module.EngineState
     started_at: Instant
     last_at: Instant
@@ -76,7 +76,7 @@
         self._hint_random = random.Random(seed)
         self._mean_events = mean_events
         self._max_events = max_events
-        self._board = board_module.JobQueue()
+        self._queue = queue_module.JobQueue()
         self._events_by_item: dict[str, int] = {}
         self._generated_by_item: dict[str, int] = {}
         self._running: list[Running] = []
@@ -90,7 +90,7 @@
         """
         arrivals = sorted(jobs.items())
         now = 0.0
-        while arrivals or self._board.jobs_by_id:
+        while arrivals or self._queue.jobs_by_id:
             while arrivals and arrivals[0][0] <= now:
                 at, groups = arrivals.pop(0)
                 self._submit(f'j{at}', groups, size, at)
@@ -116,7 +116,7 @@
                 )
             )
         job = msgspec.structs.replace(job, items=tuple(hinted))
-        self._board.add(items.make_state(job, at))
+        self._queue.add(items.make_state(job, at))
 
     def _length(self) -> int:
         events = 1 + int(self._random.expovariate(1.0 / self._mean_events))
@@ -134,17 +134,17 @@
             if engine is not None:
                 self._start(run, engine, now)
 
-    def _waiting(self) -> list[board_module.ItemRun]:
+    def _waiting(self) -> list[queue_module.ItemRun]:
         if not self._is_naive:
-            return self._board.waiting(EVENT_SECONDS)
+            return self._queue.waiting(EVENT_SECONDS)
         return [
             run
-            for state in self._board.jobs_by_id.values()
+            for state in self._queue.jobs_by_id.values()
             for run in state.waiting()
         ]
 
     def _choose(
-        self, run: board_module.ItemRun, now: Instant
+        self, run: queue_module.ItemRun, now: Instant
     ) -> engines_module.EngineState | None:
         if not self._is_naive:
             return self._fleet.choose(run.job, now)
@@ -157,13 +157,13 @@
 
     def _start(
         self,
-        run: board_module.ItemRun,
+        run: queue_module.ItemRun,
         engine: engines_module.EngineState,
         now: Instant,
     ) -> None:
         self.runs += 1
-        run.state = board_module.RunState.RUNNING
-        self._board.jobs_by_id[run.job.id].begin(run)
+        run.state = queue_module.RunState.RUNNING
+        self._queue.jobs_by_id[run.job.id].begin(run)
         engine.runs_by_model[run.job.model] += 1
         slowness = self._slowness(engine.target.id, now)
         self._running.append(
@@ -182,35 +182,35 @@
         running.next_at = now + EVENT_SECONDS * slowness
         if self._generated_by_item[item.id] >= self._events_by_item[item.id]:
             self._end(running)
-            self._board.lengths.learn(
+            self._queue.lengths.learn(
                 running.run.job.model, item, self._events_by_item[item.id]
             )
-            state = self._board.jobs_by_id[running.run.job.id]
+            state = self._queue.jobs_by_id[running.run.job.id]
             if state.end(item.id):
                 self._finished_by_group[item.group] = now
             if state.is_finished:
-                self._board.remove(state.job.id)
+                self._queue.remove(state.job.id)
 
     def _end(self, running: Running) -> None:
         self._running.remove(running)
         running.engine.runs_by_model[running.run.job.model] -= 1
 
     def _move(self, now: Instant) -> None:
-        waiting = self._board.count_waiting()
+        waiting = self._queue.count_waiting()
         for running in list(self._running):
             engine, job = running.engine, running.run.job
             if not self._fleet.should_move(
                 engine, job, running.started_at, running.last_at, now
             ):
                 continue
-            places = engine_assignment.EngineAssigner(self._fleet, now)
-            if places.free_slots(job, engine) <= waiting:
+            assigner = engine_assignment.EngineAssigner(self._fleet, now)
+            if assigner.free_slots(job, engine) <= waiting:
                 continue
             waiting += 1
             if self._fleet.is_silent(running.last_at, now):
                 engine.fail(now)
             self._end(running)
-            running.run.state = board_module.RunState.WAITING
+            running.run.state = queue_module.RunState.WAITING
 
     def _seconds(self, at: float, groups: int) -> float:
         finished = sorted(
--- a/packages/yuccarill-core/tests/jobs/test_board.py
+++ b/packages/yuccarill-core/tests/jobs/test_board.py
@@ -11,14 +11,14 @@
 from yuccarill.core.jobs.job import ItemId
 from yuccarill.core.jobs.job import ItemResult
 from yuccarill.core.jobs.job import ResultState
-from yuccarill.core.jobs import job_queue as board_module
+from yuccarill.core.jobs import job_queue as queue_module
 from yuccarill.core.jobs import text as text_module
 from yuccarill.core.jobs.text import StreamEvent
 
 from . import items
 
 
-def add_events(run: board_module.ItemRun, version: int, count: int) -> None:
+def add_events(run: queue_module.ItemRun, version: int, count: int) -> None:
     run.text.begin_run(WeightVersion(version))
     for number in range(run.text.events + 1, count + 1):
         run.text.add_event(StreamEvent(number=number, data=f'd{number}'))
@@ -36,22 +36,22 @@
 
 class OrderTest(unittest.TestCase):
     def test_jobs_with_the_earliest_deadline_go_first(self) -> None:
-        board = board_module.JobQueue()
-        board.add(items.make_state(items.make_job('late'), 4.0))
-        board.add(items.make_state(items.make_job('early'), 0.0))
-        ids = [run.job.id for run in board.waiting()]
+        queue = queue_module.JobQueue()
+        queue.add(items.make_state(items.make_job('late'), 4.0))
+        queue.add(items.make_state(items.make_job('early'), 0.0))
+        ids = [run.job.id for run in queue.waiting()]
         self.assertEqual(['early'] * 4 + ['late'] * 4, ids)
 
     def test_started_groups_go_before_new_ones(self) -> None:
         # Only complete groups count, so the other item of the started group 1
         # goes before the items of group 0.
-        board = board_module.JobQueue()
+        queue = queue_module.JobQueue()
         state = items.make_state(items.make_job())
-        board.add(state)
+        queue.add(state)
         run = state.runs_by_id[ItemId('j-1-0')]
-        run.state = board_module.RunState.RUNNING
+        run.state = queue_module.RunState.RUNNING
         state.begin(run)
-        order = [run.item.id for run in board.waiting()]
+        order = [run.item.id for run in queue.waiting()]
         self.assertEqual(['j-1-1', 'j-0-0', 'j-0-1'], order)
 
     def test_last_item_completes_its_group(self) -> None:
@@ -62,17 +62,17 @@
         self.assertFalse(state.is_finished)
 
     def test_published_items_are_not_run_again(self) -> None:
-        board = board_module.JobQueue()
+        queue = queue_module.JobQueue()
         state = items.make_state(items.make_job())
-        board.add(state, [make_result('j-0-0'), make_result('j-0-1')])
-        order = [run.item.id for run in board.waiting()]
+        queue.add(state, [make_result('j-0-0'), make_result('j-0-1')])
+        order = [run.item.id for run in queue.waiting()]
         self.assertEqual(['j-1-0', 'j-1-1'], order)
 
     def test_items_past_retention_expire(self) -> None:
-        board = board_module.JobQueue()
-        board.add(items.make_state(items.make_job()))
-        self.assertEqual([], board.expired(Instant(39.9)))
-        self.assertEqual(4, len(board.expired(Instant(40.0))))
+        queue = queue_module.JobQueue()
+        queue.add(items.make_state(items.make_job()))
+        self.assertEqual([], queue.expired(Instant(39.9)))
+        self.assertEqual(4, len(queue.expired(Instant(40.0))))
 
 
 class FailureTest(unittest.TestCase):
@@ -104,18 +104,18 @@
 
     def resubmit(
         self, min_version: int, **more: object
-    ) -> tuple[board_module.ItemRun, list[board_module.ItemRun]]:
-        board = board_module.JobQueue()
+    ) -> tuple[queue_module.ItemRun, list[queue_module.ItemRun]]:
+        queue = queue_module.JobQueue()
         state = items.make_state(items.make_job())
-        board.add(state)
+        queue.add(state)
         run = state.runs_by_id[ItemId('j-0-0')]
         add_events(run, version=2, count=3)
         run.text.is_whole = bool(more.pop('is_whole', False))
         run.score = 'signed'
-        board.remove(state.job.id)
+        queue.remove(state.job.id)
         job = items.make_job('j', min_version=min_version, **more)
         again = items.make_state(job)
-        whole = board.add(again)
+        whole = queue.add(again)
         return again.runs_by_id[ItemId('j-0-0')], whole
 
     def test_a_partial_text_is_resumed(self) -> None:
@@ -137,30 +137,30 @@
 
         The previous holder has published one of the group's two items.
         """
-        board = board_module.JobQueue()
+        queue = queue_module.JobQueue()
         state = items.make_state(items.make_job(min_version=2))
-        board.add(state, [make_result('j-0-0')])
-        board.remove(state.job.id)
+        queue.add(state, [make_result('j-0-0')])
+        queue.remove(state.job.id)
         again = items.make_state(items.make_job(min_version=2))
-        whole = board.add(again)
+        whole = queue.add(again)
         self.assertEqual([again.runs_by_id[ItemId('j-0-0')]], whole)
         result = whole[0].completed_result(str(whole[0].score))
         self.assertEqual(make_result('j-0-0'), result)
 
 
 class HandoverTest(unittest.TestCase):
-    """Another instance resumes the texts of a board."""
+    """Another instance resumes the texts of a job queue."""
 
     def setUp(self) -> None:
-        self.before = board_module.JobQueue()
-        self.after = board_module.JobQueue()
+        self.before = queue_module.JobQueue()
+        self.after = queue_module.JobQueue()
         self.state = items.make_state(items.make_job(min_version=2))
         self.before.add(self.state)
 
-    def run_of(self, item: str) -> board_module.ItemRun:
+    def run_of(self, item: str) -> queue_module.ItemRun:
         return self.state.runs_by_id[ItemId(item)]
 
-    def hand_over(self, **more: object) -> board_module.JobState:
+    def hand_over(self, **more: object) -> queue_module.JobState:
         self.after.keep_partial_texts(self.before.partial_texts(listed=()))
         state = items.make_state(items.make_job(min_version=2, **more))
         self.whole = self.after.add(state)
@@ -171,7 +171,7 @@
         run = self.hand_over().runs_by_id[ItemId('j-0-0')]
         self.assertEqual(('d1', 'd2', 'd3'), run.text.parts)
         self.assertEqual((2,), run.text.versions)
-        self.assertIs(board_module.RunState.WAITING, run.state)
+        self.assertIs(queue_module.RunState.WAITING, run.state)
 
     def test_the_version_of_a_later_event_is_not_guessed(self) -> None:
         # The engine that resumes the text may have other weights.
--- a/packages/yuccarill-core/tests/jobs/test_planning.py
+++ b/packages/yuccarill-core/tests/jobs/test_planning.py
@@ -14,7 +14,7 @@
 
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import ModelName
-from yuccarill.core.jobs import job_queue as board_module
+from yuccarill.core.jobs import job_queue as queue_module
 from yuccarill.core.jobs import lengths
 from yuccarill.core.jobs import planning
 from yuccarill.core.speeds import pace_estimator
@@ -35,12 +35,12 @@
         return super().expected(*args, **more)
 
 
-def make_board(
+def make_queue(
     jobs: int, groups: int, size: int, seed: int = 1
-) -> board_module.JobQueue:
+) -> queue_module.JobQueue:
     draw = random.Random(seed)
-    board = board_module.JobQueue()
-    board.lengths = CountedLengths()
+    queue = queue_module.JobQueue()
+    queue.lengths = CountedLengths()
     for number in range(jobs):
         job = items.make_job(f'j{number}', groups=groups, size=size)
         hinted = tuple(
@@ -48,45 +48,45 @@
             for item in job.items
         )
         job = msgspec.structs.replace(job, items=hinted)
-        board.add(items.make_state(job, 10.0 - number))
+        queue.add(items.make_state(job, 10.0 - number))
         for item in hinted[:20]:
-            board.lengths.learn(ModelName('m'), item, item.hinted_tokens)
-    return board
+            queue.lengths.learn(ModelName('m'), item, item.hinted_tokens)
+    return queue
 
 
 def make_plan(
-    board: board_module.JobQueue, engines: int
+    queue: queue_module.JobQueue, engines: int
 ) -> planning.FinishPlan:
     fleet = items.make_fleet(
         *(items.make_target(f'e{n}', slots=8) for n in range(engines))
     )
     fleet.speeds = pace_estimator.PaceEstimator()
-    return planning.FinishPlan(board, fleet)
+    return planning.FinishPlan(queue, fleet)
 
 
 class FinishPlanTest(unittest.TestCase):
     def test_fitting_items_are_ordered_by_slack(self) -> None:
         for seed in range(20):
-            board = make_board(3, 4, 3, seed)
-            plan = make_plan(board, 20)
+            queue = make_queue(3, 4, 3, seed)
+            plan = make_plan(queue, 20)
             found = [
-                board.seconds_left(run, PACE)
-                - board.jobs_by_id[run.job.id].due_at
+                queue.seconds_left(run, PACE)
+                - queue.jobs_by_id[run.job.id].due_at
                 for run in plan.waiting(PACE, NOW)
             ]
             self.assertFalse(plan.is_short)
             expected = [
-                board.seconds_left(run, PACE)
-                - board.jobs_by_id[run.job.id].due_at
-                for run in board.waiting(PACE)
+                queue.seconds_left(run, PACE)
+                - queue.jobs_by_id[run.job.id].due_at
+                for run in queue.waiting(PACE)
             ]
             for one, other in zip(expected, found, strict=True):
                 self.assertAlmostEqual(one, other)
 
     def test_each_waiting_item_comes_once(self) -> None:
         """Guards against items that are deferred forever."""
-        board = make_board(3, 200, 8)
-        plan = make_plan(board, 2)
+        queue = make_queue(3, 200, 8)
+        plan = make_plan(queue, 2)
         for _ in range(3):
             found = list(plan.waiting(PACE, NOW))
             self.assertTrue(plan.is_short)
@@ -94,42 +94,42 @@
             self.assertEqual(len(set(found)), len(found))
 
     def test_a_text_that_waits_again_keeps_its_position(self) -> None:
-        board = make_board(1, 10, 4)
-        plan = make_plan(board, 20)
+        queue = make_queue(1, 10, 4)
+        plan = make_plan(queue, 20)
         first = next(plan.waiting(PACE, NOW))
-        first.state = board_module.RunState.RUNNING
+        first.state = queue_module.RunState.RUNNING
         self.assertIsNot(first, next(plan.waiting(PACE, NOW)))
-        first.state = board_module.RunState.WAITING
+        first.state = queue_module.RunState.WAITING
         self.assertIs(first, next(plan.waiting(PACE, NOW)))
 
     @params((1, 22), (7, 1300))
     def test_a_call_costs_what_is_taken(self, jobs: int, engines: int) -> None:
-        board = make_board(jobs, 1024, 8)
-        plan = make_plan(board, engines)
+        queue = make_queue(jobs, 1024, 8)
+        plan = make_plan(queue, engines)
         next(plan.waiting(PACE, NOW))
-        counted = board.lengths
+        counted = queue.lengths
         for later in (0.01, 0.02):
             counted.estimates = 0
             waiting = plan.waiting(PACE, Instant(NOW + later))
             for _ in range(50):
-                next(waiting).state = board_module.RunState.RUNNING
-            # The items taken, and up to two others of each job.
+                next(waiting).state = queue_module.RunState.RUNNING
+            # One estimate per taken item, and up to two others per job.
             self.assertLessEqual(counted.estimates, 50 + 2 * jobs)
 
     @params((1, 22), (7, 1300))
     def test_a_new_plan_estimates_only_started_groups(
         self, jobs: int, engines: int
     ) -> None:
-        board = make_board(jobs, 1024, 8)
-        plan = make_plan(board, engines)
+        queue = make_queue(jobs, 1024, 8)
+        plan = make_plan(queue, engines)
         waiting = plan.waiting(PACE, NOW)
         started = [next(waiting) for _ in range(50)]
         for run in started:
-            run.state = board_module.RunState.RUNNING
+            run.state = queue_module.RunState.RUNNING
         later = Instant(NOW + planning.PLAN_SECONDS)
         next(plan.waiting(PACE, later))
-        counted = board.lengths
+        counted = queue.lengths
         counted.estimates = 0
         next(plan.waiting(PACE, Instant(later + planning.PLAN_SECONDS)))
-        # The items of the started groups, and a few of each job.
+        # Each item of the started groups, and up to four others per job.
         self.assertLessEqual(counted.estimates, 50 * 8 + 4 * jobs)
--- a/packages/yuccarill-core/tests/jobs/test_step_hold.py
+++ b/packages/yuccarill-core/tests/jobs/test_step_hold.py
@@ -8,7 +8,7 @@
 
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import WeightVersion
-from yuccarill.core.jobs import job_queue as board_module
+from yuccarill.core.jobs import job_queue as queue_module
 from yuccarill.core.jobs import weight_change_hold
 from yuccarill.core.jobs import weights
 
@@ -20,7 +20,7 @@
 
 class StepHoldTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.board = board_module.JobQueue()
+        self.queue = queue_module.JobQueue()
         self.hold = weight_change_hold.WeightChangeHold()
         self.fleet = items.make_fleet(
             *(items.make_target(f'e{n}', m=1) for n in range(5))
@@ -28,19 +28,19 @@
         self.switches(0.0)
 
     def held(self, now: float) -> bool:
-        found = self.hold.held_models(ANNOUNCED, self.board, Instant(now))
+        found = self.hold.held_models(ANNOUNCED, self.queue, Instant(now))
         return items.MODEL in found
 
     def switches(self, now: float) -> int:
-        held = self.hold.held_models(ANNOUNCED, self.board, Instant(now))
+        held = self.hold.held_models(ANNOUNCED, self.queue, Instant(now))
         found = weights.next_switches(
             self.fleet, ANNOUNCED, {}, Instant(now), held
         )
         return len(found)
 
-    def submit(self, min_version: int) -> board_module.JobState:
+    def submit(self, min_version: int) -> queue_module.JobState:
         state = items.make_state(items.make_job(min_version=min_version))
-        self.board.add(state)
+        self.queue.add(state)
         return state
 
     def test_engines_load_after_the_step_is_placed(self) -> None:
@@ -52,7 +52,7 @@
         state = self.submit(min_version=1)
         self.assertEqual(0, self.switches(SUBMITTED_AT))
         for run in state.runs_by_id.values():
-            run.state = board_module.RunState.RUNNING
+            run.state = queue_module.RunState.RUNNING
         self.assertGreater(self.switches(SUBMITTED_AT + 0.1), 0)
 
     def test_a_step_is_awaited_for_a_limited_time(self) -> None:
@@ -70,7 +70,7 @@
     def test_an_older_step_is_not_the_coming_one(self) -> None:
         state = self.submit(min_version=0)
         for run in state.runs_by_id.values():
-            run.state = board_module.RunState.RUNNING
+            run.state = queue_module.RunState.RUNNING
         self.assertTrue(self.held(1.0))
 
     def test_engines_too_old_for_the_step_load_at_once(self) -> None:
@@ -90,5 +90,5 @@
     ) -> None:
         announced = {items.MODEL: WeightVersion(version)}
         now = Instant(weight_change_hold.HOLD_SECONDS + 0.1)
-        found = self.hold.held_models(announced, self.board, now)
+        found = self.hold.held_models(announced, self.queue, now)
         self.assertIs(expected, items.MODEL in found)
--- a/packages/yuccarill-core/tests/jobs/test_text.py
+++ b/packages/yuccarill-core/tests/jobs/test_text.py
@@ -62,7 +62,7 @@
         (4, False, False),
         (3, True, False),
     )
-    def test_fits(
+    def test_versions_that_a_job_accepts(
         self, min_version: int, is_single: bool, expected: bool
     ) -> None:
         found = self.text()
--- a/packages/yuccarill-core/tests/jobs/test_urgent_texts.py
+++ b/packages/yuccarill-core/tests/jobs/test_urgent_texts.py
@@ -36,12 +36,12 @@
         (10, 0, 2, 0),
     )
     def test_which_engines_keep_their_weights(
-        self, count: int, hurried: int, version: int, expected: int
+        self, count: int, urgent: int, version: int, expected: int
     ) -> None:
         fleet = items.make_fleet(
             *(items.make_target(f'e{number}', m=1) for number in range(count))
         )
-        names = [TargetId(f'e{number}') for number in range(hurried)]
+        names = [TargetId(f'e{number}') for number in range(urgent)]
         for name in names:
             fleet.engines_by_id[name].urgent_models.add(M)
         changed: set[TargetId] = set()
@@ -53,7 +53,7 @@
                 engine = fleet.engines_by_id[switch.engine]
                 engine.record_version(M, switch.version)
         self.assertEqual(expected, len(changed & set(names)))
-        self.assertEqual(count - hurried, len(changed - set(names)))
+        self.assertEqual(count - urgent, len(changed - set(names)))
 
 
 class UrgentTest(unittest.TestCase):
--- a/packages/yuccarill-core/tests/jobs/trainer_model.py
+++ b/packages/yuccarill-core/tests/jobs/trainer_model.py
@@ -18,7 +18,7 @@
 from yuccarill.core.ids import ModelName
 from yuccarill.core.jobs import engine_assignment
 from yuccarill.core.jobs import engines as engines_module
-from yuccarill.core.jobs import job_queue as board_module
+from yuccarill.core.jobs import job_queue as queue_module
 from yuccarill.core.jobs import planning
 from yuccarill.core.speeds import pace_estimator
 
@@ -72,7 +72,7 @@
 class Running(msgspec.Struct, kw_only=True, eq=False):
     """Track one text that an engine generates."""
 
-    run: board_module.ItemRun
+    run: queue_module.ItemRun
     engine: engines_module.EngineState
     started_at: Instant
     last_at: Instant
@@ -106,14 +106,14 @@
             items.make_target(f'e{number}', slots=slots, **models)
             for number in range(engine_count)
         )
-        self._board = board_module.JobQueue()
+        self._queue = queue_module.JobQueue()
         self._plan = None
         if is_planned:
-            self._plan = planning.FinishPlan(self._board, self._fleet)
+            self._plan = planning.FinishPlan(self._queue, self._fleet)
         self._events_by_item: dict[str, int] = {}
-        self._running: dict[board_module.ItemRun, Running] = {}
+        self._running: dict[queue_module.ItemRun, Running] = {}
         self._complete_at: dict[str, list[float]] = {}
-        self._queue: list[tuple[float, int, Any, Any]] = []
+        self._calls: list[tuple[float, int, Any, Any]] = []
         self._numbers = itertools.count()
         self.step_seconds: list[float] = []
         self.runs = 0
@@ -123,8 +123,8 @@
             self._call_at(0.0, self._submit, trainer)
             self._call_at(STEP_SECONDS, self._submit, trainer)
         self._call_at(0.0, self._move_runs, None)
-        while self._queue and self._queue[0][0] < self._seconds:
-            at, _, call, argument = heapq.heappop(self._queue)
+        while self._calls and self._calls[0][0] < self._seconds:
+            at, _, call, argument = heapq.heappop(self._calls)
             call(argument, Instant(at))
 
     def served(self, name: str) -> float:
@@ -134,7 +134,7 @@
         return trainer.in_time / (steps * trainer.wanted)
 
     def _call_at(self, at: float, call: Any, argument: Any) -> None:
-        heapq.heappush(self._queue, (at, next(self._numbers), call, argument))
+        heapq.heappush(self._calls, (at, next(self._numbers), call, argument))
 
     def _submit(self, trainer: Trainer, now: Instant) -> None:
         step = len(trainer.submitted_at)
@@ -152,7 +152,7 @@
         )
         self._complete_at[name] = []
         state = items.make_state(job, now)
-        for run in self._board.add(state):
+        for run in self._queue.add(state):
             self._finish(run, now)
         self._call_at(now + TIMEOUT_SECONDS, self._time_out, state)
         self._place_waiting(now)
@@ -172,13 +172,13 @@
             hinted.append(msgspec.structs.replace(item, hinted_tokens=tokens))
         return hinted
 
-    def _time_out(self, state: board_module.JobState, now: Instant) -> None:
-        if self._board.jobs_by_id.get(state.job.id) is state:
+    def _time_out(self, state: queue_module.JobState, now: Instant) -> None:
+        if self._queue.jobs_by_id.get(state.job.id) is state:
             self._end_step(state, now)
             self._place_waiting(now)
 
-    def _finish(self, run: board_module.ItemRun, now: Instant) -> None:
-        state = self._board.jobs_by_id[run.job.id]
+    def _finish(self, run: queue_module.ItemRun, now: Instant) -> None:
+        state = self._queue.jobs_by_id[run.job.id]
         if not state.end(run.item.id):
             return
         complete = self._complete_at[run.job.id]
@@ -186,19 +186,19 @@
         if len(complete) >= state.job.wanted_groups:
             self._end_step(state, now)
 
-    def _end_step(self, state: board_module.JobState, now: Instant) -> None:
+    def _end_step(self, state: queue_module.JobState, now: Instant) -> None:
         trainer = self.trainers[str(state.job.model)]
         for run in [r for r in self._running if r.job is state.job]:
             self._stop(run)
         groups: dict[str, list[Any]] = {}
         for item in state.job.items:
             groups.setdefault(item.group, []).append(item)
-        ended = board_module.RunState.ENDED
+        ended = queue_module.RunState.ENDED
         for group in groups.values():
             runs = [state.runs_by_id[item.id] for item in group]
             if any(run.state is not ended for run in runs):
                 trainer.carried.append(group)
-        self._board.remove(state.job.id)
+        self._queue.remove(state.job.id)
         submitted_at = trainer.submitted_at[state.job.step]
         if submitted_at + DEADLINE_SECONDS < self._seconds:
             trainer.in_time += sum(
@@ -216,13 +216,13 @@
 
     def _move_runs(self, _: None, now: Instant) -> None:
         placer = engine_assignment.EngineAssigner(self._fleet, now)
-        waiting = self._board.count_waiting()
+        waiting = self._queue.count_waiting()
         for running in list(self._running.values()):
             if self._is_better_off(running, placer, waiting, now):
                 waiting += 1
                 placer.reserve_slot(running.run.job)
                 self._stop(running.run)
-                running.run.state = board_module.RunState.WAITING
+                running.run.state = queue_module.RunState.WAITING
         self._place_waiting(now)
         self._call_at(now + MOVE_INTERVAL_SECONDS, self._move_runs, None)
 
@@ -247,7 +247,7 @@
             return
         pace = self._fleet.usual_pace(now) or EVENT_SECONDS
         placer = engine_assignment.EngineAssigner(self._fleet, now)
-        waiting: Any = self._board.waiting(pace)
+        waiting: Any = self._queue.waiting(pace)
         if self._plan is not None:
             waiting = self._plan.waiting(pace, now)
         for run in waiting:
@@ -258,13 +258,13 @@
 
     def _start(
         self,
-        run: board_module.ItemRun,
+        run: queue_module.ItemRun,
         engine: engines_module.EngineState,
         now: Instant,
     ) -> None:
         self.runs += 1
-        run.state = board_module.RunState.RUNNING
-        self._board.jobs_by_id[run.job.id].begin(run)
+        run.state = queue_module.RunState.RUNNING
+        self._queue.jobs_by_id[run.job.id].begin(run)
         engine.runs_by_model[run.job.model] += 1
         running = Running(run=run, engine=engine, started_at=now, last_at=now)
         self._running[run] = running
@@ -273,7 +273,7 @@
             now + delay + self._pace(engine, now), self._event, running
         )
 
-    def _stop(self, run: board_module.ItemRun) -> None:
+    def _stop(self, run: queue_module.ItemRun) -> None:
         running = self._running.pop(run)
         running.is_stopped = True
         running.engine.runs_by_model[run.job.model] -= 1
@@ -297,7 +297,7 @@
             return
         self._stop(run)
         run.text.is_whole = True
-        self._board.lengths.learn(run.job.model, run.item, run.text.events)
+        self._queue.lengths.learn(run.job.model, run.item, run.text.events)
         self._finish(run, now)
         self._place_waiting(now)
 
