--- a/packages/yuccarill-core/src/yuccarill/core/config/apply.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/apply.py
@@ -66,7 +66,7 @@
 
     Raises RevisionConflict, InventoryInvalid or StoreUnavailable if the
     change has not taken effect and never will, ApplyOutcomeUnknown if the
-    outcome is unknown; `settle` finds the outcome once the service answers.
+    outcome is unknown; `resolve_outcome` finds it once the service answers.
     """
     head, version = yield from documents.read_head(
         store_actions.StoreStep.READ_HEAD
@@ -129,8 +129,8 @@
         if is_superseded or (yield from _fence(head, version)):
             raise documents.unavailable('the change was not written')
     raise errors.ApplyOutcomeUnknown(
-        f'Change {request.change_id} may have become, or may become, revision '
-        f'{request.base + 1} while the key-value service does not answer. '
+        f'Change {request.change_id} may have become, or may still become, '
+        f'revision {request.base + 1}; the key-value service did not answer. '
         'Apply it again with the same change id, or read the audit trail.',
         retry_after=1.0,
     )
--- a/packages/yuccarill-core/src/yuccarill/core/config/inventory.py
+++ b/packages/yuccarill-core/src/yuccarill/core/config/inventory.py
@@ -137,7 +137,7 @@
     steps_ahead: _Count = 0
     # Groups of a step that may be left out.
     spare_groups: _Count = 0
-    # Last fraction of a step's samples, hedged if engines are free.
+    # Final fraction of a step's samples to hedge if engines are free.
     hedge_part: _Fraction = 0.02
     # Seconds after which a generation is hedged by a second one.
     hedge_after: _Seconds = 3.0
--- a/packages/yuccarill-core/src/yuccarill/core/errors.py
+++ b/packages/yuccarill-core/src/yuccarill/core/errors.py
@@ -50,7 +50,7 @@
 
 
 class YuccarillError(Exception):
-    """Report a fault of the program; the root of all numbered errors."""
+    """Report an internal error; base class of errors with a result code."""
 
     code = ResultCode.INTERNAL
     http_status = 500
@@ -65,7 +65,7 @@
 
 
 class RequestError(YuccarillError):
-    """Refuse a request for what it says."""
+    """Refuse an invalid request."""
 
     code = ResultCode.BAD_REQUEST
     http_status = 400
@@ -73,28 +73,28 @@
 
 
 class BodyTooLong(RequestError):
-    """Refuse a body that is longer than this interface takes."""
+    """Refuse a body that is longer than this interface accepts."""
 
     code = ResultCode.BODY_TOO_LONG
     http_status = 413
 
 
 class BodyTooSlow(RequestError):
-    """Refuse a body that does not go on."""
+    """Refuse a body whose upload stalled."""
 
     code = ResultCode.BODY_TOO_SLOW
     http_status = 408
 
 
 class UnknownService(RequestError):
-    """Refuse a call of a service or model that is not described."""
+    """Refuse a call of a service or model that is not in the inventory."""
 
     code = ResultCode.UNKNOWN_SERVICE
     http_status = 404
 
 
 class UnknownTrainer(RequestError):
-    """Refuse a step of a trainer that is not described."""
+    """Refuse a step of a trainer that is not in the inventory."""
 
     code = ResultCode.UNKNOWN_TRAINER
     http_status = 404
@@ -122,21 +122,21 @@
 
 
 class WrongMethod(RequestError):
-    """Refuse a method that the path does not take."""
+    """Refuse a method that the path does not support."""
 
     code = ResultCode.WRONG_METHOD
     http_status = 405
 
 
 class TicketError(YuccarillError):
-    """Refuse a ticket, with no promise about earlier tries under it."""
+    """Refuse a ticket; earlier attempts under it may or may not have run."""
 
     code = ResultCode.TICKET_INVALID
     http_status = 409
 
 
 class TicketExpired(TicketError):
-    """Refuse a ticket whose time is over."""
+    """Refuse a ticket that has expired."""
 
     code = ResultCode.TICKET_EXPIRED
 
@@ -156,7 +156,7 @@
 
 
 class NotRun(YuccarillError):
-    """Tell a caller that its request has not run and will not."""
+    """Report that a request has not run and will not run."""
 
     code = ResultCode.NOT_RUN
     http_status = 503
@@ -164,39 +164,39 @@
 
 
 class Overloaded(NotRun):
-    """Refuse a call early that would not be served in time."""
+    """Refuse early a call that would not be served in time."""
 
     code = ResultCode.OVERLOADED
 
 
 class DeadlinePassed(NotRun):
-    """Give a call up before it was sent, its time being over."""
+    """Abandon a call whose deadline passed before it was sent."""
 
     code = ResultCode.DEADLINE_PASSED
     http_status = 504
 
 
 class NoTarget(NotRun):
-    """Refuse a call that no target can take now."""
+    """Refuse a call that no target can accept now."""
 
     code = ResultCode.NO_TARGET
 
 
 class RequestQuarantined(NotRun):
-    """Refuse a request whose like ended the targets that ran it."""
+    """Refuse a request whose content crashed the targets that ran it."""
 
     code = ResultCode.REQUEST_QUARANTINED
 
 
 class OutcomeUnknown(YuccarillError):
-    """Tell a caller that its request may or may not have run."""
+    """Report that a request may or may not have run."""
 
     code = ResultCode.OUTCOME_UNKNOWN
     http_status = 502
 
 
 class AnswerCut(OutcomeUnknown):
-    """Report an answer that broke off before its end."""
+    """Report an answer that was cut off before its end."""
 
     code = ResultCode.ANSWER_CUT
 
@@ -209,18 +209,18 @@
 
 
 class InventoryInvalid(ConfigurationError):
-    """Refuse an inventory, naming every fault found, one a line."""
+    """Refuse an inventory and name every fault found, one per line."""
 
 
 class RevisionConflict(ConfigurationError):
-    """Refuse a change made from a revision that was replaced."""
+    """Refuse a change that is not based on the current revision."""
 
     code = ResultCode.REVISION_CONFLICT
     http_status = 409
 
 
 class NoConfiguration(ConfigurationError):
-    """Refuse work as long as no configuration is known."""
+    """Refuse work until a configuration is known."""
 
     code = ResultCode.NO_CONFIGURATION
     http_status = 503
@@ -228,7 +228,7 @@
 
 
 class ApplyOutcomeUnknown(ConfigurationError):
-    """Tell an operator that a change may or may not stand."""
+    """Report that a change may have taken effect, or may still do so."""
 
     code = ResultCode.APPLY_OUTCOME_UNKNOWN
     http_status = 502
@@ -246,7 +246,7 @@
 
 
 class StoreConflict(PlatformError):
-    """Report a compare-and-swap that lost; nothing was written."""
+    """Report a compare-and-swap version mismatch; nothing was written."""
 
     code = ResultCode.STORE_CONFLICT
     http_status = 409
@@ -259,14 +259,14 @@
 
 
 class FrameInvalid(PlatformError):
-    """Refuse what a peer sent, since it can not be read."""
+    """Refuse an undecodable frame from a peer."""
 
     code = ResultCode.FRAME_INVALID
     http_status = 400
 
 
 class DiskFull(PlatformError):
-    """Refuse samples for which a disk has no room."""
+    """Refuse samples that exceed the free space of a disk."""
 
     code = ResultCode.DISK_FULL
     http_status = 507
@@ -280,25 +280,25 @@
 
 
 class StepConflict(RolloutError):
-    """Refuse a step under a number that was used for another."""
+    """Refuse a step whose number was used for a different step."""
 
 
 class StepPending(RolloutError):
-    """Tell a trainer that its step is still being worked on."""
+    """Report that a step is still being processed."""
 
     code = ResultCode.STEP_PENDING
     http_status = 202
 
 
 class GroupFailed(RolloutError):
-    """Report a group whose samples could not be made."""
+    """Report a group whose samples could not be produced."""
 
     code = ResultCode.GROUP_FAILED
     http_status = 502
 
 
 class StepClosed(RolloutError):
-    """Refuse a step that its trainer has closed before."""
+    """Refuse a step that its trainer has already closed."""
 
     code = ResultCode.STEP_CLOSED
     http_status = 410
@@ -312,14 +312,14 @@
 
 
 class ClaimLost(RolloutError):
-    """Report that another instance works on the step."""
+    """Report that another instance is processing the step."""
 
     code = ResultCode.CLAIM_LOST
     http_status = 503
 
 
 class SettingsInvalid(YuccarillError):
-    """Refuse settings, naming every fault found, one a line."""
+    """Refuse settings and name every fault found, one per line."""
 
     code = ResultCode.SETTINGS_INVALID
 
--- a/packages/yuccarill-core/src/yuccarill/core/explanations.py
+++ b/packages/yuccarill-core/src/yuccarill/core/explanations.py
@@ -12,11 +12,11 @@
 
 _REMEDIES_BY_CODE = {
     ResultCode.OK: 'Nothing.',
-    ResultCode.BAD_REQUEST: 'Correct what the message names, then ask again.',
+    ResultCode.BAD_REQUEST: 'Correct what the message names, then retry.',
     ResultCode.BODY_TOO_LONG: 'Send less, in several requests.',
-    ResultCode.BODY_TOO_SLOW: 'Send it again, over a faster connection.',
+    ResultCode.BODY_TOO_SLOW: 'Send the body again over a faster connection.',
     ResultCode.UNKNOWN_SERVICE: (
-        'Correct the name, or add it to the inventory and apply that.'
+        'Correct the name, or add it to the inventory and apply the inventory.'
     ),
     ResultCode.UNKNOWN_TRAINER: (
         'Correct the name, or add the trainer to the inventory.'
@@ -26,12 +26,12 @@
     ResultCode.UNKNOWN_PATH: 'Correct the path; see docs/interfaces.md.',
     ResultCode.WRONG_METHOD: 'Use a method of the header Allow.',
     ResultCode.TICKET_INVALID: (
-        'Ask for addresses to get a ticket. An earlier try under the old one '
-        'may have run.'
+        'Request addresses to get a new ticket. An earlier attempt under the '
+        'old ticket may have run.'
     ),
     ResultCode.TICKET_EXPIRED: (
-        'Ask for addresses to get a ticket. An earlier try under the old one '
-        'may have run.'
+        'Request addresses to get a new ticket. An earlier attempt under the '
+        'old ticket may have run.'
     ),
     ResultCode.KEY_MISSING: (
         'Send one header with one key of a client account.'
@@ -42,27 +42,27 @@
     ResultCode.NOT_RUN: 'Send the request again after the time given.',
     ResultCode.OVERLOADED: (
         'Send the request again after the time given, not before; add '
-        'targets if it goes on.'
+        'targets if the error persists.'
     ),
     ResultCode.DEADLINE_PASSED: 'Send the request again with more time.',
     ResultCode.NO_TARGET: (
-        'Send the request again after the time given; look at the targets '
-        'with "yuccarill status" if it goes on.'
+        'Send the request again after the time given; check the targets '
+        'with "yuccarill status" if the error persists.'
     ),
     ResultCode.REQUEST_QUARANTINED: (
-        'Mend what ends the targets, then take the request out of quarantine; '
-        'look it up by the content that the message names.'
+        'Fix what crashes the targets, then take the request out of '
+        'quarantine; look it up by the content that the message names.'
     ),
     ResultCode.OUTCOME_UNKNOWN: (
         'Ask for the outcome with the same ticket and request id, or look '
-        'it up at the service; a new request may run it twice.'
+        'it up at the service; a new request may run the work twice.'
     ),
-    ResultCode.ANSWER_CUT: 'Drop what came and ask again.',
+    ResultCode.ANSWER_CUT: 'Discard the partial answer and retry.',
     ResultCode.INVENTORY_INVALID: (
-        'Correct each line named, try "yuccarill check", apply again.'
+        'Correct each line named, run "yuccarill check", apply again.'
     ),
     ResultCode.REVISION_CONFLICT: (
-        'Compare with "yuccarill diff", take over the change that stands, '
+        'Compare with "yuccarill diff", merge the current revision, then '
         'apply again.'
     ),
     ResultCode.NO_CONFIGURATION: (
@@ -73,15 +73,16 @@
         'Look for the change id with "yuccarill audit" before applying again.'
     ),
     ResultCode.STORE_UNAVAILABLE: (
-        'Try again after the time given; see to the platform if it goes on.'
+        'Try again after the time given; check the platform if the error '
+        'persists.'
     ),
-    ResultCode.STORE_CONFLICT: 'Read what stands, then try again.',
+    ResultCode.STORE_CONFLICT: 'Read the current value, then try again.',
     ResultCode.PEER_UNAVAILABLE: (
-        'Try again; look at the instance with "yuccarill status" if it goes '
-        'on.'
+        'Try again; check the instance with "yuccarill status" if the error '
+        'persists.'
     ),
     ResultCode.FRAME_INVALID: (
-        'Look at the log for the peer; it may run another version.'
+        'Check the log for the peer, which may run another version.'
     ),
     ResultCode.DISK_FULL: (
         'Acknowledge delivered steps, or give the instance a larger disk.'
@@ -89,24 +90,21 @@
     ResultCode.STEP_CONFLICT: 'Submit the step under the next number.',
     ResultCode.STEP_PENDING: 'Fetch the step again after the time given.',
     ResultCode.GROUP_FAILED: (
-        'Submit the step again; look at the engines and the scorer with '
-        '"yuccarill status" if it goes on.'
+        'Submit the step again; check the engines and the scorer with '
+        '"yuccarill status" if the error persists.'
     ),
-    ResultCode.STEP_CLOSED: 'Submit the next step; this one is taken.',
+    ResultCode.STEP_CLOSED: 'Submit the next step; this one is closed.',
     ResultCode.SAMPLES_LOST: (
         'Fetch the step again after the time given; the instances that hold '
-        'its samples are away.'
+        'its samples are unavailable.'
     ),
     ResultCode.CLAIM_LOST: (
-        'Submit or fetch the step again; another instance has it.'
+        'Submit or fetch the step again; another instance is processing it.'
     ),
     ResultCode.SETTINGS_INVALID: (
-        'Correct each setting named, try --check-settings, start again.'
-    ),
-    ResultCode.INTERNAL: (
-        'Report it with the log lines of that time; it is a fault of the '
-        'program.'
+        'Correct each setting named, check with --check-settings, start again.'
     ),
+    ResultCode.INTERNAL: 'Report this bug with the log lines of that time.',
 }
 
 
@@ -149,7 +147,7 @@
             name=result_code.name,
             http_status=http.HTTPStatus.OK,
             not_run=False,
-            meaning='Tell that all went well.',
+            meaning='Report success.',
             remedy=remedy,
         )
     error_class = errors.error_class_by_code(result_code)
