--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/look.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/look.py
@@ -69,7 +69,10 @@
         result = LookupResult.FAILED
         try:
             entry = await self._store.get(keys.CONFIGURATION)
-        except (store_module.StoreRefused, store_module.StoreUnclear) as error:
+        except (
+            store_module.StoreRefused,
+            store_module.StoreOutcomeUnknown,
+        ) as error:
             log.info('Configuration read for a key failed.', cause=str(error))
         else:
             result = LookupResult.ANSWERED
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/departure.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/departure.py
@@ -87,7 +87,7 @@
                 return
             except (
                 store_module.StoreRefused,
-                store_module.StoreUnclear,
+                store_module.StoreOutcomeUnknown,
                 store_module.StoreConflict,
                 store_module.LeaseEnded,
             ) as error:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/division.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/division.py
@@ -121,6 +121,6 @@
         failure.trap(
             store_module.StoreConflict,
             store_module.StoreRefused,
-            store_module.StoreUnclear,
+            store_module.StoreOutcomeUnknown,
         )
         log.info('Division was not written.', cause=str(failure.value))
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/duties.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/duties.py
@@ -347,7 +347,7 @@
         if failure.check(
             store_module.StoreConflict,
             store_module.StoreRefused,
-            store_module.StoreUnclear,
+            store_module.StoreOutcomeUnknown,
             store_module.LeaseEnded,
             defer.CancelledError,
         ):
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/duty_keys.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/duty_keys.py
@@ -56,7 +56,7 @@
         """Acquire the duty and return the revision that granted it.
 
         Raises StoreConflict if the store has another holder or last holder
-        than expected; also StoreRefused and StoreUnclear.
+        than expected; also StoreRefused and StoreOutcomeUnknown.
         """
         key = keys.duty(self._service)
         record = state_module.DutyRecord(instance=self._instance)
@@ -119,7 +119,7 @@
                 return
             except (
                 store_module.StoreRefused,
-                store_module.StoreUnclear,
+                store_module.StoreOutcomeUnknown,
             ) as error:
                 log.info(
                     'Duty release failed; retrying.',
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/lease.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/lease.py
@@ -61,7 +61,7 @@
     async def open(self) -> int:
         """Open a lease and return its ID.
 
-        Raises StoreRefused or StoreUnclear.
+        Raises StoreRefused or StoreOutcomeUnknown.
         """
         sent_at = boot_time()
         self.id = await self._store.open_lease(self._seconds)
@@ -90,7 +90,7 @@
         """Send a renewal; return False if it has to be retried."""
         sent_at = boot_time()
         try:
-            await self._store.keep_lease(lease_id)
+            await self._store.renew_lease(lease_id)
         except store_module.LeaseEnded:
             log.warning('Store no longer has the lease.', lease=lease_id)
             if self.id == lease_id:
@@ -100,7 +100,7 @@
             return True
         except (
             store_module.StoreRefused,
-            store_module.StoreUnclear,
+            store_module.StoreOutcomeUnknown,
         ) as error:
             if not self._is_store_unreachable:
                 log.warning('Lease renewal failed.', cause=str(error))
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/session.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/session.py
@@ -65,7 +65,7 @@
                 continue
             except (
                 store_module.StoreRefused,
-                store_module.StoreUnclear,
+                store_module.StoreOutcomeUnknown,
             ) as error:
                 log.warning('Instance registration failed.', cause=str(error))
                 await self._store.pause(lease_module.RETRY_SECONDS)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/flow/desk.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/flow/desk.py
@@ -77,7 +77,7 @@
         self._is_open = True
         self._is_paused = False
 
-    def hold(self, holding: BufferKind, count: int) -> bool:
+    def set_buffered(self, holding: BufferKind, count: int) -> bool:
         """Set the buffered bytes of a kind.
 
         Returns whether reading more of this kind should pause.
@@ -93,11 +93,11 @@
         self._set_paused(should_pause and holding is _ANSWER)
         return should_pause
 
-    def enter(self, stage: RequestStage) -> None:
+    def set_stage(self, stage: RequestStage) -> None:
         """Set the stage of the connection's request."""
         self.holder.stage = stage
 
-    def own(self, account: AccountName | None) -> None:
+    def set_account(self, account: AccountName | None) -> None:
         """Set the client account of the connection's request."""
         if self._is_open:
             self._desk.budget.set_account(self.holder, account)
@@ -127,13 +127,13 @@
 class NothingHeld:
     """Track nothing."""
 
-    def hold(self, holding: BufferKind, count: int) -> bool:
+    def set_buffered(self, holding: BufferKind, count: int) -> bool:
         return False
 
-    def enter(self, stage: RequestStage) -> None:
+    def set_stage(self, stage: RequestStage) -> None:
         pass
 
-    def own(self, account: AccountName | None) -> None:
+    def set_account(self, account: AccountName | None) -> None:
         pass
 
     def close(self) -> None:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/cleaner.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/cleaner.py
@@ -68,7 +68,9 @@
         log.info('Job removed.', job=job)
 
     def _log_failure(self, failure: Any, job: JobId) -> None:
-        failure.trap(store_module.StoreRefused, store_module.StoreUnclear)
+        failure.trap(
+            store_module.StoreRefused, store_module.StoreOutcomeUnknown
+        )
         # The index entry is removed last, so the next update retries.
         log.info('Job removal failed.', job=job, cause=str(failure.value))
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/intake.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/intake.py
@@ -197,7 +197,7 @@
             self._views_by_id.pop(query.job, None)
         except (
             store_module.StoreRefused,
-            store_module.StoreUnclear,
+            store_module.StoreOutcomeUnknown,
         ) as error:
             raise errors.StoreUnavailable(
                 f'The results cannot be read now: {error}.', RETRY_AFTER
@@ -221,7 +221,7 @@
                 job = await self._store.read_whole(job_id)
             except (
                 store_module.StoreRefused,
-                store_module.StoreUnclear,
+                store_module.StoreOutcomeUnknown,
             ) as error:
                 raise errors.StoreUnavailable(
                     f'The job cannot be read now: {error}.', RETRY_AFTER
@@ -259,7 +259,7 @@
             await self._store.end(service, job_id, shares)
         except (
             store_module.StoreRefused,
-            store_module.StoreUnclear,
+            store_module.StoreOutcomeUnknown,
         ) as error:
             raise errors.StoreUnavailable(
                 f'Ending the job failed: {error}.', RETRY_AFTER
@@ -326,7 +326,7 @@
                 return await self._store.accept(job, shares)
             except store_module.StoreRefused as error:
                 cause: Exception = error
-            except store_module.StoreUnclear as error:
+            except store_module.StoreOutcomeUnknown as error:
                 may_be_stored = True
                 cause = error
             if not relay_module.is_relayed(request):
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/job_reader.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/job_reader.py
@@ -33,7 +33,10 @@
         while True:
             try:
                 return await self._jobs.read_job(job_id)
-            except (store_module.StoreRefused, store_module.StoreUnclear):
+            except (
+                store_module.StoreRefused,
+                store_module.StoreOutcomeUnknown,
+            ):
                 await self._pause()
             except msgspec.MsgspecError as error:
                 log.error('Job is unreadable.', job=job_id, cause=str(error))
@@ -46,7 +49,10 @@
         while True:
             try:
                 found = await self._jobs.read_results(results_job)
-            except (store_module.StoreRefused, store_module.StoreUnclear):
+            except (
+                store_module.StoreRefused,
+                store_module.StoreOutcomeUnknown,
+            ):
                 await self._pause()
                 continue
             chunks = sorted(found.chunks_by_position.items())
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/job_store.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/job_store.py
@@ -97,8 +97,8 @@
     async def accept(self, job: Job, shares: tuple[Job, ...] = ()) -> bool:
         """Write a job, or its shares, unless it exists; return if it is new.
 
-        Raises StoreRefused if the store did nothing, StoreUnclear if the job
-        was possibly written.
+        Raises StoreRefused if the store did nothing, StoreOutcomeUnknown if
+        the job was possibly written.
         """
         summary = Summary(
             service=job.service,
@@ -214,7 +214,10 @@
                 if duty_entry is not None and duty_entry.revision == duty:
                     raise PositionTaken from conflict
                 raise DutyLost from conflict
-            except (store_module.StoreRefused, store_module.StoreUnclear):
+            except (
+                store_module.StoreRefused,
+                store_module.StoreOutcomeUnknown,
+            ):
                 await task.deferLater(self._clock, RETRY_SECONDS)
 
     async def end(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/progress.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/progress.py
@@ -61,7 +61,7 @@
     ) -> None:
         """Overwrite the oldest record, under a duty.
 
-        Raises StoreRefused, StoreUnclear, or StoreConflict if another
+        Raises StoreRefused, StoreOutcomeUnknown, or StoreConflict if another
         instance holds the duty, so that records of two holders never mix.
         """
         self.number += 1
@@ -90,7 +90,7 @@
             records = await self._records()
         except (
             store_module.StoreRefused,
-            store_module.StoreUnclear,
+            store_module.StoreOutcomeUnknown,
         ) as error:
             # The engines then generate the texts from the start.
             log.warning('Reading saved texts failed.', cause=str(error))
@@ -170,7 +170,7 @@
                 continue
             except (
                 store_module.StoreRefused,
-                store_module.StoreUnclear,
+                store_module.StoreOutcomeUnknown,
             ) as error:
                 log.info('Saving texts in the store failed.', cause=str(error))
                 await self._pause(WRITE_SECONDS)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/runner.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/runner.py
@@ -121,7 +121,7 @@
             keys.work_of_service(duty.service),
             self._handle_work_change,
             clock,
-            settle_seconds=WORK_SETTLE_SECONDS,
+            batch_seconds=WORK_SETTLE_SECONDS,
         )
         self._cleaner = cleaner.Cleaner(
             duty.service, jobs, state.settings.job_retention, clock
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/shared_results.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/shared_results.py
@@ -102,7 +102,7 @@
                     raise job_store_module.DutyLost from conflict
             except store_module.StoreRefused:
                 await self._pause()
-            except store_module.StoreUnclear:
+            except store_module.StoreOutcomeUnknown:
                 is_unclear = True
                 await self._pause()
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/meters.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/meters.py
@@ -112,7 +112,7 @@
     buckets=_BUCKETS,
     registry=REGISTRY,
 )
-ENTRIES_LEFT_OUT = prometheus_client.Counter(
+INVALID_ENTRIES = prometheus_client.Counter(
     'yuccarill_entries_left_out',
     "Entries under the targets' keys that no target wrote",
     registry=REGISTRY,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/process.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/process.py
@@ -47,7 +47,7 @@
 from yuccarill.daemon.gateway import state as state_module
 from yuccarill.daemon.gateway.store import feed
 from yuccarill.daemon.gateway.store import observer
-from yuccarill.daemon.gateway.store import store_way
+from yuccarill.daemon.gateway.store import store_router
 from yuccarill.daemon.gateway.usage import parts as usage_parts
 from yuccarill.daemon import logs
 from yuccarill.platform import calls as calls_module
@@ -93,10 +93,15 @@
             settings, placement=options.placement
         )
         links = connections.Connections(clock, _count_connection)
-        self._way = store_way.StoreWay(self._state, links, clock)
-        self._store = store_module.Store(self._way, settings.store_address)
+        self._store_router = store_router.StoreRouter(
+            self._state, links, clock
+        )
+        self._store = store_module.Store(
+            self._store_router, settings.store_address
+        )
         background = store_module.Store(
-            store_way.BackgroundWay(self._way), settings.store_address
+            store_router.BackgroundStoreRouter(self._store_router),
+            settings.store_address,
         )
         self._quarantine = parts.QuarantineParts(
             self._state,
@@ -134,12 +139,12 @@
         text_fetcher = text_fetch.TextFetcher(self._state, links, clock)
         self._standbys = desk.StandbyDesk(
             self._state,
-            self._observer.least_age,
+            self._observer.min_age,
             self._text_depot,
-            witness.Witnesses(self._state, peers, self._observer.least_age),
+            witness.Witnesses(self._state, peers, self._observer.min_age),
             self._standby_runner,
             self._holder_calls.is_alive,
-            self._way.expect_return,
+            self._store_router.probe_now,
             clock,
         )
         self._work = service_work.ServiceWork(
@@ -184,7 +189,7 @@
             look.ConfigurationLook(
                 self._state,
                 self._store,
-                self._observer.learn_configuration,
+                self._observer.apply_configuration,
                 clock,
             ),
             self._observer.configuration_age,
@@ -213,7 +218,7 @@
             forwarder,
             trainer_desk,
             account_admission,
-            self._observer.age,
+            self._observer.max_age,
         )
         self._departure = departure.Departure(
             self._session,
@@ -257,26 +262,29 @@
             self._listen(str(address), pages)
         peers = small_server.SmallServer(self._clock, self._answer_peer)
         self._listen(settings.peer_address, peers)
-        self._observer.listen(self._update)
-        self._observer.listen(self._quarantine.records.update)
+        self._observer.add_listener(self._update)
+        self._observer.add_listener(self._quarantine.records.update)
         self._quarantine.start()
         self._standbys.start()
         if self._usage is not None:
             self._usage.start()
         # Connections to a restarted target would be reset.
-        self._observer.on_restart = self._calls.forget
+        self._observer.on_restart = self._calls.close_idle
         self._observer.on_start = self._quarantine.ends.started
         self._session.lease.on_return = self._observer.refresh
-        self._way.on_lost = self._on_store_lost
+        self._store_router.on_direct_path_failed = self._on_store_lost
         self._holder_calls.on_asked = self._on_duty_query
-        for work in (*self._observer.following(), self._session.follow()):
+        for work in (
+            *self._observer.follow_coroutines(),
+            self._session.follow(),
+        ):
             background_task = defer.ensureDeferred(work)
             background_task.addErrback(self._log_crash)
             self._background_tasks.append(background_task)
 
     def _on_duty_query(self, _: ServiceName) -> None:
         # A peer that queries a duty can reach the store.
-        self._way.expect_return()
+        self._store_router.probe_now()
         self._update()
 
     def _standby_runner(
@@ -312,7 +320,7 @@
             return await self._capacity.handle(request)
         if self._usage is not None and self._usage.handles(request.path):
             return await self._usage.handle(request)
-        return await self._way.pass_on(request)
+        return await self._store_router.forward(request)
 
     def reload(self) -> None:
         """Reload the settings file; keep the old settings if invalid."""
@@ -389,7 +397,7 @@
 
 _STORE_FAILURES = (
     store_module.StoreRefused,
-    store_module.StoreUnclear,
+    store_module.StoreOutcomeUnknown,
     store_module.StoreConflict,
     store_module.LeaseEnded,
 )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/desk.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/desk.py
@@ -77,7 +77,7 @@
             await self._records.remove(content)
         except (
             store_module.StoreRefused,
-            store_module.StoreUnclear,
+            store_module.StoreOutcomeUnknown,
             store_module.StoreConflict,
         ) as error:
             # An instance that reads the record later quarantines the content.
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/records.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/records.py
@@ -99,7 +99,7 @@
     async def remove(self, content: ContentDigest) -> None:
         """Release a content from quarantine in all instances.
 
-        Raises StoreRefused, StoreUnclear or StoreConflict.
+        Raises StoreRefused, StoreOutcomeUnknown or StoreConflict.
         """
         self._guard.release(content)
         if content in self._state.quarantined_by_content:
@@ -136,7 +136,7 @@
                 return
             except (
                 store_module.StoreRefused,
-                store_module.StoreUnclear,
+                store_module.StoreOutcomeUnknown,
             ) as error:
                 log.info(
                     'Quarantine record not written.',
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/target_ends.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/target_ends.py
@@ -104,7 +104,7 @@
         check.addErrback(self._log_check_failure)
 
     async def _check_abandoned(self, target: ListedTarget) -> None:
-        if await self._calls.has_ended(target):
+        if await self._calls.is_target_down(target):
             self.record_refused_connection(target.id)
 
     def _pop_abandoned(
@@ -139,7 +139,7 @@
 
     async def _check_lost_calls(self, loss: _LostCalls) -> None:
         target = loss.target
-        has_ended = await self._calls.has_ended(target)
+        has_ended = await self._calls.is_target_down(target)
         abandoned = self._pop_abandoned(target.id, self._now())
         # Lost calls come first: a truncated report keeps its first contents.
         loss.requests_by_content |= {
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/watched_calls.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/watched_calls.py
@@ -36,9 +36,9 @@
         """Tell whether a connection to the target is already open."""
         return self._calls.is_connected(target)
 
-    def forget(self, target: ListedTarget) -> None:
+    def close_idle(self, target: ListedTarget) -> None:
         """Close the pooled connections to a target that has exited."""
-        self._calls.forget(target)
+        self._calls.close_idle(target)
 
     async def send(
         self,
@@ -130,12 +130,12 @@
         error: calls_module.CallFailed,
         started_at: Instant,
     ) -> None:
-        if error.is_refused:
+        if error.is_connection_refused:
             self._ends.record_refused_connection(target.id)
         if error.end is calls_module.CallEnd.NOT_SENT:
             return
         self._guard.set_name(call.content, call.name)
-        if not error.is_lost:
+        if not error.is_connection_lost:
             self._guard.record_abandoned_run(
                 target.id, call.content, call.id, True, started_at
             )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/attempting.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/attempting.py
@@ -101,7 +101,7 @@
             end, cause = error.end.value, str(error)
             if self._pools.is_current(target):
                 pool.record_failure(target.id, _failure(error), self.now())
-            if error.is_refused:
+            if error.is_connection_refused:
                 self._pools.exclude(target, self.now())
             raise
         except defer.CancelledError:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/forwarding.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/forwarding.py
@@ -62,7 +62,7 @@
         self._clock = clock
         self._capacity = capacity
 
-    async def judge(self, request: ClientRequest) -> None:
+    async def check_key(self, request: ClientRequest) -> None:
         """Check a request's credentials from its head, before its body.
 
         Raises KeyMissing, KeyUnknown, or NotRun if the key can't be checked.
@@ -82,7 +82,7 @@
         Raises YuccarillError if the request is refused or fails.
         """
         request = await self._admission.admit(self._match(request), request)
-        answerer.admitted(request.account)
+        answerer.set_account(request.account)
         # The route table may have changed during the key lookup.
         route = self._match(request)
         outcome = 'cancelled'
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/front.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/front.py
@@ -89,12 +89,12 @@
             validity=validity,
         )
 
-    async def judge(self, request: ClientRequest) -> None:
+    async def check_key(self, request: ClientRequest) -> None:
         """Check a request's credentials from its head, before its body.
 
         Raises KeyMissing, KeyUnknown, or NotRun if the key can't be checked.
         """
-        await self._forwarder.judge(request)
+        await self._forwarder.check_key(request)
 
     async def forward(
         self, request: ClientRequest, answerer: Answerer
@@ -109,7 +109,9 @@
         admitted = await self._admission.admit_job_call(request)
         return await self._trainers.serve(call, admitted)
 
-    def refused(self, request_id: str, error: errors.YuccarillError) -> None:
+    def report_refusal(
+        self, request_id: str, error: errors.YuccarillError
+    ) -> None:
         """Log why a request got no answer from a target."""
         table = self._state.table
         log.info(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/relay.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/relay.py
@@ -103,7 +103,7 @@
         self, peer: InstanceRecord, request: ClientRequest, seconds: float
     ) -> TargetAnswer | None:
         """Return a peer's answer, none if the peer fails or times out."""
-        if self._peers.is_out(peer.instance):
+        if self._peers.is_excluded(peer.instance):
             return None
         outgoing = http_exchange.OutgoingRequest(
             method=request.method,
@@ -122,7 +122,7 @@
             http_exchange.NotConnected,
             http_exchange.ExchangeBroken,
         ) as error:
-            self._peers.leave_out(peer.instance, SUSPECT_SECONDS)
+            self._peers.exclude(peer.instance, SUSPECT_SECONDS)
             log.info(
                 'Peer did not answer.',
                 request=request.id,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/streams.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/streams.py
@@ -169,7 +169,7 @@
             account=self._request.account,
         )
 
-    def attach(self, reading: http_exchange.Reading) -> None:
+    def set_reading(self, reading: http_exchange.Reading) -> None:
         self._reading = reading
         self.was_paused = self._is_paused
         if self._is_paused:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/direct_way.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/direct_path.py
@@ -32,7 +32,7 @@
 PROBE_TIMEOUT_SECONDS = 0.5
 
 
-class DirectWay:
+class DirectPath:
     """Track whether direct calls to the store work; probe while they fail."""
 
     def __init__(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/feed.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/feed.py
@@ -190,7 +190,7 @@
     ) -> store_module.Page:
         try:
             page = await self._store.page(prefix, after, is_stale)
-        except (store_module.StoreRefused, store_module.StoreUnclear):
+        except (store_module.StoreRefused, store_module.StoreOutcomeUnknown):
             # End the exclusion of watchers: the store itself may be down.
             self._peers.clear()
             raise
@@ -265,7 +265,7 @@
         self.answer_age = feed.age
         if not self._cursor_owner:
             # The watcher may have just regained the store; probe it here too.
-            self._store.expect_return()
+            self._store.probe_now()
         self._cursor = feed.cursor
         self._cursor_owner = watcher.instance
         return feed.page
@@ -284,7 +284,7 @@
             cause=str(error),
             seconds=seconds,
         )
-        self._peers.leave_out(watcher.instance, seconds)
+        self._peers.exclude(watcher.instance, seconds)
         self._cursor_owner = ''
 
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/follower.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/follower.py
@@ -73,7 +73,7 @@
         clock: Any,
         # Called after each full read and once per batch of changes.
         on_read: Callable[[], None] = lambda: None,
-        settle_seconds: float = 0.0,
+        batch_seconds: float = 0.0,
     ) -> None:
         self.is_current = False
         # Whether the next step reads every key instead of watching.
@@ -85,7 +85,7 @@
         self._prefix = prefix
         self._on_change = on_change
         self._on_read = on_read
-        self._settle_seconds = settle_seconds
+        self._batch_seconds = batch_seconds
         self._clock = clock
         self._history = history.History(clock)
         self._contacted_at = 0.0
@@ -181,7 +181,7 @@
             self._must_read = True
         except (
             store_module.StoreRefused,
-            store_module.StoreUnclear,
+            store_module.StoreOutcomeUnknown,
         ) as error:
             await self._pause_after_failure(error)
 
@@ -244,8 +244,8 @@
         self._watch_revision = self._latest_revision
         if page.changes:
             self._on_read()
-        if page.changes and self._settle_seconds:
-            await task.deferLater(self._clock, self._settle_seconds)
+        if page.changes and self._batch_seconds:
+            await task.deferLater(self._clock, self._batch_seconds)
 
     def _advance(self, revision: Revision) -> None:
         self._latest_revision = Revision(max(self._latest_revision, revision))
@@ -264,7 +264,7 @@
                 await self._check()
             except (
                 store_module.StoreRefused,
-                store_module.StoreUnclear,
+                store_module.StoreOutcomeUnknown,
             ) as error:
                 self._record_failed_check(error)
             else:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/observer.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/observer.py
@@ -70,15 +70,15 @@
             )
         }
 
-    def following(self) -> list[Awaitable[None]]:
+    def follow_coroutines(self) -> list[Awaitable[None]]:
         """Return the coroutines that follow the store until cancelled."""
         return [each.follow() for each in self.followers_by_prefix.values()]
 
-    def age(self) -> float:
+    def max_age(self) -> float:
         """Return the largest age of any prefix's copy in seconds."""
         return max(each.age() for each in self.followers_by_prefix.values())
 
-    def least_age(self) -> float:
+    def min_age(self) -> float:
         """Return the smallest age of any prefix's copy in seconds."""
         return min(each.age() for each in self.followers_by_prefix.values())
 
@@ -87,7 +87,7 @@
         for each in self.followers_by_prefix.values():
             each.refresh()
 
-    def learn_configuration(self, entry: Entry) -> None:
+    def apply_configuration(self, entry: Entry) -> None:
         """Apply a configuration entry that was read outside the follower."""
         self.followers_by_prefix[keys.CONFIGURATION].apply(entry)
 
@@ -95,7 +95,7 @@
         """Return the age of the configuration's copy in seconds."""
         return self.followers_by_prefix[keys.CONFIGURATION].age()
 
-    def listen(self, on_change: Callable[[], None]) -> None:
+    def add_listener(self, on_change: Callable[[], None]) -> None:
         """Call a function after each batch of changes."""
         self._listeners.append(on_change)
 
@@ -149,7 +149,7 @@
             # The previous entry was overwritten, so its address is no longer
             # reliable.
             self._state.targets.remove(target_id)
-            meters.ENTRIES_LEFT_OUT.inc()
+            meters.INVALID_ENTRIES.inc()
             log.error(
                 'Target with an invalid store entry removed.',
                 key=change.key,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/peer_choice.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/peer_choice.py
@@ -37,7 +37,7 @@
             for record in self._state.serving_instances()
             if record.instance != own_name
             and (among is None or record.instance in among)
-            and not self.is_out(record.instance)
+            and not self.is_excluded(record.instance)
         }
         if self._preferred in found_by_name:
             return found_by_name[self._preferred]
@@ -52,20 +52,22 @@
             near if is_near and near else candidates
         )
 
-    def is_out(self, instance: str) -> bool:
+    def is_excluded(self, instance: str) -> bool:
         """Return whether a peer is excluded now."""
         until = self._excluded_until_by_name.get(instance, Instant(0.0))
         return self._clock.seconds() < until
 
     def count_excluded(self) -> int:
         """Return the number of peers that are excluded now."""
-        return sum(self.is_out(name) for name in self._excluded_until_by_name)
+        return sum(
+            self.is_excluded(name) for name in self._excluded_until_by_name
+        )
 
     def prefer(self, instance: str) -> None:
         """Prefer a peer that answered."""
         self._preferred = instance
 
-    def leave_out(self, instance: str, seconds: float) -> None:
+    def exclude(self, instance: str, seconds: float) -> None:
         """Exclude a peer for some seconds."""
         until = self._clock.seconds() + seconds
         self._excluded_until_by_name[instance] = Instant(until)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/store_way.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/store_router.py
@@ -12,7 +12,7 @@
 from yuccarill.daemon.adapters import http_exchange
 from yuccarill.daemon.adapters.small_server import Page
 from yuccarill.daemon.gateway import meters
-from yuccarill.daemon.gateway.store import direct_way
+from yuccarill.daemon.gateway.store import direct_path
 from yuccarill.daemon.gateway.store import peer_choice
 from yuccarill.daemon import logs
 from yuccarill.platform import store as store_module
@@ -48,7 +48,7 @@
 MAX_FORWARDED_SECONDS = 20.0
 
 
-class StoreWay:
+class StoreRouter:
     """Send calls to the store directly or through a peer that reaches it."""
 
     def __init__(
@@ -58,9 +58,9 @@
         self._connections = connections
         self._clock = clock
         # Called when direct calls start to fail.
-        self.on_lost: Callable[[], None] = lambda: None
-        self._direct = direct_way.DirectWay(state, self._probe, clock)
-        self._direct.on_lost = lambda: self.on_lost()
+        self.on_direct_path_failed: Callable[[], None] = lambda: None
+        self._direct = direct_path.DirectPath(state, self._probe, clock)
+        self._direct.on_lost = lambda: self.on_direct_path_failed()
         self._direct.on_regained = self._on_regained
         # Serializes background calls until one shows that direct calls work.
         self._first_call_lock = defer.DeferredLock()
@@ -96,7 +96,7 @@
             raise http_exchange.NotConnected('no peer reaches the store')
         return await self._send_through_peers(peer, request, seconds)
 
-    def expect_return(self) -> None:
+    def probe_now(self) -> None:
         """Probe at once if direct calls fail."""
         self._direct.probe_now()
 
@@ -137,7 +137,7 @@
             if peer is None:
                 raise
             return await self._send_through_peers(peer, request, seconds)
-        if not store_module.is_turned_away(reply.head.status):
+        if not store_module.is_rejected(reply.head.status):
             self._direct.mark_working()
             return reply
         self._direct.mark_failed(f'status {reply.head.status}')
@@ -146,7 +146,7 @@
             return reply
         return await self._send_through_peers(peer, request, seconds)
 
-    async def pass_on(self, request: SmallRequest) -> Page:
+    async def forward(self, request: SmallRequest) -> Page:
         """Forward a peer's call to the store, never through another peer."""
         outgoing = http_exchange.OutgoingRequest(
             method=request.method,
@@ -167,7 +167,7 @@
             return Page(status=STATUS_NOT_REACHED)
         except http_exchange.ExchangeBroken:
             return Page(status=STATUS_UNCLEAR)
-        if store_module.is_turned_away(reply.head.status):
+        if store_module.is_rejected(reply.head.status):
             # Later calls of peers are rejected without a billed call; the
             # calling peer tries another instance.
             self._direct.mark_failed(f'status {reply.head.status}')
@@ -273,11 +273,11 @@
         host = self._state.settings.store_address
         try:
             reply = await self._exchange_directly(
-                store_module.probe(host), direct_way.PROBE_TIMEOUT_SECONDS
+                store_module.probe(host), direct_path.PROBE_TIMEOUT_SECONDS
             )
         except (http_exchange.NotConnected, http_exchange.ExchangeBroken):
             return False
-        return not store_module.is_turned_away(reply.head.status)
+        return not store_module.is_rejected(reply.head.status)
 
     def _on_regained(self) -> None:
         self._peers.clear()
@@ -286,23 +286,23 @@
             waiting.callback(None)
 
     def _exclude(self, peer: InstanceRecord) -> None:
-        self._peers.leave_out(peer.instance, PEER_EXCLUDED_SECONDS)
+        self._peers.exclude(peer.instance, PEER_EXCLUDED_SECONDS)
 
 
-class BackgroundWay:
+class BackgroundStoreRouter:
     """Send calls without a waiting caller, such as those of followers."""
 
-    def __init__(self, store_way: StoreWay) -> None:
-        self._store_way = store_way
+    def __init__(self, router: StoreRouter) -> None:
+        self._router = router
 
     async def send(self, request: OutgoingRequest, seconds: float) -> Reply:
-        """Return the store's answer; raise as `StoreWay.send` does."""
-        return await self._store_way.send_in_background(request, seconds)
+        """Return the store's answer; raise as `StoreRouter.send` does."""
+        return await self._router.send_in_background(request, seconds)
 
     async def pause(self, seconds: float) -> None:
         """Wait before a retry; longer while no peer reaches the store."""
-        await self._store_way.pause(seconds)
+        await self._router.pause(seconds)
 
-    def expect_return(self) -> None:
+    def probe_now(self) -> None:
         """Probe at once if direct calls fail."""
-        self._store_way.expect_return()
+        self._router.probe_now()
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/records.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/records.py
@@ -59,7 +59,10 @@
         self._store = store
 
     async def read(self) -> StoredUsage:
-        """Return the stored usage; raises StoreRefused or StoreUnclear."""
+        """Return the stored usage.
+
+        Raises StoreRefused or StoreOutcomeUnknown.
+        """
         stored = StoredUsage()
         after: str | None = None
         has_more = True
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/reporter.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/reporter.py
@@ -193,7 +193,10 @@
         except store_module.StoreConflict:
             log.warning('Usage not written: the reporting duty was lost.')
             self._duty.give_up(revision)
-        except (store_module.StoreRefused, store_module.StoreUnclear) as error:
+        except (
+            store_module.StoreRefused,
+            store_module.StoreOutcomeUnknown,
+        ) as error:
             # Retried at the next step.
             log.info('Usage not read or written.', cause=str(error))
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/engine_requests.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/engine_requests.py
@@ -60,7 +60,7 @@
         if isinstance(entry, store_module.Removal):
             return
         try:
-            model, version = operators.named_version(entry.value)
+            model, version = operators.decode_model_version(entry.value)
         except errors.InventoryInvalid as error:
             log.error('Entry left out.', key=entry.key, cause=error.message)
             return
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/retirement.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/retirement.py
@@ -53,5 +53,8 @@
             except store_module.StoreConflict:
                 # Another instance has confirmed the retirement.
                 return
-            except (store_module.StoreRefused, store_module.StoreUnclear):
+            except (
+                store_module.StoreRefused,
+                store_module.StoreOutcomeUnknown,
+            ):
                 await task.deferLater(self._clock, RETRY_SECONDS)
--- a/packages/yuccarill-daemon/tests/gateway/crash_world.py
+++ b/packages/yuccarill-daemon/tests/gateway/crash_world.py
@@ -271,7 +271,7 @@
             if not run.called:
                 run.errback(
                     calls.CallFailed(
-                        calls.CallEnd.BROKEN, 'lost', is_lost=True
+                        calls.CallEnd.BROKEN, 'lost', is_connection_lost=True
                     )
                 )
 
@@ -329,7 +329,7 @@
     def is_connected(self, target: ListedTarget) -> bool:
         return False
 
-    async def has_ended(self, target: ListedTarget) -> bool:
+    async def is_target_down(self, target: ListedTarget) -> bool:
         await task.deferLater(self._clock, HOP)
         if self._world.has_supervisors:
             return False
--- a/packages/yuccarill-daemon/tests/gateway/memory_store.py
+++ b/packages/yuccarill-daemon/tests/gateway/memory_store.py
@@ -66,7 +66,7 @@
         self._wake_watches()
         return Revision(self.revision)
 
-    def forget_history(self) -> None:
+    def drop_history(self) -> None:
         """Discard the history, as the store may at any time."""
         self.history_floor = self.revision
         self.history.clear()
@@ -91,14 +91,14 @@
 class MemoryStore:
     """One instance's client of the shared keys.
 
-    Faults: `refuses` rejects calls unexecuted; `is_silent` never answers;
-    `loses_replies` executes writes without an answer; `ignores_watches` leaves
-    only watches unanswered.
+    Faults: `rejects_calls` rejects calls unexecuted; `drops_calls` never
+    answers; `loses_replies` executes writes without an answer;
+    `ignores_watches` leaves only watches unanswered.
     """
 
     keys: Keys
-    refuses: bool = False
-    is_silent: bool = False
+    rejects_calls: bool = False
+    drops_calls: bool = False
     loses_replies: bool = False
     ignores_watches: bool = False
     calls: list[str] = dataclasses.field(default_factory=list)
@@ -109,7 +109,7 @@
         await self._start_call('get')
         return self.keys.entries_by_key.get(key)
 
-    def expect_return(self) -> None:
+    def probe_now(self) -> None:
         pass
 
     async def pause(self, seconds: float) -> None:
@@ -136,11 +136,11 @@
         deadline = self.keys.clock.seconds() + seconds
         if self.ignores_watches:
             await self._sleep(seconds + 1.5)
-            raise store.StoreUnclear('no answer')
+            raise store.StoreOutcomeUnknown('no answer')
         while True:
-            if self.is_silent:
+            if self.drops_calls:
                 await self._sleep(seconds)
-                raise store.StoreUnclear('no answer')
+                raise store.StoreOutcomeUnknown('no answer')
             if after < self.keys.history_floor:
                 raise store.HistoryGone
             found = tuple(
@@ -176,7 +176,7 @@
         revision = self.keys.commit(writes, removals)
         if self.loses_replies:
             await self._sleep(store.CALL_SECONDS)
-            raise store.StoreUnclear('no answer')
+            raise store.StoreOutcomeUnknown('no answer')
         return revision
 
     async def open_lease(self, seconds: float) -> int:
@@ -186,7 +186,7 @@
         self.keys.ends_by_lease[lease] = self.keys.clock.seconds() + seconds
         return lease
 
-    async def keep_lease(self, lease: int) -> None:
+    async def renew_lease(self, lease: int) -> None:
         await self._start_call('keep')
         if lease not in self.keys.ends_by_lease:
             raise store.LeaseEnded
@@ -202,10 +202,10 @@
         self.calls.append(call)
         await self._sleep(0.004)
         self.keys.expire()
-        if self.is_silent:
+        if self.drops_calls:
             await self._sleep(store.CALL_SECONDS)
-            raise store.StoreUnclear('no answer')
-        if self.refuses:
+            raise store.StoreOutcomeUnknown('no answer')
+        if self.rejects_calls:
             raise store.StoreRefused('call refused')
 
     async def _sleep(self, seconds: float) -> None:
--- a/packages/yuccarill-daemon/tests/gateway/runner_world.py
+++ b/packages/yuccarill-daemon/tests/gateway/runner_world.py
@@ -104,7 +104,7 @@
         if self.clock.seconds() < found.away_until:
             await self._sleep(0.001)
             raise calls.CallFailed(
-                calls.CallEnd.NOT_SENT, 'refused', is_refused=True
+                calls.CallEnd.NOT_SENT, 'refused', is_connection_refused=True
             )
         self.runs.append((call.id, first))
         if call.id in self.crashing:
@@ -158,7 +158,7 @@
             )
             sent += 1
 
-    async def has_ended(self, engine: ListedTarget) -> bool:
+    async def is_target_down(self, engine: ListedTarget) -> bool:
         away_until = self.engines_by_id[engine.id].away_until
         await self._sleep(0.001)
         return self.clock.seconds() < away_until
@@ -198,7 +198,9 @@
 
 
 def _connection_lost() -> calls.CallFailed:
-    return calls.CallFailed(calls.CallEnd.BROKEN, 'lost', is_lost=True)
+    return calls.CallFailed(
+        calls.CallEnd.BROKEN, 'lost', is_connection_lost=True
+    )
 
 
 class Scorer:
--- a/packages/yuccarill-daemon/tests/gateway/test_duties.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_duties.py
@@ -37,7 +37,7 @@
         """Simulate a crash: cancel all work and silence the store."""
         for each in self.following:
             each.cancel()
-        self.store.is_silent = True
+        self.store.drops_calls = True
         self.is_dead = True
 
 
@@ -85,9 +85,9 @@
             holders=holders,
         )
         holders.on_asked = lambda _: duty.update()
-        watching.listen(duty.update)
+        watching.add_listener(duty.update)
         following = [
-            defer.ensureDeferred(work) for work in watching.following()
+            defer.ensureDeferred(work) for work in watching.follow_coroutines()
         ]
         for each in following:
             each.addErrback(lambda failure: failure.trap(Exception))
@@ -147,10 +147,10 @@
         self.run_for(1.0)
         instances = (holder, other)
         for each in instances:
-            each.store.refuses = True
+            each.store.rejects_calls = True
         self.run_for(4.0)
         for each in instances:
-            each.store.refuses = False
+            each.store.rejects_calls = False
         self.run_for(1.5)
         self.assertTrue(holder.duty.is_held())
         self.assertTrue(holder.duty.is_continued)
@@ -162,7 +162,7 @@
         self.run_for(1.0)
         (name,) = self.holders(a, b)
         holder, other = (a, b) if name == 'a' else (b, a)
-        holder.store.refuses = True
+        holder.store.rejects_calls = True
         self.run_for(duties.LEASE_SECONDS + holder_calls.RECLAIM_SECONDS + 1.0)
         self.assertTrue(other.duty.is_held())
 
@@ -260,10 +260,10 @@
     def test_a_failed_record_of_a_standby_is_retried(self) -> None:
         a = self.start('a')
         self.run_for(1.0)
-        a.store.refuses = True
+        a.store.rejects_calls = True
         a.duty.name_standby('c:2')
         self.run_for(0.2)
-        a.store.refuses = False
+        a.store.rejects_calls = False
         self.run_for(0.5)
         a.duty.name_standby('c:2')
         self.run_for(0.2)
@@ -341,7 +341,7 @@
         self.run_for(1.0)
         b = self.start('b')
         self.run_for(1.0)
-        a.store.is_silent = True
+        a.store.drops_calls = True
         self.keys.remove(keys.duty(world.SERVICE))
         orders_by_name: dict[str, list[float]] = {'a': [], 'b': []}
         for _ in range(1000):
@@ -362,7 +362,7 @@
         self.run_for(1.0)
         self.assertTrue(self.finish(a.duty.confirm(0.5)))
         a.kill()
-        a.store.is_silent = False
+        a.store.drops_calls = False
         self.keys.remove(keys.duty(world.SERVICE))
         self.run_for(0.6)
         self.assertTrue(a.duty.is_held())
@@ -372,7 +372,7 @@
     def test_a_hold_is_not_confirmed_without_the_store(self) -> None:
         a = self.start('a')
         self.run_for(1.0)
-        a.store.refuses = True
+        a.store.rejects_calls = True
         self.run_for(0.6)
         self.assertFalse(self.finish(a.duty.confirm(0.5)))
 
@@ -401,10 +401,10 @@
     def test_duty_is_reacquired_after_a_long_outage(self) -> None:
         a = self.start('a')
         self.run_for(1.0)
-        a.store.refuses = True
+        a.store.rejects_calls = True
         self.run_for(10.0)
         self.assertFalse(a.duty.is_held())
-        a.store.refuses = False
+        a.store.rejects_calls = False
         self.run_for(1.5)
         self.assertTrue(a.duty.is_held())
         self.assertTrue(a.duty.is_continued)
--- a/packages/yuccarill-daemon/tests/gateway/test_feed.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_feed.py
@@ -140,7 +140,7 @@
         self.run_for(0.1)
         self.read()
         self.run_for(0.5)
-        self.watcher_store.is_silent = True
+        self.watcher_store.drops_calls = True
         self.run_for(feed.MAX_AGE_SECONDS + 4.0)
         self.keys.put('p/a', b'')
         self.run_for(1.0)
@@ -157,10 +157,10 @@
         self.run_for(0.1)
         self.read()
         self.run_for(0.9)
-        self.watcher_store.refuses = True
+        self.watcher_store.rejects_calls = True
         # Ends the open watch.
         self.keys.put('other', b'')
-        self.keys.forget_history()
+        self.keys.drop_history()
         self.run_for(0.1)
         self.keys.put('p/a', b'')
         self.run_for(0.5)
@@ -174,7 +174,7 @@
         self.run_for(0.1)
         self.read()
         self.run_for(follower.CHECK_SECONDS)
-        self.watcher_store.is_silent = True
+        self.watcher_store.drops_calls = True
         self.keys.put('p/a', b'')
         self.run_for(1.95)
         self.assertEqual(['+p/a'], self.recorded)
@@ -226,10 +226,10 @@
         self.read()
         self.run_for(0.1)
         for store in (self.watcher_store, self.own_store):
-            store.refuses = True
+            store.rejects_calls = True
         self.run_for(4.0)
         for store in (self.watcher_store, self.own_store):
-            store.refuses = False
+            store.rejects_calls = False
         self.own_store.calls.clear()
         self.keys.put('p/late', b'')
         self.run_for(2.5)
@@ -272,7 +272,7 @@
         self.read()
         self.run_for(feed.START_WAIT_SECONDS)
         for store in (self.watcher_store, self.own_store):
-            store.is_silent = True
+            store.drops_calls = True
         self.run_for(4.0)
         self.assertNotIn('watch', self.own_store.calls[:2])
         self.assertNotIn('page', self.own_store.calls)
@@ -286,7 +286,7 @@
         reader = self.read()
         self.run_for(feed.START_WAIT_SECONDS + 2.0)
         for store in (self.watcher_store, self.own_store):
-            store.is_silent = True
+            store.drops_calls = True
         silent_at = self.clock.seconds()
         for _ in range(25):
             self.run_for(0.1)
--- a/packages/yuccarill-daemon/tests/gateway/test_follower.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_follower.py
@@ -86,7 +86,7 @@
         self.run_for(0.1)
         del self.keys.entries_by_key['p/a']
         self.keys.revision += 1
-        self.keys.forget_history()
+        self.keys.drop_history()
         self.keys.put('p/b', b'1')
         self.run_for(0.2)
         self.assertEqual({'+p/a', '+p/b', '-p/a'}, set(self.recorded()))
@@ -95,10 +95,10 @@
         store = self.store()
         self.follow(store)
         self.run_for(0.1)
-        store.refuses = True
+        store.rejects_calls = True
         self.run_for(20.0)
         self.keys.put('p/a', b'1')
-        store.refuses = False
+        store.rejects_calls = False
         self.run_for(1.0)
         self.assertEqual(['+p/a'], self.recorded())
 
@@ -119,7 +119,7 @@
         """Guard against repeated reads if a check runs between two watches."""
         store = self.store()
         found = follower.PrefixFollower(
-            store, 'p/', lambda _: None, self.clock, settle_seconds=0.9
+            store, 'p/', lambda _: None, self.clock, batch_seconds=0.9
         )
         following = defer.Deferred.fromCoroutine(found.follow())
         following.addErrback(lambda failure: failure.trap(Exception))
@@ -200,6 +200,6 @@
         found = self.follow(store)
         self.run_for(3.0)
         self.assertLess(found.age(), 1.2)
-        store.refuses = True
+        store.rejects_calls = True
         self.run_for(20.0)
         self.assertGreater(found.age(), 4.0)
--- a/packages/yuccarill-daemon/tests/gateway/test_intake.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_intake.py
@@ -193,7 +193,7 @@
         runner.offer.assert_not_called()
 
     def test_a_refused_write_is_reported_as_not_run(self) -> None:
-        self.memory.refuses = True
+        self.memory.rejects_calls = True
         with self.assertRaises(errors.NotRun) as caught:
             self.submit()
         self.assertIsNotNone(caught.exception.retry_after)
@@ -203,15 +203,15 @@
 
         The write takes effect without a reply; later writes are refused.
         """
-        self.memory.is_silent = True
+        self.memory.drops_calls = True
         submitting = defer.Deferred.fromCoroutine(
             self.intake.submit(world.batch_route(), self.request())
         )
         results: list = []
         submitting.addBoth(results.append)
         self.run_for(2.0)
-        self.memory.is_silent = False
-        self.memory.refuses = True
+        self.memory.drops_calls = False
+        self.memory.rejects_calls = True
         self.run_for(10.0)
         self.assertTrue(results[0].check(errors.OutcomeUnknown))
 
@@ -226,17 +226,17 @@
         self.assertEqual(202, submitting.result.status)
 
     def test_a_short_outage_of_the_store_is_waited_for(self) -> None:
-        self.memory.refuses = True
+        self.memory.rejects_calls = True
         submitting = defer.Deferred.fromCoroutine(
             self.intake.submit(world.batch_route(), self.request())
         )
         self.run_for(3.0)
-        self.memory.refuses = False
+        self.memory.rejects_calls = False
         self.run_for(1.0)
         self.assertEqual(202, submitting.result.status)
 
     def test_a_peer_accepts_while_the_store_refuses(self) -> None:
-        self.memory.refuses = True
+        self.memory.rejects_calls = True
         self.peers.answer = TargetAnswer(
             status=202, headers=(), body=b'', signature=None
         )
@@ -326,7 +326,7 @@
     def test_an_outage_of_the_store_is_not_a_missing_job(self) -> None:
         # A trainer that gets 404 drops its job.
         self.submit()
-        self.memory.refuses = True
+        self.memory.rejects_calls = True
         with self.assertRaises(errors.StoreUnavailable):
             self.read()
 
--- a/packages/yuccarill-daemon/tests/gateway/test_listing.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_listing.py
@@ -106,11 +106,11 @@
         self.assertEqual(['a'], self.listed())
 
     def test_readers_see_only_stored_results(self) -> None:
-        self.memory.refuses = True
+        self.memory.rejects_calls = True
         self.listing.add(result('a'), True)
         self.run_for(2.0)
         self.assertEqual([], self.listing.results)
-        self.memory.refuses = False
+        self.memory.rejects_calls = False
         self.run_for(1.0)
         self.assertEqual(1, len(self.listing.results))
 
--- a/packages/yuccarill-daemon/tests/gateway/test_observer.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_observer.py
@@ -38,7 +38,7 @@
         )
         self.restarted: list[object] = []
         self.observer.on_restart = self.restarted.append
-        for following in self.observer.following():
+        for following in self.observer.follow_coroutines():
             running = defer.Deferred.fromCoroutine(following)
             running.addErrback(lambda failure: failure.trap(Exception))
             self.addCleanup(running.cancel)
@@ -101,7 +101,7 @@
         """Guard against a scan of all engines for each of many changes."""
         self.run_for(2.0)
         notifications: list[None] = []
-        self.observer.listen(lambda: notifications.append(None))
+        self.observer.add_listener(lambda: notifications.append(None))
         writes = [
             store.Write(
                 key=f'{keys.TARGET_PREFIX}t{number}',
@@ -118,7 +118,7 @@
         """Guard against work sent to a target that leaves within a batch."""
         self.write('t0', msgspec.json.encode(ENTRY))
         seen: list[bool] = []
-        self.observer.listen(lambda: seen.append('t0' in self.ready()))
+        self.observer.add_listener(lambda: seen.append('t0' in self.ready()))
         changes = [
             store.Write(
                 key=f'{keys.TARGET_PREFIX}a{number}',
--- a/packages/yuccarill-daemon/tests/gateway/test_progress.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_progress.py
@@ -107,7 +107,7 @@
         self.write(a=32)
         self.assertEqual({'a': 32}, self.read())
 
-    @params(store_module.StoreRefused, store_module.StoreUnclear)
+    @params(store_module.StoreRefused, store_module.StoreOutcomeUnknown)
     def test_a_failed_write_is_repeated(self, error) -> None:
         self.write(a=30)
         with mock.patch.object(
--- a/packages/yuccarill-daemon/tests/gateway/test_quarantine.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_quarantine.py
@@ -313,11 +313,11 @@
         self.assertEqual(('t0', 't1', 't2'), found.targets)
 
     def test_a_record_is_written_once_the_store_is_back(self) -> None:
-        self.memory.refuses = True
+        self.memory.rejects_calls = True
         self.end_targets()
         self.run_for(2.0)
         self.assertNotIn(keys.quarantine(X), self.keys.entries_by_key)
-        self.memory.refuses = False
+        self.memory.rejects_calls = False
         self.run_for(2.0)
         self.assertIn(keys.quarantine(X), self.keys.entries_by_key)
 
@@ -364,7 +364,7 @@
         key = keys.quarantine(X)
         self.keys.put(key, msgspec.msgpack.encode(self.record(1060.0)))
         follow = observer.Observer(self.known, lambda: self.memory, self.clock)
-        follow.listen(self.records.update)
+        follow.add_listener(self.records.update)
         self.finish(
             follow.followers_by_prefix[keys.FLEET_PREFIX]._read_pages()
         )
--- a/packages/yuccarill-daemon/tests/gateway/test_runner.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_runner.py
@@ -248,9 +248,9 @@
         self.run_for(0.2)
         self.request_retirement()
         self.run_for(0.005)
-        self.memory.refuses = True
+        self.memory.rejects_calls = True
         self.run_for(3.0)
-        self.memory.refuses = False
+        self.memory.rejects_calls = False
         self.run_for(2.0)
         self.assertEqual(operators.retirement_done(), self.answer())
 
@@ -312,10 +312,10 @@
         runner = self.hold('a')
         self.submit()
         self.run_for(0.1)
-        self.memory.refuses = True
+        self.memory.rejects_calls = True
         self.run_for(3.0)
         self.assertEqual([], self.results())
-        self.memory.refuses = False
+        self.memory.rejects_calls = False
         self.run_for(1.0)
         self.assertEqual(4, len(self.results()))
         runner.stop()
--- a/packages/yuccarill-daemon/tests/gateway/test_sender.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_sender.py
@@ -240,7 +240,9 @@
 
     # Results of an attempt at the address of an absent target.
     @params(
-        calls.CallFailed(calls.CallEnd.NOT_SENT, 'refused', is_refused=True),
+        calls.CallFailed(
+            calls.CallEnd.NOT_SENT, 'refused', is_connection_refused=True
+        ),
         TargetAnswer(
             status=421,
             headers=(),
--- a/packages/yuccarill-daemon/tests/gateway/test_shared_results.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_shared_results.py
@@ -98,11 +98,11 @@
 
     def test_a_refused_write_is_retried(self) -> None:
         memory = self.store()
-        memory.refuses = True
+        memory.rejects_calls = True
         writing = self.append(self.writer(0, memory), 0, 0, 'a')
         self.run_for(1.0)
         self.assertEqual([], self.listed())
-        memory.refuses = False
+        memory.rejects_calls = False
         self.run_for(1.0)
         self.assertIsNone(writing.result)
         self.assertEqual(['a'], self.listed())
--- a/packages/yuccarill-daemon/tests/gateway/test_slow_readers.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_slow_readers.py
@@ -161,7 +161,7 @@
         sink = rest[-1]
         run = Run(call, sink)
         self.runs.append(run)
-        sink.attach(run)
+        sink.set_reading(run)
         sink.begin(_ANSWER, 1)
         return await run.ended
 
@@ -204,7 +204,7 @@
             forward=forward,
             is_leaving=lambda: False,
             limits=routes.ClientLimits,
-            refused=lambda _, error: self.refusals.append(error),
+            report_refusal=lambda _, error: self.refusals.append(error),
         )
         self.factory = server.ClientFactory(
             gateway,
@@ -349,9 +349,9 @@
         socket = self.leave_answer_unread()
         self.channel.dataReceived(REQUEST[:30])
         other = self.flow.open(lambda drop: None)
-        other.enter(memory_budget.RequestStage.SERVED)
+        other.set_stage(memory_budget.RequestStage.SERVED)
         bound = self.flow.budget.bounds.process
-        other.hold(memory_budget.BufferKind.REQUEST_BODY, bound)
+        other.set_buffered(memory_budget.BufferKind.REQUEST_BODY, bound)
         self.assertTrue(socket.is_aborted)
         self.assertEqual(bound, self.flow.budget.held)
 
--- a/packages/yuccarill-daemon/tests/gateway/test_standby.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_standby.py
@@ -131,7 +131,7 @@
         return True
 
     def silence_store(self, is_silent: bool = True) -> None:
-        self.memory.is_silent = is_silent
+        self.memory.drops_calls = is_silent
         for peer in self.peers_by_name.values():
             peer.store_age = 9.0 if is_silent else 0.0
 
--- a/packages/yuccarill-daemon/tests/gateway/test_store_outage.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_store_outage.py
@@ -7,23 +7,25 @@
 
 from yuccarill.daemon.adapters import http_exchange
 from yuccarill.daemon.adapters import small_server
-from yuccarill.daemon.gateway.store import store_way
+from yuccarill.daemon.gateway.store import store_router
 
-from . import test_store_way
+from . import test_store_router
 from . import world
 
 
 class RefusedPeerTest(world.WorldTest):
     def test_a_refused_peer_calls_the_store_once(self) -> None:
         """Guard against a refused, billed call for each request of a peer."""
-        connections = test_store_way.FakeConnections(
+        connections = test_store_router.FakeConnections(
             self.clock, {'store:3': 503}
         )
-        way = store_way.StoreWay(self.state('a'), connections, self.clock)
+        router = store_router.StoreRouter(
+            self.state('a'), connections, self.clock
+        )
         request = small_server.SmallRequest(method='GET', target='/x')
         for _ in range(2):
-            page = self.finish(way.pass_on(request))
-            self.assertEqual(store_way.STATUS_NOT_REACHED, page.status)
+            page = self.finish(router.forward(request))
+            self.assertEqual(store_router.STATUS_NOT_REACHED, page.status)
         self.assertEqual(1, len(connections.sent))
 
 
@@ -42,9 +44,13 @@
         statuses: dict[str, int | Exception] = {'store:3': 503}
         for number in range(1, self.SIZE):
             world.list_instance(state, f'n{number}')
-            statuses[f'n{number}:2'] = store_way.STATUS_NOT_REACHED
-        self.connections = test_store_way.FakeConnections(self.clock, statuses)
-        self.way = store_way.StoreWay(state, self.connections, self.clock)
+            statuses[f'n{number}:2'] = store_router.STATUS_NOT_REACHED
+        self.connections = test_store_router.FakeConnections(
+            self.clock, statuses
+        )
+        self.router = store_router.StoreRouter(
+            state, self.connections, self.clock
+        )
 
     def billed_calls(self) -> int:
         return self.connections.sent.count('store:3')
@@ -52,7 +58,7 @@
     def send_four(self) -> list[defer.Deferred[object]]:
         found = [
             defer.Deferred.fromCoroutine(
-                self.way.send_in_background(test_store_way.POST, 0.8)
+                self.router.send_in_background(test_store_router.POST, 0.8)
             )
             for _ in range(4)
         ]
@@ -80,7 +86,7 @@
 
     def test_probes_are_frequent_with_a_waiting_caller(self) -> None:
         with self.assertRaises(http_exchange.NotConnected):
-            self.finish(self.way.send(test_store_way.POST, 0.8))
+            self.finish(self.router.send(test_store_router.POST, 0.8))
         self.run_for(2.0)
         self.assertGreaterEqual(self.billed_calls(), 3)
 
@@ -89,9 +95,9 @@
         self.send_four()
         self.run_for(8.0)
         self.connections.statuses_by_address['store:3'] = 200
-        self.way.expect_return()
+        self.router.probe_now()
         self.run_for(0.02)
         found = self.finish(
-            self.way.send_in_background(test_store_way.POST, 0.8)
+            self.router.send_in_background(test_store_router.POST, 0.8)
         )
         self.assertEqual(200, found.head.status)
--- a/packages/yuccarill-daemon/tests/gateway/test_store_way.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_store_router.py
@@ -11,8 +11,8 @@
 from yuccarill.core.ids import Instant
 from yuccarill.daemon.adapters import http_exchange
 from yuccarill.daemon.adapters import small_server
-from yuccarill.daemon.gateway.store import direct_way
-from yuccarill.daemon.gateway.store import store_way
+from yuccarill.daemon.gateway.store import direct_path
+from yuccarill.daemon.gateway.store import store_router
 
 from . import world
 
@@ -39,7 +39,7 @@
         return http_exchange.Reply(head=head, body=b'')
 
 
-class StoreWayTest(world.WorldTest):
+class StoreRouterTest(world.WorldTest):
     def setUp(self) -> None:
         super().setUp()
         self.connections = FakeConnections(
@@ -48,10 +48,12 @@
         state = self.state('a')
         for name in 'abc':
             world.list_instance(state, name)
-        self.way = store_way.StoreWay(state, self.connections, self.clock)
+        self.router = store_router.StoreRouter(
+            state, self.connections, self.clock
+        )
 
     def send(self) -> int:
-        return self.finish(self.way.send(POST, 0.8)).head.status
+        return self.finish(self.router.send(POST, 0.8)).head.status
 
     def test_calls_are_sent_directly(self) -> None:
         self.assertEqual(200, self.send())
@@ -76,7 +78,7 @@
         self.send()
         self.connections.statuses_by_address['store:3'] = 200
         # A probe detects the recovery without another call.
-        self.run_for(direct_way.PROBE_INTERVAL_SECONDS + 0.1)
+        self.run_for(direct_path.PROBE_INTERVAL_SECONDS + 0.1)
         self.connections.sent.clear()
         self.send()
         self.assertEqual(['store:3'], self.connections.sent)
@@ -87,7 +89,7 @@
         self.connections.statuses_by_address['store:3'] = error
         for peer in ('b:2', 'c:2'):
             self.connections.statuses_by_address[peer] = (
-                store_way.STATUS_NOT_REACHED
+                store_router.STATUS_NOT_REACHED
             )
         for _ in range(10):
             with self.assertRaises(http_exchange.NotConnected):
@@ -105,7 +107,7 @@
         """Guard against failed calls between recovery and the next probe."""
         self.fail_everywhere()
         # The exclusion of peers ends.
-        self.clock.advance(store_way.PEER_EXCLUDED_SECONDS + 0.1)
+        self.clock.advance(store_router.PEER_EXCLUDED_SECONDS + 0.1)
         self.connections.statuses_by_address['store:3'] = 200
         self.assertEqual(200, self.send())
 
@@ -114,7 +116,7 @@
         self.connections.statuses_by_address['store:3'] = error
         for peer in ('b:2', 'c:2'):
             self.connections.statuses_by_address[peer] = (
-                store_way.STATUS_NOT_REACHED
+                store_router.STATUS_NOT_REACHED
             )
         with self.assertRaises(http_exchange.NotConnected):
             self.send()
@@ -122,7 +124,7 @@
     def pause(self, seconds: float) -> float:
         """Return the actual duration of a pause in seconds."""
         started_at = self.clock.seconds()
-        self.finish(self.way.pause(seconds))
+        self.finish(self.router.pause(seconds))
         return self.clock.seconds() - started_at
 
     def test_a_pause_ends_with_the_outage(self) -> None:
@@ -136,13 +138,15 @@
         )
         elapsed = self.pause(0.05)
         self.assertGreater(elapsed, 0.2)
-        self.assertLess(elapsed, 0.2 + direct_way.PROBE_INTERVAL_SECONDS + 0.1)
+        self.assertLess(
+            elapsed, 0.2 + direct_path.PROBE_INTERVAL_SECONDS + 0.1
+        )
 
     def test_a_pause_is_bounded_if_probes_fail(self) -> None:
         # Peers may be tried again after their exclusion.
         self.fail_everywhere()
         elapsed = self.pause(0.05)
-        self.assertLess(elapsed, store_way.PEER_EXCLUDED_SECONDS + 0.1)
+        self.assertLess(elapsed, store_router.PEER_EXCLUDED_SECONDS + 0.1)
 
     def test_a_pause_is_short_if_a_peer_may_reach_the_store(self) -> None:
         self.connections.statuses_by_address['store:3'] = (
@@ -157,7 +161,7 @@
         self.connections.statuses_by_address['store:3'] = error
         for peer in ('b:2', 'c:2'):
             self.connections.statuses_by_address[peer] = (
-                store_way.STATUS_UNCLEAR
+                store_router.STATUS_UNCLEAR
             )
         with self.assertRaises(http_exchange.ExchangeBroken):
             self.send()
@@ -165,7 +169,9 @@
     def test_loss_of_direct_calls_is_reported_once(self) -> None:
         """Guard against a silent open watch while other calls use a peer."""
         lost_at: list[float] = []
-        self.way.on_lost = lambda: lost_at.append(self.clock.seconds())
+        self.router.on_direct_path_failed = lambda: lost_at.append(
+            self.clock.seconds()
+        )
         self.connections.statuses_by_address['store:3'] = 503
         for _ in range(3):
             self.send()
@@ -176,9 +182,9 @@
         self.connections.statuses_by_address['store:3'] = 503
         self.send()
         self.connections.statuses_by_address['store:3'] = 200
-        self.run_for(direct_way.PROBE_INTERVAL_SECONDS + 0.1)
+        self.run_for(direct_path.PROBE_INTERVAL_SECONDS + 0.1)
         page = self.finish(
-            self.way.pass_on(
+            self.router.forward(
                 small_server.SmallRequest(method='GET', target='/x')
             )
         )
@@ -189,11 +195,11 @@
         self.connections.statuses_by_address['store:3'] = 503
         self.send()
         page = self.finish(
-            self.way.pass_on(
+            self.router.forward(
                 small_server.SmallRequest(method='GET', target='/x')
             )
         )
-        self.assertEqual(store_way.STATUS_NOT_REACHED, page.status)
+        self.assertEqual(store_router.STATUS_NOT_REACHED, page.status)
 
 
 class PartitionTest(world.WorldTest):
@@ -211,18 +217,20 @@
             is_partitioned = number % 3 == 0
             name = f'n{number}'
             statuses[f'{name}:2'] = (
-                store_way.STATUS_NOT_REACHED if is_partitioned else 200
+                store_router.STATUS_NOT_REACHED if is_partitioned else 200
             )
             world.list_instance(state, name)
         self.connections = FakeConnections(self.clock, statuses)
-        self.way = store_way.StoreWay(state, self.connections, self.clock)
+        self.router = store_router.StoreRouter(
+            state, self.connections, self.clock
+        )
 
     def failed_calls(self) -> int:
         """Return how many of a holder's calls fail in 36 s."""
         failed = 0
         for _ in range(60):
             try:
-                self.finish(self.way.send(POST, 0.8))
+                self.finish(self.router.send(POST, 0.8))
             except http_exchange.NotConnected:
                 failed += 1
             self.run_for(0.6)
@@ -240,10 +248,10 @@
         self.assertEqual(0, self.failed_calls())
 
     def test_the_peer_that_reached_the_store_is_preferred(self) -> None:
-        self.finish(self.way.send(POST, 0.8))
+        self.finish(self.router.send(POST, 0.8))
         self.connections.sent.clear()
         for _ in range(20):
-            self.finish(self.way.send(POST, 0.8))
+            self.finish(self.router.send(POST, 0.8))
         peers = {
             address
             for address in self.connections.sent
@@ -255,17 +263,17 @@
         # Calls are billed, so not every peer may be tried.
         for address in self.connections.statuses_by_address:
             self.connections.statuses_by_address[address] = (
-                store_way.STATUS_NOT_REACHED
+                store_router.STATUS_NOT_REACHED
             )
         self.connections.statuses_by_address['store:3'] = (
             http_exchange.NotConnected('unreachable')
         )
         for _ in range(10):
             with self.assertRaises(http_exchange.NotConnected):
-                self.finish(self.way.send(POST, 0.8))
+                self.finish(self.router.send(POST, 0.8))
         peers = [
             address
             for address in self.connections.sent
             if address != 'store:3'
         ]
-        self.assertLessEqual(len(peers), store_way.MAX_EXCLUDED_PEERS)
+        self.assertLessEqual(len(peers), store_router.MAX_EXCLUDED_PEERS)
--- a/packages/yuccarill-daemon/tests/gateway/test_target_ends.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_target_ends.py
@@ -30,7 +30,7 @@
     has_listener: bool
     count: int = 0
 
-    async def has_ended(self, target: ListedTarget) -> bool:
+    async def is_target_down(self, target: ListedTarget) -> bool:
         self.count += 1
         await task.deferLater(self.clock, 0.002)
         return not self.has_listener
--- a/packages/yuccarill-daemon/tests/gateway/test_texts.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_texts.py
@@ -347,8 +347,8 @@
         The store is unavailable when the instance is told to stop.
         """
         self.own_state.is_leaving = True
-        self.own.refuses = True
-        self.clock.callLater(1.0, setattr, self.own, 'refuses', False)
+        self.own.rejects_calls = True
+        self.clock.callLater(1.0, setattr, self.own, 'rejects_calls', False)
         self.finish(self.leaving.leave())
         self.assertEqual(1, len(self.released))
         self.assertLess(self.released[0], 1.5)
--- a/packages/yuccarill-daemon/tests/gateway/test_usage.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_usage.py
@@ -162,8 +162,10 @@
                 ),
                 self.clock,
             )
-        watching.listen(usage.duty.update)
-        following = [defer.ensureDeferred(w) for w in watching.following()]
+        watching.add_listener(usage.duty.update)
+        following = [
+            defer.ensureDeferred(w) for w in watching.follow_coroutines()
+        ]
         for each in following:
             each.addErrback(lambda failure: failure.trap(Exception))
             self.addCleanup(each.cancel)
@@ -179,7 +181,7 @@
         """Stop all activity of a process."""
         instance = self.instances_by_name[name]
         instance.is_dead = True
-        instance.store.is_silent = True
+        instance.store.drops_calls = True
         instance.usage.counter.stop()
         instance.usage.reporter.stop()
         for each in instance.following:
@@ -414,7 +416,7 @@
                 for name, value in fault.items():
                     setattr(each.store, name, value)
 
-    @params('refuses', 'is_silent', 'loses_replies')
+    @params('rejects_calls', 'drops_calls', 'loses_replies')
     def test_a_fault_of_several_seconds(self, fault: str) -> None:
         self.pass_time(14.0)
         self.set_store_faults(**{fault: True})
@@ -423,7 +425,7 @@
         self.pass_time(40.0)
         self.assert_reported()
 
-    @params('refuses', 'is_silent')
+    @params('rejects_calls', 'drops_calls')
     def test_a_holder_lost_while_the_store_is_unavailable(
         self, fault: str
     ) -> None:
--- a/packages/yuccarill-daemon/tests/gateway/test_watched_calls.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_watched_calls.py
@@ -41,7 +41,7 @@
             raise self.end
         return self.end
 
-    async def has_ended(self, target: ListedTarget) -> bool:
+    async def is_target_down(self, target: ListedTarget) -> bool:
         return True
 
 
@@ -89,7 +89,11 @@
     # Whether the connection to a crashed target was lost, and the verdict.
     @params((True, Verdict.SUSPECT), (False, Verdict.WATCHED))
     def test_only_a_lost_connection_counts(
-        self, is_lost: bool, expected: Verdict
+        self, is_connection_lost: bool, expected: Verdict
     ) -> None:
-        end = calls.CallFailed(calls.CallEnd.BROKEN, 'cause', is_lost=is_lost)
+        end = calls.CallFailed(
+            calls.CallEnd.BROKEN,
+            'cause',
+            is_connection_lost=is_connection_lost,
+        )
         self.assertEqual(expected, self.send(end))
