--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/connections.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/connections.py
@@ -45,23 +45,23 @@
         request: http_exchange.OutgoingRequest,
         deadline: Instant,
         *,
-        sink: http_exchange.StreamSink | None = None,
+        sink: http_exchange.ResponseSink | None = None,
         is_fresh: bool = False,
         progress_seconds: float | None = None,
     ) -> http_exchange.Reply:
         """Send one request and return its complete response.
 
         Cancelling the coroutine closes the connection. Raises NotConnected
-        if no byte was sent, else ExchangeBroken.
+        if no byte was sent, else ExchangeFailed.
         """
-        sink = sink or http_exchange.StreamSink()
+        sink = sink or http_exchange.ResponseSink()
         connection = None if is_fresh else self._pop_idle(address)
         if connection is None:
             connection = await self._open(address, deadline)
         timer = self._clock.callLater(
             max(0.0, deadline - self._clock.seconds()),
             connection.fail,
-            http_exchange.ExchangeBroken('no whole answer in time'),
+            http_exchange.ExchangeFailed('no whole answer in time'),
         )
         try:
             await connection.send(request, sink, progress_seconds)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/engine_weights.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/engine_weights.py
@@ -37,7 +37,7 @@
     queued: int = 0
 
 
-class Ended(NamedTuple):
+class OrderResult(NamedTuple):
     """The outcome of an order and the state that the engine then reported."""
 
     outcome: OrderOutcome
@@ -61,7 +61,7 @@
 
     async def order(
         self, address: str, order: Order, model: ModelName, epoch: Epoch
-    ) -> Ended:
+    ) -> OrderResult:
         """Send a weight order and wait for its outcome."""
         body = {
             'kind': order.kind.value,
@@ -78,9 +78,9 @@
             )
             state = self._decode(await http.body(response, BODY_SECONDS))
         except Exception:
-            return Ended(OrderOutcome.SILENT, None)
+            return OrderResult(OrderOutcome.SILENT, None)
         outcome = _OUTCOMES_BY_STATUS.get(response.code, OrderOutcome.FAILED)
-        return Ended(outcome, state)
+        return OrderResult(outcome, state)
 
     def _decode(self, content: bytes) -> TargetState:
         decoded = self._decoder.decode(content)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/http_exchange.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/http_exchange.py
@@ -35,15 +35,15 @@
     """Raised if no process listens at an address."""
 
 
-class ExchangeBroken(Exception):
+class ExchangeFailed(Exception):
     """Raised if a request was sent and got no complete response."""
 
 
-class ConnectionLost(ExchangeBroken):
+class ConnectionLost(ExchangeFailed):
     """Raised if a connection ended before the response was complete."""
 
 
-class SinkRefused(Exception):
+class ResponseRejected(Exception):
     """Raised by a sink that rejects a response."""
 
 
@@ -79,7 +79,7 @@
     body: bytes
 
 
-class StreamSink:
+class ResponseSink:
     """Receive a response in parts; this base class buffers the body."""
 
     def __init__(self) -> None:
@@ -93,13 +93,13 @@
             self._parts = [b''.join(self._parts)]
         return self._parts[0] if self._parts else b''
 
-    def attach(self, reading: Reading) -> None:
+    def set_read_control(self, reading: ReadControl) -> None:
         """Accept the handle that pauses and resumes reading."""
 
-    def begin(self, head: ReplyHead) -> None:
+    def receive_head(self, head: ReplyHead) -> None:
         """Accept the response head.
 
-        Raises SinkRefused, as does `receive`.
+        Raises ResponseRejected, as does `receive`.
         """
         self.head = head
 
@@ -108,7 +108,7 @@
         self._parts.append(data)
 
 
-class Reading(Protocol):
+class ReadControl(Protocol):
     """Control of the flow of a response, for back pressure."""
 
     def pause(self) -> None: ...
@@ -125,7 +125,7 @@
         self._http = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=_MAX_HEAD_BYTES
         )
-        self._sink: StreamSink | None = None
+        self._sink: ResponseSink | None = None
         self._finished: defer.Deferred[None] | None = None
         self._progress_seconds: float | None = None
         self._progress_timer: Any = None
@@ -155,7 +155,7 @@
     def send(
         self,
         request: OutgoingRequest,
-        sink: StreamSink,
+        sink: ResponseSink,
         progress_seconds: float | None,
     ) -> defer.Deferred[None]:
         """Send a request; the Deferred fires when the response is complete."""
@@ -172,7 +172,7 @@
         # The transport joins the parts, which saves a copy of a long body.
         self.transport.writeSequence(parts)
         self._restart_progress_timer()
-        sink.attach(self)
+        sink.set_read_control(self)
         return finished
 
     def pause(self) -> None:
@@ -256,15 +256,15 @@
             if not self._is_open:
                 # h11 reports its own state, not the connection's end.
                 return
-            self.fail(ExchangeBroken(f'invalid HTTP response: {error}'))
-        except SinkRefused as error:
-            self.fail(ExchangeBroken(str(error)))
+            self.fail(ExchangeFailed(f'invalid HTTP response: {error}'))
+        except ResponseRejected as error:
+            self.fail(ExchangeFailed(str(error)))
 
     def _handle_event(self, event: Any) -> None:
         assert self._sink is not None
         match event:
             case h11.Response():
-                self._sink.begin(_reply_head(event))
+                self._sink.receive_head(_reply_head(event))
             case h11.Data():
                 self._sink.receive(bytes(event.data))
             case h11.EndOfMessage():
@@ -326,7 +326,7 @@
         self._progress_timer = self._clock.callLater(
             self._progress_seconds,
             self.fail,
-            ExchangeBroken('the response stalled'),
+            ExchangeFailed('the response stalled'),
         )
 
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/small_server.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/small_server.py
@@ -42,7 +42,7 @@
         return self.target.partition('?')[2]
 
 
-class Page(msgspec.Struct, frozen=True, kw_only=True):
+class SmallResponse(msgspec.Struct, frozen=True, kw_only=True):
     """A response."""
 
     status: int
@@ -58,7 +58,7 @@
     def __init__(
         self,
         clock: Any,
-        handle: Callable[[SmallRequest], Coroutine[Any, Any, Page]],
+        handle: Callable[[SmallRequest], Coroutine[Any, Any, SmallResponse]],
     ) -> None:
         super().__init__(reactor=clock)
         self.handle = handle
@@ -96,7 +96,7 @@
         self.notifyFinish().addErrback(lambda _: answering.cancel())
         answering.addCallbacks(self._send_page, self._on_failure)
 
-    def _send_page(self, page: Page) -> None:
+    def _send_page(self, page: SmallResponse) -> None:
         if self._disconnected:
             return
         self.setResponseCode(page.status)
@@ -109,4 +109,4 @@
         if failure.check(defer.CancelledError):
             return
         log.error('Request failed.', cause=failure.getTraceback())
-        self._send_page(Page(status=500))
+        self._send_page(SmallResponse(status=500))
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/target.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/adapters/target.py
@@ -44,8 +44,8 @@
     # attempts.
     attempt: int = 1
     # Deadlines for opening the connection and for the complete answer.
-    connect_by: Instant
-    answer_by: Instant
+    connect_deadline: Instant
+    answer_deadline: Instant
 
     def url(self, address: str) -> str:
         # An unquoted ? or # in the path would reach another path of the
@@ -82,17 +82,17 @@
         # A new connection that fails to open has sent nothing. A pooled one
         # can be dead, so a failure on it leaves the outcome unknown.
         connection = _ConnectionTracker(
-            self._clock, self._remaining(request.connect_by), on_step
+            self._clock, self._remaining(request.connect_deadline), on_step
         )
         agent = client.Agent.usingEndpointFactory(self._clock, connection)
         try:
             response = await self._limit(
-                self._send(agent, address, request), request.answer_by
+                self._send(agent, address, request), request.answer_deadline
             )
             on_step(Step.ANSWERING)
             reader = _BodyReader(connection.abort)
             response.deliverBody(reader)
-            body = await self._limit(reader.finished, request.answer_by)
+            body = await self._limit(reader.finished, request.answer_deadline)
         except Exception as error:
             connection.abort()
             if not connection.is_open:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/attempts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/attempts.py
@@ -194,8 +194,8 @@
             body=call.body,
             priority=self._entry.priority,
             attempt=len(self._tried),
-            connect_by=call.deadline,
-            answer_by=Instant(call.deadline + extra_seconds),
+            connect_deadline=call.deadline,
+            answer_deadline=Instant(call.deadline + extra_seconds),
         )
 
     def _handle_failure(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/leases.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/leases.py
@@ -84,7 +84,7 @@
         self._discovery_until = Instant(now() + DISCOVERY_SECONDS)
         # Returns the duties whose shards stay here while work is in progress.
         # A graceful shutdown transfers all shards.
-        self.busy_duties: Callable[[], list[str]] = list
+        self.active_duties: Callable[[], list[str]] = list
         self._leases = manager_module.LeaseManager(
             blackboard.own_instance.id,
             incarnation,
@@ -236,7 +236,7 @@
             self._dissemination.receive(record)
 
     async def _transfer(self, wanted: messages.LeaseAsk) -> messages.Body:
-        busy = frozenset(map(shards.shard_of, self.busy_duties()))
+        busy = frozenset(map(shards.shard_of, self.active_duties()))
         given = self._leases.transfer_requested(
             Holder(wanted.instance, wanted.session), wanted.shards, busy
         )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/rollouts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/rollouts.py
@@ -107,7 +107,7 @@
             return await self._delivery.fetch_decided(trainer_id, step)
         return await self._delivery.fetch(work)
 
-    def busy_duties(self) -> list[str]:
+    def active_duties(self) -> list[str]:
         """Return the duties that have a step without a manifest."""
         return [
             shards.trainer_duty(work.trainer)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/shutdown.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/shutdown.py
@@ -92,9 +92,9 @@
 
     def _in_flight(self) -> shutdown.InFlight:
         return shutdown.InFlight(
-            requests=self._site.in_flight + self._peers.in_hand,
-            samples=self._rollouts.active,
-            steps=len(self._rollouts.busy_duties()),
+            requests=self._site.in_flight + self._peers.requests_in_flight,
+            samples=self._rollouts.active_samples,
+            steps=len(self._rollouts.active_duties()),
             shards=0 if self._is_handed_over else 1,
         )
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/__main__.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/__main__.py
@@ -4,14 +4,14 @@
 
 import sys
 
-from yuccarill.daemon import left_out
+from yuccarill.daemon import module_stubs
 
 # Block the optional imports of libraries that the gateway never uses.
 for _name in ('OpenSSL', '_hashlib', 'ctypes'):
     sys.modules[_name] = None  # type: ignore[assignment]
 # Libraries import these, but the gateway uses no TLS, asyncio, forms or files
 # and serves its metrics itself.
-left_out.leave_out(
+module_stubs.stub_modules(
     'calendar',
     'email',
     'email.message',
@@ -31,8 +31,8 @@
     'urllib.request',
     'wsgiref.simple_server',
 )
-left_out.leave_out_asyncio()
-left_out.leave_out_typing_extensions()
+module_stubs.stub_asyncio()
+module_stubs.stub_typing_extensions()
 
 from yuccarill.daemon.gateway import application  # noqa: E402
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/broker_desk.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/broker_desk.py
@@ -12,7 +12,7 @@
 from yuccarill.core.capacity.messages import DemandReport
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import ServiceName
-from yuccarill.daemon.adapters.small_server import Page
+from yuccarill.daemon.adapters.small_server import SmallResponse
 from yuccarill.daemon.gateway import meters
 from yuccarill.daemon.gateway import peer_call
 from yuccarill.daemon import logs
@@ -81,16 +81,16 @@
         ready = self._state.targets.ready(service)
         return sum(target.slots for target in ready.values())
 
-    def handle(self, request: SmallRequest) -> Page:
+    def handle(self, request: SmallRequest) -> SmallResponse:
         """Answer a demand report from the peer port."""
         if self._state.is_leaving:
-            return Page(status=409)
+            return SmallResponse(status=409)
         try:
             report = msgspec.msgpack.decode(request.body, type=DemandReport)
         except msgspec.MsgspecError as error:
             log.warning('Demand report is malformed.', cause=str(error))
-            return Page(status=400)
-        return Page(
+            return SmallResponse(status=400)
+        return SmallResponse(
             status=200,
             content_type='application/msgpack',
             body=msgspec.msgpack.encode(self.lend(report)),
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/control.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/control.py
@@ -15,7 +15,7 @@
 from yuccarill.core import errors
 from yuccarill.core.ids import InstanceId
 from yuccarill.core.ids import Instant
-from yuccarill.daemon.adapters.small_server import Page
+from yuccarill.daemon.adapters.small_server import SmallResponse
 from yuccarill.daemon.gateway.capacity import broker_desk
 from yuccarill.daemon.gateway.capacity import port
 from yuccarill.daemon.gateway.capacity import reporting
@@ -85,7 +85,7 @@
         """Return whether this class serves a path of the peer port."""
         return path in broker_desk.PATHS
 
-    async def handle(self, request: SmallRequest) -> Page:
+    async def handle(self, request: SmallRequest) -> SmallResponse:
         """Answer a request from the peer port."""
         match request.path:
             case broker_desk.REPORT_PATH:
@@ -94,9 +94,11 @@
                 return self._handle_notice(request)
             case broker_desk.OVERVIEW_PATH:
                 overviews = [self._overview(each) for each in self._services()]
-                return Page(status=200, body=msgspec.json.encode(overviews))
+                return SmallResponse(
+                    status=200, body=msgspec.json.encode(overviews)
+                )
             case _:
-                return Page(status=404)
+                return SmallResponse(status=404)
 
     def _services(self) -> list[ServiceName]:
         found = self.gates_by_service.keys() | self.desk.brokers_by_service
@@ -119,17 +121,17 @@
             fleet=() if lender is None else lender.overview(),
         )
 
-    def _handle_notice(self, request: SmallRequest) -> Page:
+    def _handle_notice(self, request: SmallRequest) -> SmallResponse:
         try:
             notice = msgspec.msgpack.decode(
                 request.body, type=broker_desk.CapacityNotice
             )
         except msgspec.MsgspecError as error:
             log.warning('Congestion notice is malformed.', cause=str(error))
-            return Page(status=400)
+            return SmallResponse(status=400)
         self._gate(notice.service).congestion.record_notice(self._now())
         self._report_if_congested(notice.service)
-        return Page(status=200)
+        return SmallResponse(status=200)
 
     def _gate(self, service: ServiceName) -> service_gate.ServiceGate:
         gate = self.gates_by_service.get(service)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/holder_calls.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/holder_calls.py
@@ -7,7 +7,7 @@
 
 from yuccarill.core.ids import InstanceId
 from yuccarill.core.ids import ServiceName
-from yuccarill.daemon.adapters.small_server import Page
+from yuccarill.daemon.adapters.small_server import SmallResponse
 from yuccarill.daemon.gateway import peer_call
 from yuccarill.daemon import logs
 
@@ -59,11 +59,11 @@
             return False
         return True
 
-    async def handle(self, request: SmallRequest) -> Page:
+    async def handle(self, request: SmallRequest) -> SmallResponse:
         """Answer whether this instance reclaims a duty; 409 if it does not."""
         query = urllib.parse.parse_qs(request.query)
         service = ServiceName(query.get('service', [''])[0])
         if self._state.is_leaving:
-            return Page(status=409)
+            return SmallResponse(status=409)
         self.on_asked(service)
-        return Page(status=200)
+        return SmallResponse(status=200)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/generation.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/generation.py
@@ -135,7 +135,7 @@
         weights = None if version is None else WeightVersion(version)
         self._record_version(weights)
         if weights is not None and weights < self._run.job.min_version:
-            raise http_exchange.SinkRefused(
+            raise http_exchange.ResponseRejected(
                 f'weight version {weights} is too old'
             )
         self._run.text.begin_run(weights)
@@ -145,11 +145,13 @@
         try:
             self._run.text.add_event(event)
         except text_module.TextSequenceError as error:
-            raise http_exchange.SinkRefused(str(error)) from error
+            raise http_exchange.ResponseRejected(str(error)) from error
         job = self._run.job
         if not self._run.text.fits(job.min_version, job.is_single_version):
             self.must_restart = True
-            raise http_exchange.SinkRefused('weights changed during the run')
+            raise http_exchange.ResponseRejected(
+                'weights changed during the run'
+            )
         now = Instant(self._clock.seconds())
         self._on_progress(now)
         if self._last_at is not None:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/texts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/texts.py
@@ -18,7 +18,7 @@
 from yuccarill.core.jobs import text_copies
 from yuccarill.core.jobs.text_copies import TextChange
 from yuccarill.core.speeds.estimate import SpeedRecord
-from yuccarill.daemon.adapters.small_server import Page
+from yuccarill.daemon.adapters.small_server import SmallResponse
 from yuccarill.daemon.gateway import peer_call
 from yuccarill.daemon import logs
 
@@ -105,23 +105,25 @@
         self._texts_by_service: dict[ServiceName, dict[ItemId, _TextCopy]] = {}
         self._speeds_by_service: dict[ServiceName, _StoredSpeeds] = {}
 
-    async def handle(self, request: SmallRequest) -> Page:
+    async def handle(self, request: SmallRequest) -> SmallResponse:
         """Receive texts from a peer, or return the stored ones."""
         if request.method == 'GET':
             return self._send_part(request)
         return self._receive(request)
 
-    def _send_part(self, request: SmallRequest) -> Page:
+    def _send_part(self, request: SmallRequest) -> SmallResponse:
         query = urllib.parse.parse_qs(request.query)
         service = ServiceName(query.get('service', [''])[0])
         first = query.get('first', ['0'])[0]
         max_bytes = query.get('bytes', [str(PART_BYTES)])[0]
         if not first.isdecimal() or not max_bytes.isdecimal():
-            return Page(status=400)
+            return SmallResponse(status=400)
         self.on_show(service)
         part = self._part(service, int(first), int(max_bytes))
         body = msgspec.msgpack.encode(part)
-        return Page(status=200, content_type='application/msgpack', body=body)
+        return SmallResponse(
+            status=200, content_type='application/msgpack', body=body
+        )
 
     def _part(
         self, service: ServiceName, first: int, max_bytes: int
@@ -143,12 +145,12 @@
             following=following if following < len(stored) else None,
         )
 
-    def _receive(self, request: SmallRequest) -> Page:
+    def _receive(self, request: SmallRequest) -> SmallResponse:
         try:
             message = msgspec.msgpack.decode(request.body, type=HandedTexts)
         except msgspec.MsgspecError as error:
             log.warning('Received texts are unreadable.', cause=str(error))
-            return Page(status=400)
+            return SmallResponse(status=400)
         self._clock.callLater(RETENTION_SECONDS, self._drop_expired)
         if message.speeds:
             self._speeds_by_service[message.service] = _StoredSpeeds(
@@ -158,7 +160,7 @@
         stored = self._texts_by_service.get(message.service, {})
         while len(stored) > MAX_TEXTS:
             del stored[next(iter(stored))]
-        return Page(status=200 if all(are_stored) else 409)
+        return SmallResponse(status=200 if all(are_stored) else 409)
 
     def _store(self, message: HandedTexts, change: TextChange) -> bool:
         """Store a text; return False if earlier events are missing."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/peer_call.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/peer_call.py
@@ -66,7 +66,7 @@
             reply = await self._links.exchange(address, request, deadline)
         except (
             http_exchange.NotConnected,
-            http_exchange.ExchangeBroken,
+            http_exchange.ExchangeFailed,
         ) as error:
             raise PeerFailed(str(error)) from error
         if reply.head.status != 200:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/process.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/process.py
@@ -305,7 +305,7 @@
 
     async def _answer_peer(
         self, request: small_server.SmallRequest
-    ) -> small_server.Page:
+    ) -> small_server.SmallResponse:
         if request.path == feed.PATH:
             return await self._feed_server.handle(request)
         if request.path == texts.PATH:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/desk.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/desk.py
@@ -10,7 +10,7 @@
 from yuccarill.core import errors
 from yuccarill.core.gateway.crash_ledger import QuarantinedContent
 from yuccarill.core.ids import ContentDigest
-from yuccarill.daemon.adapters.small_server import Page
+from yuccarill.daemon.adapters.small_server import SmallResponse
 from yuccarill.daemon.gateway.quarantine import end_messages
 from yuccarill.daemon import logs
 from yuccarill.platform import store as store_module
@@ -41,7 +41,7 @@
         self._reports = reports
         self._clock = clock
 
-    async def handle(self, request: SmallRequest) -> Page:
+    async def handle(self, request: SmallRequest) -> SmallResponse:
         """List the quarantined contents, or release one of them."""
         content = ContentDigest(request.path[len(PATH) + 1 :])
         match request.method:
@@ -52,7 +52,7 @@
             case _:
                 return _error_page(errors.WrongMethod('Use GET or DELETE.'))
 
-    def _list(self) -> Page:
+    def _list(self) -> SmallResponse:
         ledger = self._guard.ledger
         contents = [
             QuarantinedContent(
@@ -65,9 +65,9 @@
             )
             for content in ledger.quarantined()
         ]
-        return Page(status=200, body=msgspec.json.encode(contents))
+        return SmallResponse(status=200, body=msgspec.json.encode(contents))
 
-    async def _release(self, content: ContentDigest) -> Page:
+    async def _release(self, content: ContentDigest) -> SmallResponse:
         if content not in self._guard.ledger.quarantined():
             return _error_page(
                 errors.UnknownPath('This content is not quarantined.')
@@ -96,7 +96,7 @@
         return self._list()
 
 
-def _error_page(error: errors.YuccarillError) -> Page:
+def _error_page(error: errors.YuccarillError) -> SmallResponse:
     body = {
         'code': error.code,
         'name': error.code.name,
@@ -104,4 +104,6 @@
         'not_run': error.not_run,
         'retry_after': error.retry_after,
     }
-    return Page(status=error.http_status, body=msgspec.json.encode(body))
+    return SmallResponse(
+        status=error.http_status, body=msgspec.json.encode(body)
+    )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/parts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/parts.py
@@ -5,7 +5,7 @@
 from typing import Any
 from typing import TYPE_CHECKING
 
-from yuccarill.daemon.adapters.small_server import Page
+from yuccarill.daemon.adapters.small_server import SmallResponse
 from yuccarill.daemon.gateway import peer_call
 from yuccarill.daemon.gateway.quarantine import desk
 from yuccarill.daemon.gateway.quarantine import guard
@@ -58,7 +58,7 @@
         """Tell whether a path of the peer port belongs to the quarantine."""
         return path.startswith(reports.PATH)
 
-    async def handle(self, request: SmallRequest) -> Page:
+    async def handle(self, request: SmallRequest) -> SmallResponse:
         """Handle a request of a peer or an operator."""
         if request.path == reports.PATH:
             return await self._reports.handle(request)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/reports.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/reports.py
@@ -13,7 +13,7 @@
 from yuccarill.core.gateway.crash_ledger import CrashReport
 from yuccarill.core.ids import ContentDigest
 from yuccarill.core.ids import Instant
-from yuccarill.daemon.adapters.small_server import Page
+from yuccarill.daemon.adapters.small_server import SmallResponse
 from yuccarill.daemon.gateway import peer_call
 from yuccarill.daemon.gateway.quarantine import end_messages
 from yuccarill.daemon.gateway.quarantine.end_messages import EndMessage
@@ -115,7 +115,7 @@
             )
         )
 
-    async def handle(self, request: SmallRequest) -> Page:
+    async def handle(self, request: SmallRequest) -> SmallResponse:
         """Handle a message of a peer, or return all current reports."""
         if request.method == 'GET':
             return _page(self._snapshot())
@@ -123,7 +123,7 @@
             message = msgspec.msgpack.decode(request.body, type=EndMessage)
         except msgspec.MsgspecError as error:
             log.warning('Invalid peer message rejected.', cause=str(error))
-            return Page(status=400)
+            return SmallResponse(status=400)
         self._apply(message)
         contents = [c for end in message.ends for c in end.contents]
         completed = self._guard.ledger.known_completed(
@@ -242,8 +242,8 @@
             log.error('Peer exchange failed.', cause=failure.getTraceback())
 
 
-def _page(message: EndMessage) -> Page:
-    return Page(
+def _page(message: EndMessage) -> SmallResponse:
+    return SmallResponse(
         status=200,
         content_type='application/msgpack',
         body=msgspec.msgpack.encode(message),
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/relay.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/relay.py
@@ -120,7 +120,7 @@
             )
         except (
             http_exchange.NotConnected,
-            http_exchange.ExchangeBroken,
+            http_exchange.ExchangeFailed,
         ) as error:
             self._peers.exclude(peer.instance, SUSPECT_SECONDS)
             log.info(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/streams.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/streams.py
@@ -152,7 +152,7 @@
         # The client was slow to read during the current attempt.
         self.was_paused = False
         self._is_paused = False
-        self._reading: http_exchange.Reading | None = None
+        self._reading: http_exchange.ReadControl | None = None
         self._resumed: defer.Deferred[None] | None = None
         self._last = request.after_event
 
@@ -169,7 +169,7 @@
             account=self._request.account,
         )
 
-    def set_reading(self, reading: http_exchange.Reading) -> None:
+    def set_reading(self, reading: http_exchange.ReadControl) -> None:
         self._reading = reading
         self.was_paused = self._is_paused
         if self._is_paused:
@@ -215,7 +215,7 @@
     def event(self, event: StreamEvent) -> None:
         expected = (self._last or 0) + 1
         if event.number != expected:
-            raise http_exchange.SinkRefused(
+            raise http_exchange.ResponseRejected(
                 f'received event {event.number}, expected {expected}'
             )
         self._last = expected
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/desk.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/desk.py
@@ -12,7 +12,7 @@
 
 from yuccarill.core.ids import Instant
 from yuccarill.core.jobs.standby import StandbyWatch
-from yuccarill.daemon.adapters.small_server import Page
+from yuccarill.daemon.adapters.small_server import SmallResponse
 from yuccarill.daemon.gateway.standby import messages
 from yuccarill.daemon.gateway.standby import witness
 from yuccarill.daemon import logs
@@ -103,7 +103,7 @@
         """Return whether this desk serves a path of the peer port."""
         return path.startswith(messages.PATH)
 
-    async def handle(self, request: SmallRequest) -> Page:
+    async def handle(self, request: SmallRequest) -> SmallResponse:
         """Store a holder's open jobs, or answer another standby's query."""
         if request.path == messages.SIGHTING_PATH:
             return await self._witnesses.handle(request)
@@ -113,9 +113,9 @@
             )
         except msgspec.MsgspecError as error:
             log.warning('Open jobs could not be decoded.', cause=str(error))
-            return Page(status=400)
+            return SmallResponse(status=400)
         missing = self._record_jobs(message)
-        return Page(
+        return SmallResponse(
             status=200,
             content_type='application/msgpack',
             body=msgspec.msgpack.encode(messages.Lacking(jobs=missing)),
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/witness.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/witness.py
@@ -8,7 +8,7 @@
 import msgspec
 from twisted.internet import defer
 
-from yuccarill.daemon.adapters.small_server import Page
+from yuccarill.daemon.adapters.small_server import SmallResponse
 from yuccarill.daemon.gateway import peer_call
 from yuccarill.daemon.gateway.standby import messages
 from yuccarill.daemon import logs
@@ -79,7 +79,7 @@
             for each in sightings
         )
 
-    async def handle(self, request: SmallRequest) -> Page:
+    async def handle(self, request: SmallRequest) -> SmallResponse:
         """Report whether this instance reaches the store and the holder."""
         query = urllib.parse.parse_qs(request.query)
         holder = query.get('holder', [''])[0]
@@ -89,7 +89,7 @@
             store_age=self._store_age(),
             is_holder_reached=await self._is_reached(holder, incarnation),
         )
-        return Page(
+        return SmallResponse(
             status=200,
             content_type='application/msgpack',
             body=msgspec.msgpack.encode(sighting),
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/feed.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/feed.py
@@ -13,7 +13,7 @@
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import Revision
 from yuccarill.daemon.adapters import http_exchange
-from yuccarill.daemon.adapters.small_server import Page as HttpPage
+from yuccarill.daemon.adapters.small_server import SmallResponse as HttpPage
 from yuccarill.daemon.gateway.store import peer_choice
 from yuccarill.daemon import logs
 from yuccarill.platform import store as store_module
@@ -255,7 +255,7 @@
             feed = _decode_feed(reply)
         except (
             http_exchange.NotConnected,
-            http_exchange.ExchangeBroken,
+            http_exchange.ExchangeFailed,
             WatcherUnusable,
         ) as error:
             elapsed = self._clock.seconds() - started_at
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/store_router.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/store_router.py
@@ -10,7 +10,7 @@
 
 from yuccarill.core.ids import Instant
 from yuccarill.daemon.adapters import http_exchange
-from yuccarill.daemon.adapters.small_server import Page
+from yuccarill.daemon.adapters.small_server import SmallResponse
 from yuccarill.daemon.gateway import meters
 from yuccarill.daemon.gateway.store import direct_path
 from yuccarill.daemon.gateway.store import peer_choice
@@ -104,7 +104,7 @@
         """Return the store's answer.
 
         Raises NotConnected if the store did not receive the call, and
-        ExchangeBroken if the store may have executed it.
+        ExchangeFailed if the store may have executed it.
         """
         self._direct.note_waiting_caller()
         started_at = self._clock.seconds()
@@ -130,7 +130,7 @@
             reply = await self._exchange_directly(request, seconds)
         except (
             http_exchange.NotConnected,
-            http_exchange.ExchangeBroken,
+            http_exchange.ExchangeFailed,
         ) as error:
             self._direct.mark_failed(repr(error))
             peer = self._choose_peer()
@@ -146,7 +146,7 @@
             return reply
         return await self._send_through_peers(peer, request, seconds)
 
-    async def forward(self, request: SmallRequest) -> Page:
+    async def forward(self, request: SmallRequest) -> SmallResponse:
         """Forward a peer's call to the store, never through another peer."""
         outgoing = http_exchange.OutgoingRequest(
             method=request.method,
@@ -158,21 +158,21 @@
             body=request.body,
         )
         if not self._direct.is_working:
-            return Page(status=STATUS_NOT_REACHED)
+            return SmallResponse(status=STATUS_NOT_REACHED)
         try:
             reply = await self._exchange_directly(
                 outgoing, MAX_FORWARDED_SECONDS
             )
         except http_exchange.NotConnected:
-            return Page(status=STATUS_NOT_REACHED)
-        except http_exchange.ExchangeBroken:
-            return Page(status=STATUS_UNCLEAR)
+            return SmallResponse(status=STATUS_NOT_REACHED)
+        except http_exchange.ExchangeFailed:
+            return SmallResponse(status=STATUS_UNCLEAR)
         if store_module.is_rejected(reply.head.status):
             # Later calls of peers are rejected without a billed call; the
             # calling peer tries another instance.
             self._direct.mark_failed(f'status {reply.head.status}')
-            return Page(status=STATUS_NOT_REACHED)
-        return Page(status=reply.head.status, body=reply.body)
+            return SmallResponse(status=STATUS_NOT_REACHED)
+        return SmallResponse(status=reply.head.status, body=reply.body)
 
     async def pause(self, seconds: float) -> None:
         """Wait some seconds before a retry.
@@ -245,7 +245,7 @@
             reply = await self._exchange(
                 'peer', peer.peer_address, request, seconds
             )
-        except (http_exchange.NotConnected, http_exchange.ExchangeBroken):
+        except (http_exchange.NotConnected, http_exchange.ExchangeFailed):
             self._exclude(peer)
             raise
         if reply.head.status == STATUS_NOT_REACHED:
@@ -253,7 +253,7 @@
             raise http_exchange.NotConnected('peer does not reach the store')
         if reply.head.status == STATUS_UNCLEAR:
             self._exclude(peer)
-            raise http_exchange.ExchangeBroken(
+            raise http_exchange.ExchangeFailed(
                 'peer got no answer from the store'
             )
         self._peers.prefer(peer.instance)
@@ -275,7 +275,7 @@
             reply = await self._exchange_directly(
                 store_module.probe(host), direct_path.PROBE_TIMEOUT_SECONDS
             )
-        except (http_exchange.NotConnected, http_exchange.ExchangeBroken):
+        except (http_exchange.NotConnected, http_exchange.ExchangeFailed):
             return False
         return not store_module.is_rejected(reply.head.status)
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/parts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/parts.py
@@ -18,8 +18,8 @@
     from yuccarill.core.ids import AccountName
     from yuccarill.core.ids import Instant
     from yuccarill.daemon.adapters.connections import Connections
-    from yuccarill.daemon.adapters.small_server import Page
     from yuccarill.daemon.adapters.small_server import SmallRequest
+    from yuccarill.daemon.adapters.small_server import SmallResponse
     from yuccarill.daemon.gateway.duty.holder_calls import HolderCalls
     from yuccarill.daemon.gateway.state import GatewayState
     from yuccarill.platform.settings_file import UsageSettings
@@ -81,7 +81,7 @@
         """Tell whether a path of the peer port belongs to usage."""
         return path == messages.PATH
 
-    async def handle(self, request: SmallRequest) -> Page:
+    async def handle(self, request: SmallRequest) -> SmallResponse:
         """Handle a request of a peer or an operator."""
         return await self.reporter.handle(request)
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/reporter.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/reporter.py
@@ -13,7 +13,7 @@
 from yuccarill.core.ids import WindowNumber
 from yuccarill.core.usage import counts as counts_module
 from yuccarill.core.usage import reports
-from yuccarill.daemon.adapters.small_server import Page
+from yuccarill.daemon.adapters.small_server import SmallResponse
 from yuccarill.daemon.gateway import meters
 from yuccarill.daemon.gateway.usage import messages
 from yuccarill.daemon.gateway.usage import records as records_module
@@ -129,21 +129,23 @@
             closed_through=WindowNumber(self._open_from - 1),
         )
 
-    async def handle(self, request: SmallRequest) -> Page:
+    async def handle(self, request: SmallRequest) -> SmallResponse:
         """Handle counts of a peer or a request of an operator."""
         if request.method == 'GET':
-            return Page(status=200, body=msgspec.json.encode(self.status()))
+            return SmallResponse(
+                status=200, body=msgspec.json.encode(self.status())
+            )
         try:
             message = msgspec.msgpack.decode(
                 request.body, type=messages.CountMessage
             )
         except msgspec.MsgspecError as error:
             log.warning('Invalid usage message rejected.', cause=str(error))
-            return Page(status=400)
+            return SmallResponse(status=400)
         answer = self.merge(message)
         if answer is None:
-            return Page(status=409)
-        return Page(
+            return SmallResponse(status=409)
+        return SmallResponse(
             status=200,
             content_type='application/msgpack',
             body=msgspec.msgpack.encode(answer),
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/instance.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/instance.py
@@ -27,7 +27,7 @@
 from yuccarill.daemon.controllers import shutdown
 from yuccarill.daemon import logs
 from yuccarill.daemon import metrics
-from yuccarill.daemon import vitals
+from yuccarill.daemon import process_metrics
 from yuccarill.daemon import work_parts
 
 if TYPE_CHECKING:
@@ -65,7 +65,7 @@
             store,
             self._control,
         )
-        self._control.leases.busy_duties = self._work.rollouts.busy_duties
+        self._control.leases.active_duties = self._work.rollouts.active_duties
         self._site = self._build_site()
         self._shutdown = self._build_shutdown()
 
@@ -79,7 +79,7 @@
             reactor, settings.http_port, interface=settings.host, backlog=1024
         )
         self._shutdown.ports.append(await endpoint.listen(self._site))
-        vitals.Vitals(self._blackboard, reactor).start()
+        process_metrics.Vitals(self._blackboard, reactor).start()
         log.info('Instance is serving requests.', port=settings.http_port)
 
     async def stop(self) -> StopOutcome:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/left_out.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/module_stubs.py
@@ -9,24 +9,24 @@
 from typing import Any
 
 
-class LeftOut(Exception):
+class StubUsedError(Exception):
     """Raised on use of a module that was replaced by a stub."""
 
 
-def leave_out(*module_names: str) -> None:
+def stub_modules(*module_names: str) -> None:
     """Replace modules by stubs, so that importing them loads nothing."""
     for name in module_names:
         sys.modules[name] = _StubModule(name)
 
 
-def leave_out_asyncio() -> None:
+def stub_asyncio() -> None:
     """Replace asyncio by a stub with the one function that Twisted calls."""
     module = _StubModule('asyncio')
     module.iscoroutine = _is_coroutine
     sys.modules['asyncio'] = module
 
 
-def leave_out_typing_extensions() -> None:
+def stub_typing_extensions() -> None:
     """Replace typing_extensions by typing, enough for annotations."""
     module = _TypingProxy('typing_extensions')
     module.TypeVar = _type_var
@@ -63,10 +63,10 @@
 
 
 class _StubClass:
-    """Raise LeftOut when instantiated."""
+    """Raise StubUsedError when instantiated."""
 
     def __new__(cls, *_: Any, **__: Any) -> Any:
-        raise LeftOut(f'{cls.__module__}.{cls.__name__} is stubbed out.')
+        raise StubUsedError(f'{cls.__module__}.{cls.__name__} is stubbed out.')
 
 
 def _is_coroutine(value: object) -> bool:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/peers/peers.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/peers/peers.py
@@ -71,7 +71,7 @@
         return len(self._local.streams)
 
     @property
-    def in_hand(self) -> int:
+    def requests_in_flight(self) -> int:
         """Return the number of requests from peers in flight."""
         return sum(each.incoming_in_flight for each in self._local.streams)
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/rollout_parts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/rollout_parts.py
@@ -69,14 +69,14 @@
             step_routing.HolderClient(blackboard, peers).ask,
             leases.epoch_for,
         )
-        self.busy_duties = controller.busy_duties
+        self.active_duties = controller.active_duties
         self.open_steps = controller.open_steps
         self.steps = step_routing.StepRouting(
             blackboard, leases, controller, peers
         )
 
     @property
-    def active(self) -> int:
+    def active_samples(self) -> int:
         """Return the number of samples in generation."""
         return self._maker.active
 
--- a/packages/yuccarill-daemon/tests/adapters/test_http_exchange.py
+++ b/packages/yuccarill-daemon/tests/adapters/test_http_exchange.py
@@ -15,7 +15,7 @@
         self, parts: tuple[bytes, ...], expected: bytes
     ) -> None:
         """Guard against copying a long body at each access."""
-        sink = http_exchange.StreamSink()
+        sink = http_exchange.ResponseSink()
         for part in parts:
             sink.receive(part)
         self.assertEqual(expected, sink.body)
--- a/packages/yuccarill-daemon/tests/adapters/test_target.py
+++ b/packages/yuccarill-daemon/tests/adapters/test_target.py
@@ -51,6 +51,6 @@
         query=query,
         content_type='',
         body=b'',
-        connect_by=Instant(1.0),
-        answer_by=Instant(1.0),
+        connect_deadline=Instant(1.0),
+        answer_deadline=Instant(1.0),
     )
--- a/packages/yuccarill-daemon/tests/controllers/test_shutdown.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_shutdown.py
@@ -34,8 +34,8 @@
             self.calls,
             self.calls,
             self.calls,
-            mock.Mock(active=0, busy_duties=lambda: self.busy),
-            mock.Mock(in_hand=0, close=mock.AsyncMock()),
+            mock.Mock(active_samples=0, active_duties=lambda: self.busy),
+            mock.Mock(requests_in_flight=0, close=mock.AsyncMock()),
             self.site,
             self.clock,
         )
--- a/packages/yuccarill-daemon/tests/controllers/test_weights.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_weights.py
@@ -16,7 +16,7 @@
 from yuccarill.core import errors
 from yuccarill.core.membership.instances import Instance
 from yuccarill.core.weights import orders
-from yuccarill.daemon.adapters.engine_weights import Ended
+from yuccarill.daemon.adapters.engine_weights import OrderResult
 from yuccarill.daemon.controllers import targets
 from yuccarill.daemon.controllers import weights
 from yuccarill.wire import messages
@@ -121,7 +121,7 @@
         else:
             engine[:] = [order.version, 0]
         state = await self.read(address)
-        return Ended(orders.OrderOutcome.DONE, state)
+        return OrderResult(orders.OrderOutcome.DONE, state)
 
     def _build(self, name: str) -> tuple[Any, Any]:
         board, leases = self.boards[name], Leases(self, name)
--- a/packages/yuccarill-daemon/tests/gateway/runner_world.py
+++ b/packages/yuccarill-daemon/tests/gateway/runner_world.py
@@ -126,7 +126,7 @@
         try:
             sink.begin(answer, found.version)
             await self._events(found, first, sink)
-        except http_exchange.SinkRefused as error:
+        except http_exchange.ResponseRejected as error:
             raise calls.CallFailed(calls.CallEnd.BROKEN, str(error)) from error
         return answer
 
@@ -146,7 +146,7 @@
             if engine.ends != ends:
                 raise _connection_lost()
             if engine.breaks_after and sent >= engine.breaks_after:
-                raise http_exchange.SinkRefused('broke off')
+                raise http_exchange.ResponseRejected('broke off')
             changed = engine.version != version
             version = engine.version
             sink.event(
--- a/packages/yuccarill-daemon/tests/gateway/test_capacity.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_capacity.py
@@ -50,7 +50,7 @@
         if address in self.unreachable:
             left = deadline - self.clock.seconds()
             await task.deferLater(self.clock, left)
-            raise http_exchange.ExchangeBroken('unreachable')
+            raise http_exchange.ExchangeFailed('unreachable')
         await task.deferLater(self.clock, 0.001)
         page = await self.controls_by_address[address].handle(
             small_server.SmallRequest(
--- a/packages/yuccarill-daemon/tests/gateway/test_standby.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_standby.py
@@ -77,7 +77,7 @@
 
     async def handle(
         self, request: small_server.SmallRequest
-    ) -> small_server.Page:
+    ) -> small_server.SmallResponse:
         if self.desk.handles(request.path):
             return await self.desk.handle(request)
         return await self.depot.handle(request)
@@ -440,7 +440,7 @@
         if self._world.lost & {name, self._name}:
             left = max(0.0, deadline - self._world.clock.seconds())
             await task.deferLater(self._world.clock, left)
-            raise http_exchange.ExchangeBroken('no answer')
+            raise http_exchange.ExchangeFailed('no answer')
         page = await self._world.peers_by_name[name].handle(
             small_server.SmallRequest(
                 method=request.method, target=request.target, body=request.body
--- a/packages/yuccarill-daemon/tests/gateway/test_store_router.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_store_router.py
@@ -61,7 +61,7 @@
 
     def test_a_peer_forwards_calls_while_direct_calls_fail(self) -> None:
         """Guard against a lost lease while only this instance is cut off."""
-        error = http_exchange.ExchangeBroken('no answer')
+        error = http_exchange.ExchangeFailed('no answer')
         self.connections.statuses_by_address['store:3'] = error
         self.assertEqual(200, self.send())
         self.connections.sent.clear()
@@ -163,7 +163,7 @@
             self.connections.statuses_by_address[peer] = (
                 store_router.STATUS_UNCLEAR
             )
-        with self.assertRaises(http_exchange.ExchangeBroken):
+        with self.assertRaises(http_exchange.ExchangeFailed):
             self.send()
 
     def test_loss_of_direct_calls_is_reported_once(self) -> None:
--- a/packages/yuccarill-daemon/tests/gateway/test_streams.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_streams.py
@@ -97,7 +97,7 @@
                         raw=b'%d;' % number,
                     )
                 )
-        except http_exchange.SinkRefused as error:
+        except http_exchange.ResponseRejected as error:
             raise calls.CallFailed(calls.CallEnd.BROKEN, str(error)) from error
         if first + count <= EVENTS:
             raise calls.CallFailed(calls.CallEnd.BROKEN, 'broke off')
--- a/packages/yuccarill-daemon/tests/gateway/test_texts.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_texts.py
@@ -91,7 +91,7 @@
         if depot is None:
             left = deadline - self.clock.seconds()
             await task.deferLater(self.clock, left)
-            raise http_exchange.ExchangeBroken('no whole answer in time')
+            raise http_exchange.ExchangeFailed('no whole answer in time')
         page = await depot.handle(
             small_server.SmallRequest(
                 method=request.method,
@@ -101,7 +101,7 @@
         )
         await task.deferLater(self.clock, len(page.body) / self.rate)
         if self.clock.seconds() > deadline:
-            raise http_exchange.ExchangeBroken('no whole answer in time')
+            raise http_exchange.ExchangeFailed('no whole answer in time')
         head = http_exchange.ReplyHead(status=page.status, headers=())
         body = b'spoiled' if self.is_corrupt else page.body
         return http_exchange.Reply(head=head, body=body)
--- a/packages/yuccarill-daemon/tests/gateway/test_usage.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_usage.py
@@ -75,11 +75,11 @@
         if self.is_silent:
             left = max(0.0, deadline - self.clock.seconds())
             await task.deferLater(self.clock, left)
-            raise http_exchange.ExchangeBroken('silent')
+            raise http_exchange.ExchangeFailed('silent')
         if self.status == 200:
             self._accept(request)
         if self.loses_answers:
-            raise http_exchange.ExchangeBroken('lost')
+            raise http_exchange.ExchangeFailed('lost')
         head = http_exchange.ReplyHead(status=self.status, headers=())
         return http_exchange.Reply(head=head, body=b'')
 
@@ -287,7 +287,7 @@
         asked = small_server.SmallRequest(
             method=request.method, target=request.target, body=request.body
         )
-        page = small_server.Page(status=200)
+        page = small_server.SmallResponse(status=200)
         if not asked.path == holder_calls.PATH:
             page = await peer.usage.handle(asked)
         head = http_exchange.ReplyHead(status=page.status, headers=())
--- a/packages/yuccarill-daemon/tests/test_left_out.py
+++ b/packages/yuccarill-daemon/tests/test_module_stubs.py
@@ -41,7 +41,7 @@
     return finished.stdout.splitlines(), finished.stderr
 
 
-class LeftOutTest(unittest.TestCase):
+class ModuleStubsTest(unittest.TestCase):
     def test_unused_modules_are_not_loaded(self) -> None:
         """Guard against memory use by unused modules."""
         loaded, _ = run('--settings-file', '/dev/null')
--- a/packages/yuccarill-daemon/tests/test_vitals.py
+++ b/packages/yuccarill-daemon/tests/test_process_metrics.py
@@ -9,20 +9,20 @@
 
 from yuccarill.daemon import metrics
 from yuccarill.daemon.metrics import Metric
-from yuccarill.daemon import vitals
+from yuccarill.daemon import process_metrics
 
 
-class VitalsTest(unittest.TestCase):
+class ProcessMetricsTest(unittest.TestCase):
     def test_reports_the_loop_delay(self) -> None:
         clock = task.Clock()
-        reporter = vitals.Vitals(mock.Mock(snapshot=None), clock)
+        reporter = process_metrics.Vitals(mock.Mock(snapshot=None), clock)
         with (
             mock.patch.object(metrics, 'timing', autospec=True) as timing,
             mock.patch.object(metrics, 'gauge', autospec=True) as gauge,
         ):
             reporter.start()
-            clock.advance(vitals.PERIOD_SECONDS + 0.25)
-            clock.advance(vitals.PERIOD_SECONDS)
+            clock.advance(process_metrics.PERIOD_SECONDS + 0.25)
+            clock.advance(process_metrics.PERIOD_SECONDS)
         self.assertEqual(
             [
                 mock.call(Metric.PROCESS_LOOP_DELAY, 0.25),
