--- a/packages/yuccarill-daemon/tests/controllers/fleet.py
+++ b/packages/yuccarill-daemon/tests/controllers/fleet.py
@@ -53,7 +53,7 @@
         self.blackboard = Blackboard(own_instance=me)
         # Highest revision that was in force on this node.
         self.highest_revision = 0
-        peers = fleet.network.peers_of(me)
+        peers = fleet.network.peer_client_of(me)
         self._store = NodeStore(fleet.store)
         self.dissemination = dissemination.DisseminationController(
             me, fleet, peers, self._store, random.Random(me.id), fleet.clock
@@ -134,7 +134,10 @@
         cut = self.instances[number].id
         for other in self.instances:
             if other.id != cut:
-                self.network.silent |= {(cut, other.id), (other.id, cut)}
+                self.network.dropped_pairs |= {
+                    (cut, other.id),
+                    (other.id, cut),
+                }
 
     def advance(self, seconds: float) -> None:
         """Advance the clock; check that no revision reverts."""
--- a/packages/yuccarill-daemon/tests/controllers/test_configuration.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_configuration.py
@@ -47,7 +47,7 @@
         # after the write: the applying instance sends it to the watchers of
         # each data centre before any exchange.
         self.start_with_revision_1(*range(6))
-        self.fleet.store.fault = memory.WriteFault.DOWN_AFTER
+        self.fleet.store.next_write_fault = memory.WriteFault.DOWN_AFTER
         results = self.fleet.apply(0, 1, 'a', 'b')
         self.fleet.advance(0.1)
         self.assertEqual(2, results[0].revision)
@@ -63,7 +63,7 @@
             self.fleet.apply(0, base, f'b{base}' * 20)
             self.fleet.advance(0.2)
         self.fleet.store.is_down = True
-        self.fleet.network.silent.clear()
+        self.fleet.network.dropped_pairs.clear()
         self.fleet.advance(IN_FORCE_SECONDS)
         self.assertEqual({30}, self.revisions())
 
@@ -84,12 +84,14 @@
         # polling for it at a high rate, and applying changes based on it.
         self.start_with_revision_1(*range(6))
         store = self.fleet.store
-        head = head_module.decode(store.peek(head_module.HEAD_KEY).value)
+        head = head_module.decode(
+            store.stored_entry(head_module.HEAD_KEY).value
+        )
         change = msgspec.structs.replace(
             head.changes[0], revision=2, digest='another'
         )
         wrong = msgspec.structs.replace(head, changes=(*head.changes, change))
-        version = store.peek(head_module.HEAD_KEY).version
+        version = store.stored_entry(head_module.HEAD_KEY).version
         self.fleet.outcome(
             store.swap(
                 head_module.HEAD_KEY, head_module.encode(wrong), version
@@ -126,7 +128,7 @@
         self.fleet.apply(0, 1, 'a', 'b')
         self.fleet.advance(1.0)
         self.assertEqual({1, 2}, self.revisions())
-        self.fleet.network.silent.clear()
+        self.fleet.network.dropped_pairs.clear()
         self.fleet.advance(IN_FORCE_SECONDS)
         self.assertEqual({2}, self.revisions())
 
@@ -149,7 +151,7 @@
         self.fleet.apply(0, 1, 'a', 'b')
         self.fleet.advance(IN_FORCE_SECONDS)
         self.fleet.store.is_down = True
-        self.fleet.network.silent.clear()
+        self.fleet.network.dropped_pairs.clear()
         ids = [instance.id for instance in self.fleet.instances]
         self.fleet.network.delay = lambda a, b: (
             0.0 if ids[1] in (a.id, b.id) else 0.1
@@ -176,7 +178,7 @@
         self.fleet.advance(1.0)
         self.assertRefused(errors.StoreUnavailable, results)
         self.fleet.store.is_down = False
-        self.fleet.store.land_delayed()
+        self.fleet.store.execute_delayed_writes()
         self.fleet.advance(IN_FORCE_SECONDS)
         self.assertEqual({1}, self.revisions())
 
@@ -187,11 +189,11 @@
         # Guards against a delayed write taking effect after the refusal; the
         # fence makes the store reject it.
         self.start_with_revision_1(*range(6))
-        self.fleet.store.fault = fault
+        self.fleet.store.next_write_fault = fault
         results = self.fleet.apply(0, 1, 'a', 'b')
         self.fleet.advance(2.0)
         self.assertRefused(errors.StoreUnavailable, results)
-        self.fleet.store.land_delayed()
+        self.fleet.store.execute_delayed_writes()
         self.fleet.advance(IN_FORCE_SECONDS)
         self.assertEqual({1}, self.revisions())
         self.fleet.apply(1, 1, 'c')
@@ -202,19 +204,19 @@
         # Guards against a write with unknown outcome taking effect late: the
         # instance fences it once the store is back.
         self.start_with_revision_1(*range(6))
-        self.fleet.store.fault = memory.WriteFault.DELAYED_THEN_DOWN
+        self.fleet.store.next_write_fault = memory.WriteFault.DELAYED_THEN_DOWN
         results = self.fleet.apply(0, 1, 'a', 'b')
         self.fleet.advance(2.0)
         self.assertRefused(errors.ApplyOutcomeUnknown, results)
         self.fleet.store.is_down = False
         self.fleet.advance(2.0)
-        self.fleet.store.land_delayed()
+        self.fleet.store.execute_delayed_writes()
         self.fleet.advance(IN_FORCE_SECONDS)
         self.assertEqual({1}, self.revisions())
 
     def test_a_lost_reply_is_resolved(self) -> None:
         self.start_with_revision_1(*range(6))
-        self.fleet.store.fault = memory.WriteFault.REPLY_LOST
+        self.fleet.store.next_write_fault = memory.WriteFault.REPLY_LOST
         results = self.fleet.apply(0, 1, 'a', 'b')
         self.fleet.advance(IN_FORCE_SECONDS)
         self.assertEqual(2, results[0].revision)
--- a/packages/yuccarill-daemon/tests/controllers/test_configuration_machine.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_configuration_machine.py
@@ -55,11 +55,11 @@
     @stateful.rule(first=NUMBERS, second=NUMBERS)
     def cut_one_way(self, first: int, second: int) -> None:
         ids = [instance.id for instance in self.fleet.instances]
-        self.fleet.network.silent.add((ids[first], ids[second]))
+        self.fleet.network.dropped_pairs.add((ids[first], ids[second]))
 
     @stateful.rule()
     def heal(self) -> None:
-        self.fleet.network.silent.clear()
+        self.fleet.network.dropped_pairs.clear()
 
     @stateful.rule(seconds=strategies.sampled_from((0.01, 0.5, 3.0)))
     def outage(self, seconds: float) -> None:
@@ -85,7 +85,7 @@
         for number in cut:
             self.fleet.cut_off(number)
         self.fleet.store.is_down = False
-        self.fleet.store.fault = fault
+        self.fleet.store.next_write_fault = fault
         for number in numbers:
             node = self.fleet.nodes_by_id.get(self.fleet.instances[number].id)
             if node is not None and node.revision > lag:
@@ -102,8 +102,8 @@
         self.fleet.advance(seconds)
 
     @stateful.rule()
-    def land_delayed(self) -> None:
-        self.fleet.store.land_delayed()
+    def execute_delayed_writes(self) -> None:
+        self.fleet.store.execute_delayed_writes()
 
     @stateful.invariant()
     def a_revision_is_one_document(self) -> None:
@@ -116,13 +116,13 @@
                 assert known == head.digest
 
     def teardown(self) -> None:
-        self.fleet.network.silent.clear()
+        self.fleet.network.dropped_pairs.clear()
         self.fleet.network.delay = lambda *_: DELAYS[0]
         self.fleet.store.is_down = False
-        self.fleet.store.fault = None
+        self.fleet.store.next_write_fault = None
         # Lets all operators get their results before the delayed writes land.
         self.fleet.advance(8.0)
-        self.fleet.store.land_delayed()
+        self.fleet.store.execute_delayed_writes()
         for number, instance in enumerate(self.fleet.instances):
             if instance.id not in self.fleet.nodes_by_id:
                 self.fleet.start(number)
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/__main__.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/__main__.py
@@ -10,7 +10,7 @@
 from twisted.internet import defer
 from twisted.internet import reactor
 
-from yuccarill.standins.demo import places
+from yuccarill.standins.demo import layout
 from yuccarill.standins.demo import prepare as prepare_module
 from yuccarill.standins.demo import readiness
 from yuccarill.standins.demo import show
@@ -32,14 +32,14 @@
 @click.argument('folder', type=click.Path(path_type=pathlib.Path))
 def wait(folder: pathlib.Path) -> None:
     """Register the instances and wait until they answer."""
-    _run(readiness.register_all(places.Layout(folder)))
+    _run(readiness.register_all(layout.Layout(folder)))
 
 
 @main.command()
 @click.argument('folder', type=click.Path(path_type=pathlib.Path))
 def run(folder: pathlib.Path) -> None:
     """Run callers and a trainer under faults; print the results."""
-    _run(show.run(places.Layout(folder)))
+    _run(show.run(layout.Layout(folder)))
 
 
 def _run(awaitable: Any) -> None:
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/callers.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/callers.py
@@ -12,7 +12,7 @@
 from yuccarill.standins import server
 
 if TYPE_CHECKING:
-    from yuccarill.standins.demo.places import Layout
+    from yuccarill.standins.demo.layout import Layout
 
 WORKERS_PER_CALLER = 3
 ONCE_WORKERS = 3
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/evidence.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/evidence.py
@@ -11,7 +11,7 @@
 from yuccarill.standins import client
 
 if TYPE_CHECKING:
-    from yuccarill.standins.demo.places import Layout
+    from yuccarill.standins.demo.layout import Layout
 
 READ_SECONDS = 20.0
 
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/faults.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/faults.py
@@ -15,12 +15,12 @@
 from twisted.internet import utils
 
 from yuccarill.standins import client
-from yuccarill.standins.demo import duties
-from yuccarill.standins.demo import places as places_module
+from yuccarill.standins.demo import layout as layout_module
+from yuccarill.standins.demo import trainer_lease
 from yuccarill.standins import server
 
 if TYPE_CHECKING:
-    from yuccarill.standins.demo.places import Layout
+    from yuccarill.standins.demo.layout import Layout
 
 CRASHED_SECONDS = 2.0
 # Delay of the platform in noticing a change of an instance.
@@ -94,7 +94,7 @@
 
     async def kill_instance(self) -> None:
         """Kill the holder of the trainer's lease; delist it after a delay."""
-        holder = await duties.trainer_holder(self._layout)
+        holder = await trainer_lease.trainer_holder(self._layout)
         instance = next(
             (entry for entry in self._live_instances if entry['id'] == holder),
             self._live_instances[0],
@@ -135,7 +135,7 @@
         click.echo(f'Targets {", ".join(names)} are being removed.')
         path = self._layout.folder / 'inventory-2.json'
         path.write_text(json.dumps(inventory))
-        survivor = places_module.address_of(self._live_instances[0])
+        survivor = layout_module.address_of(self._live_instances[0])
         command = os.path.join(os.path.dirname(sys.executable), 'yuccarill')
         arguments = ['--address', survivor, 'apply', str(path), '--base', '1']
         self.records.apply_begun_at = time.time()
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/prepare.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/prepare.py
@@ -6,7 +6,7 @@
 from typing import Any
 from typing import TYPE_CHECKING
 
-from yuccarill.standins.demo import places
+from yuccarill.standins.demo import layout as layout_module
 from yuccarill.standins import ports
 from yuccarill.standins import server
 
@@ -20,9 +20,9 @@
 
 def prepare(folder: pathlib.Path, count: int = INSTANCES) -> None:
     """Write instances.json, instances.txt and first-address.txt."""
-    layout = places.Layout(folder)
+    layout = layout_module.Layout(folder)
     centres = sorted({e['data_centre'] for e in layout.inventory['engines']})
-    free_ports = ports.free(2 * count)
+    free_ports = ports.reserve(2 * count)
     instances = [
         {
             'id': f'entry-{number + 1}',
@@ -41,7 +41,7 @@
         lines[number] = f'{lines[number].rstrip()} --data-folder {data}\n'
     (folder / 'instances.json').write_text(json.dumps(instances))
     (folder / 'instances.txt').write_text(''.join(lines))
-    first = places.address_of(instances[0])
+    first = layout_module.address_of(instances[0])
     (folder / 'first-address.txt').write_text(first)
 
 
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/readiness.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/readiness.py
@@ -10,7 +10,7 @@
 from yuccarill.standins import server
 
 if TYPE_CHECKING:
-    from yuccarill.standins.demo.places import Layout
+    from yuccarill.standins.demo.layout import Layout
 
 START_SECONDS = 30.0
 POLL_SECONDS = 0.1
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/show.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/show.py
@@ -18,7 +18,7 @@
 from yuccarill.standins import server
 
 if TYPE_CHECKING:
-    from yuccarill.standins.demo.places import Layout
+    from yuccarill.standins.demo.layout import Layout
 
 SECONDS_PER_CHUNK = 0.05
 PAUSE_SECONDS = 4.0
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/trainer.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/trainer.py
@@ -15,7 +15,7 @@
 from yuccarill.standins import server
 
 if TYPE_CHECKING:
-    from yuccarill.standins.demo.places import Layout
+    from yuccarill.standins.demo.layout import Layout
 
 GROUPS = 6
 SAMPLES_PER_GROUP = 4
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/duties.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/trainer_lease.py
@@ -9,7 +9,7 @@
 from yuccarill.standins import client
 
 if TYPE_CHECKING:
-    from yuccarill.standins.demo.places import Layout
+    from yuccarill.standins.demo.layout import Layout
 
 
 async def trainer_holder(layout: Layout) -> str | None:
--- a/packages/yuccarill-standins/src/yuccarill/standins/demo/watch.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/demo/watch.py
@@ -7,12 +7,12 @@
 
 from twisted.internet import defer
 
-from yuccarill.standins.demo import places as places_module
+from yuccarill.standins.demo import layout as layout_module
 from yuccarill.standins.demo import readiness
 from yuccarill.standins import server
 
 if TYPE_CHECKING:
-    from yuccarill.standins.demo.places import Layout
+    from yuccarill.standins.demo.layout import Layout
 
 POLL_SECONDS = 0.05
 
@@ -55,11 +55,11 @@
         instances_by_id = {
             entry['id']: entry for entry in self._layout.instances
         }
-        return places_module.address_of(instances_by_id[name])
+        return layout_module.address_of(instances_by_id[name])
 
     async def _poll(self, instance: dict[str, str]) -> None:
         name = instance['id']
-        address = places_module.address_of(instance)
+        address = layout_module.address_of(instance)
         while not self._is_ending:
             status = await readiness.status_of(address)
             if status is not None:
--- a/packages/yuccarill-standins/src/yuccarill/standins/key_value.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/key_value.py
@@ -12,7 +12,7 @@
 from yuccarill.standins import faults
 from yuccarill.standins import key_space
 from yuccarill.standins import server
-from yuccarill.standins import writes
+from yuccarill.standins import write_log
 
 if TYPE_CHECKING:
     from twisted.web.iweb import IRequest
@@ -50,7 +50,7 @@
         self._faults = faults.FaultControl(KeyValueFaults())
         self._space = key_space.KeySpace()
         self._calls_by_kind: collections.Counter[str] = collections.Counter()
-        self._write_log = writes.WriteLog()
+        self._write_log = write_log.WriteLog()
         self._open_watches = 0
         self._reads_to_fail = 0
 
@@ -156,17 +156,17 @@
         expected = None if header is None else int(header)
         current = self._space.version(key)
         if expected is not None and expected != current:
-            outcome = writes.WriteOutcome.REFUSED
+            outcome = write_log.WriteOutcome.REFUSED
             self._log_write(key, expected, current, outcome)
             return server.reply_json(request, {'version': current}, 412)
         version = self._space.put(key, value, lease_seconds)
         if self._consume_fault('lose_replies', key):
-            outcome = writes.WriteOutcome.REPLY_LOST
+            outcome = write_log.WriteOutcome.REPLY_LOST
             self._log_write(key, expected, version, outcome)
             self._reads_to_fail = self._faults.current.fail_reads_after
             server.abort_connection(request)
             return b''
-        self._log_write(key, expected, version, writes.WriteOutcome.WRITTEN)
+        self._log_write(key, expected, version, write_log.WriteOutcome.WRITTEN)
         return server.reply_json(request, {'version': version})
 
     def _consume_read_failure(self, key: str) -> bool:
@@ -186,10 +186,10 @@
         key: str,
         expected: int | None,
         version: int,
-        outcome: writes.WriteOutcome,
+        outcome: write_log.WriteOutcome,
     ) -> None:
         self._write_log.add(
-            writes.Write(
+            write_log.Write(
                 key=key, expected=expected, version=version, outcome=outcome
             )
         )
--- a/packages/yuccarill-standins/src/yuccarill/standins/memory.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/memory.py
@@ -55,7 +55,7 @@
         )
         self._delayed: list[tuple[str, bytes, int]] = []
         self.is_down = False
-        self.fault: WriteFault | None = None
+        self.next_write_fault: WriteFault | None = None
         self.calls_by_kind: collections.Counter[str] = collections.Counter()
         self.bytes_by_kind: collections.Counter[str] = collections.Counter()
 
@@ -67,7 +67,7 @@
     async def watch(self, key: str, after: int) -> Entry:
         """Read a key once its version exceeds the given one."""
         await self._start_call('watch')
-        if self.peek(key).version <= after:
+        if self.stored_entry(key).version <= after:
             watcher: defer.Deferred[None] = defer.Deferred()
             watcher.addTimeout(
                 WATCH_SECONDS, self._clock, onTimeoutCancel=lambda *_: None
@@ -80,7 +80,7 @@
 
     async def swap(self, key: str, value: bytes, expected: int) -> int:
         """Write a key if its version is the expected one."""
-        fault, self.fault = self.fault, None
+        fault, self.next_write_fault = self.next_write_fault, None
         await self._start_call('write')
         self.bytes_by_kind['write'] += len(value)
         self.is_down = fault in _FAULTS_THEN_DOWN
@@ -94,11 +94,11 @@
             raise errors.StoreUnavailable('The store did not reply.')
         return version
 
-    def peek(self, key: str) -> Entry:
+    def stored_entry(self, key: str) -> Entry:
         """Return an entry without a delay, fault or count."""
         return self._entries_by_key.get(key, Entry(0, b''))
 
-    def land_delayed(self) -> None:
+    def execute_delayed_writes(self) -> None:
         """Execute the delayed writes."""
         delayed, self._delayed = self._delayed, []
         for key, value, expected in delayed:
@@ -108,7 +108,7 @@
                 continue
 
     def _write(self, key: str, value: bytes, expected: int) -> int:
-        if self.peek(key).version != expected:
+        if self.stored_entry(key).version != expected:
             raise errors.StoreConflict('Another write changed the key first.')
         self._version += 1
         self._entries_by_key[key] = Entry(self._version, value)
@@ -123,7 +123,7 @@
         self._check_available()
 
     def _read_entry(self, key: str, kind: str) -> Entry:
-        entry = self.peek(key)
+        entry = self.stored_entry(key)
         self.bytes_by_kind[kind] += len(entry.value)
         return entry
 
@@ -149,7 +149,7 @@
             InstanceId, Callable[[messages.Body], Awaitable[messages.Body]]
         ] = {}
         # Pairs (sender, receiver) whose messages are dropped.
-        self.silent: set[tuple[InstanceId, InstanceId]] = set()
+        self.dropped_pairs: set[tuple[InstanceId, InstanceId]] = set()
         self.sent_bytes_by_id: collections.Counter[InstanceId] = (
             collections.Counter()
         )
@@ -158,11 +158,11 @@
         )
         self.sent_by_kind: collections.Counter[str] = collections.Counter()
 
-    def peers_of(self, instance: Instance) -> MemoryPeers:
+    def peer_client_of(self, instance: Instance) -> MemoryPeerClient:
         """Return a client that sends requests of an instance to its peers."""
-        return MemoryPeers(self, instance)
+        return MemoryPeerClient(self, instance)
 
-    async def carry(
+    async def deliver(
         self, sender: Instance, receiver: Instance, body: messages.Body
     ) -> messages.Body:
         """Encode, delay and decode one message."""
@@ -172,13 +172,13 @@
         await task.deferLater(
             self.clock, self.delay(sender, receiver), lambda: None
         )
-        if (sender.id, receiver.id) in self.silent:
+        if (sender.id, receiver.id) in self.dropped_pairs:
             await defer.Deferred()
         self.received_bytes_by_id[receiver.id] += len(data)
         return next(iter(frames.Decoder().feed(data))).body
 
 
-class MemoryPeers:
+class MemoryPeerClient:
     """Client through which one instance sends requests to its peers."""
 
     def __init__(self, network: MemoryNetwork, instance: Instance) -> None:
@@ -203,9 +203,9 @@
         self, peer: Instance, body: messages.Body
     ) -> messages.Body:
         network = self._network
-        request = await network.carry(self._instance, peer, body)
+        request = await network.deliver(self._instance, peer, body)
         handle = network.handlers_by_id.get(peer.id)
         if handle is None:
             raise errors.NotRun('The peer refused the connection.')
         reply = await handle(request)
-        return await network.carry(peer, self._instance, reply)
+        return await network.deliver(peer, self._instance, reply)
--- a/packages/yuccarill-standins/src/yuccarill/standins/ports.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/ports.py
@@ -17,7 +17,7 @@
 _reservations: list[socket.socket] = []
 
 
-def free(count: int) -> list[int]:
+def reserve(count: int) -> list[int]:
     """Return distinct ports, reserved until this process ends."""
     reserved: list[int] = []
     while len(reserved) < count:
--- a/packages/yuccarill-standins/src/yuccarill/standins/server.py
+++ b/packages/yuccarill-standins/src/yuccarill/standins/server.py
@@ -26,7 +26,7 @@
 
 async def listen(app: klein.Klein) -> Any:
     """Serve an application on a free port; return the listening port."""
-    (port,) = ports.free(1)
+    (port,) = ports.reserve(1)
     endpoint = endpoints.TCP4ServerEndpoint(
         reactor, port, interface=LOOPBACK, backlog=1024
     )
--- a/packages/yuccarill-standins/tests/processes/harness.py
+++ b/packages/yuccarill-standins/tests/processes/harness.py
@@ -14,7 +14,7 @@
 import urllib.error
 import urllib.request
 
-from yuccarill.standins.demo import places
+from yuccarill.standins.demo import layout
 from yuccarill.standins.demo import prepare
 
 ROOT = pathlib.Path(__file__).resolve().parents[4]
@@ -99,7 +99,7 @@
             'platform.json is incomplete',
         )
         prepare.prepare(self.folder, count)
-        self.layout = places.Layout(self.folder)
+        self.layout = layout.Layout(self.folder)
         for line in (self.folder / 'instances.txt').read_text().splitlines():
             name, *arguments = line.split()
             self._spawn(name, [str(BIN / 'yuccarilld')], [*arguments, *flags])
--- a/tools/configuration_fleet.py
+++ b/tools/configuration_fleet.py
@@ -142,7 +142,7 @@
 
     def start(self, me: Instance) -> None:
         """Start one instance."""
-        peers = self.network.peers_of(me)
+        peers = self.network.peer_client_of(me)
         delay = 0.0 if _region(me) == 0 else FAR_SECONDS
         store = RemoteStore(self.store, self.clock, delay)
         spread = dissemination.DisseminationController(
@@ -191,14 +191,14 @@
         """Partition a region from the others and from the store."""
         inside = {i.id for i in self.instances if _region(i) == region}
         outside = {i.id for i in self.instances} - inside
-        self.network.silent = set(itertools.product(inside, outside))
-        self.network.silent |= set(itertools.product(outside, inside))
+        self.network.dropped_pairs = set(itertools.product(inside, outside))
+        self.network.dropped_pairs |= set(itertools.product(outside, inside))
         for member in inside:
             self._stores_by_id[member].is_partitioned = True
 
     def heal(self) -> None:
         """Remove all partitions."""
-        self.network.silent = set()
+        self.network.dropped_pairs = set()
         for store in self._stores_by_id.values():
             store.is_partitioned = False
 
--- a/tools/control_fleet.py
+++ b/tools/control_fleet.py
@@ -57,7 +57,7 @@
         self._platform = json.loads(ready.read_text())
         inventory = self._folder / 'inventory.json'
         self._document = json.loads(inventory.read_text())
-        free = ports.free(2 * self._instance_count)
+        free = ports.reserve(2 * self._instance_count)
         for number in range(self._instance_count):
             self._start_instance(number, free[2 * number : 2 * number + 2])
         for port in self.http_ports:
--- a/tools/measure_process.py
+++ b/tools/measure_process.py
@@ -46,7 +46,7 @@
     def __init__(self, folder: pathlib.Path) -> None:
         self._folder = folder
         self._processes: list[subprocess.Popen[bytes]] = []
-        self._ports = ports.free(3)
+        self._ports = ports.reserve(3)
         self.instance_port, _, self.relay_port = self._ports
 
     def start(self) -> None:
@@ -90,7 +90,7 @@
 
     def measure_start(self) -> float:
         """Return the seconds until a new instance listens."""
-        free_ports = ports.free(2)
+        free_ports = ports.reserve(2)
         started_at = time.monotonic()
         process = self._spawn(*self._argv('entry-2', *free_ports))
         control_fleet.wait_until(lambda: _is_listening(free_ports[0]))
