--- a/packages/yuccarill-core/src/yuccarill/core/jobs/engines.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/engines.py
@@ -176,18 +176,18 @@
         return _load_cost(engine, self.usual_pace(now) or 0.0, now)
 
     def estimate(
-        self, engine: EngineState, beside: int, now: Instant
+        self, engine: EngineState, concurrent: int, now: Instant
     ) -> PaceEstimate:
-        """Return the expected pace of a run beside `beside` other runs."""
+        """Return the expected pace of a run beside `concurrent` other runs."""
         if self.speeds is not None:
-            return self.speeds.pace(engine.target.id, beside, now)
+            return self.speeds.pace(engine.target.id, concurrent, now)
         pace = engine.known_pace(now) or self.usual_pace(now)
         return PaceEstimate(pace=pace or DEFAULT_PACE, deviation=0.0)
 
     def full_pace(self, engine: EngineState, now: Instant) -> float:
         """Return the seconds per event with all slots in use."""
-        beside = max(0, engine.target.slots - 1)
-        return self.estimate(engine, beside, now).pace
+        concurrent = max(0, engine.target.slots - 1)
+        return self.estimate(engine, concurrent, now).pace
 
     def can_run(self, engine: EngineState, job: Job, now: Instant) -> bool:
         """Return whether an engine can run an item of a job now."""
--- a/packages/yuccarill-core/tests/gateway/test_end_ledger.py
+++ b/packages/yuccarill-core/tests/gateway/test_crash_ledger.py
@@ -26,7 +26,7 @@
     )
 
 
-class EndLedgerTest(unittest.TestCase):
+class CrashLedgerTest(unittest.TestCase):
     def setUp(self) -> None:
         self.ledger = crash_ledger.CrashLedger()
 
--- a/packages/yuccarill-core/tests/gateway/test_spared_targets.py
+++ b/packages/yuccarill-core/tests/gateway/test_last_target_guard.py
@@ -36,7 +36,7 @@
     )
 
 
-class SparedTargetsTest(unittest.TestCase):
+class LastTargetGuardTest(unittest.TestCase):
     def setUp(self) -> None:
         self.ledger = crash_ledger.CrashLedger()
         self.doubts = unconfirmed_losses.UnconfirmedLosses()
@@ -102,7 +102,7 @@
         self.assertFalse(self.must_hold('x', 3, 1.1))
 
 
-class DoubtsTest(unittest.TestCase):
+class UnconfirmedLossesTest(unittest.TestCase):
     # Seconds between two losses at a target, whether the target responded in
     # between, whether the later loss counts.
     @params(
--- a/packages/yuccarill-core/tests/gateway/test_leadership.py
+++ b/packages/yuccarill-core/tests/gateway/test_leadership.py
@@ -50,7 +50,7 @@
 
 
 class TenureTest(unittest.TestCase):
-    def tenure(self) -> leadership.HeldLease:
+    def held_lease(self) -> leadership.HeldLease:
         return leadership.HeldLease(
             Epoch(7), POLICY, Instant(10.0), Instant(10.0)
         )
@@ -65,35 +65,35 @@
     def test_orders_end_before_the_lease(
         self, now: float, may_order: bool, is_held: bool
     ) -> None:
-        tenure = self.tenure()
-        self.assertEqual(may_order, tenure.may_order(Instant(now)))
-        self.assertEqual(is_held, tenure.is_held(Instant(now)))
+        held_lease = self.held_lease()
+        self.assertEqual(may_order, held_lease.may_order(Instant(now)))
+        self.assertEqual(is_held, held_lease.is_held(Instant(now)))
 
     def test_the_lease_counts_from_sending_the_renewal(self) -> None:
         """Guards against a slow reply that extends the lease."""
-        tenure = self.tenure()
-        tenure.renew(Instant(11.0))
-        self.assertFalse(tenure.is_held(Instant(13.4)))
+        held_lease = self.held_lease()
+        held_lease.renew(Instant(11.0))
+        self.assertFalse(held_lease.is_held(Instant(13.4)))
 
     def test_an_old_renewal_does_not_shorten_the_lease(self) -> None:
-        tenure = self.tenure()
-        tenure.renew(Instant(12.0))
-        tenure.renew(Instant(11.0))
-        self.assertTrue(tenure.is_held(Instant(14.0)))
+        held_lease = self.held_lease()
+        held_lease.renew(Instant(12.0))
+        held_lease.renew(Instant(11.0))
+        self.assertTrue(held_lease.is_held(Instant(14.0)))
 
     def test_no_order_before_the_pause_is_over(self) -> None:
-        tenure = leadership.HeldLease(
+        held_lease = leadership.HeldLease(
             Epoch(7), POLICY, Instant(10.0), Instant(14.6)
         )
-        tenure.renew(Instant(14.0))
-        self.assertFalse(tenure.may_order(Instant(14.5)))
-        self.assertTrue(tenure.may_order(Instant(14.7)))
+        held_lease.renew(Instant(14.0))
+        self.assertFalse(held_lease.may_order(Instant(14.5)))
+        self.assertTrue(held_lease.may_order(Instant(14.7)))
 
     def test_idle_seconds_count_from_the_last_order(self) -> None:
-        tenure = self.tenure()
-        self.assertEqual(math.inf, tenure.idle_seconds(Instant(11.0)))
-        tenure.record_order(Instant(11.0))
-        self.assertEqual(2.0, tenure.idle_seconds(Instant(13.0)))
+        held_lease = self.held_lease()
+        self.assertEqual(math.inf, held_lease.idle_seconds(Instant(11.0)))
+        held_lease.record_order(Instant(11.0))
+        self.assertEqual(2.0, held_lease.idle_seconds(Instant(13.0)))
 
 
 class TwoHoldersTest(unittest.TestCase):
--- a/packages/yuccarill-core/tests/gateway/test_parting.py
+++ b/packages/yuccarill-core/tests/gateway/test_suspect_runs.py
@@ -14,7 +14,7 @@
 U = TargetId('u')
 
 
-class PartingTest(unittest.TestCase):
+class SuspectRunsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.runs = suspect_runs.SuspectRuns()
         for target, content in ((T, X), (T, P), (U, P), (U, P)):
--- a/packages/yuccarill-core/tests/jobs/test_placing.py
+++ b/packages/yuccarill-core/tests/jobs/test_engine_assignment.py
@@ -59,7 +59,7 @@
     return fleet
 
 
-class PlacingTest(unittest.TestCase):
+class EngineAssignmentTest(unittest.TestCase):
     def test_each_item_gets_the_cheapest_engine(self) -> None:
         """Compare with a scan of all engines for every item."""
         for seed in range(300):
--- a/packages/yuccarill-core/tests/jobs/test_step_hold.py
+++ b/packages/yuccarill-core/tests/jobs/test_weight_change_hold.py
@@ -18,7 +18,7 @@
 SUBMITTED_AT = 0.7
 
 
-class StepHoldTest(unittest.TestCase):
+class WeightChangeHoldTest(unittest.TestCase):
     def setUp(self) -> None:
         self.board = board_module.JobQueue()
         self.hold = weight_change_hold.WeightChangeHold()
--- a/packages/yuccarill-core/tests/jobs/trainer_model.py
+++ b/packages/yuccarill-core/tests/jobs/trainer_model.py
@@ -288,8 +288,8 @@
             gap = now - running.last_at
             engine.record_gap(gap, now)
             if self.speeds is not None:
-                beside = engine.running - 1
-                self.speeds.record_unit(engine.target.id, gap, beside, now)
+                concurrent = engine.running - 1
+                self.speeds.record_unit(engine.target.id, gap, concurrent, now)
         running.has_event = True
         running.last_at = now
         if run.text.events < self._events_by_item[run.item.id]:
--- a/packages/yuccarill-core/tests/leases/test_keeper.py
+++ b/packages/yuccarill-core/tests/leases/test_lease_manager.py
@@ -25,7 +25,7 @@
     return cluster
 
 
-class KeeperTest(unittest.TestCase):
+class LeaseManagerTest(unittest.TestCase):
     @params(SIX[:1], SIX[:2], SIX)
     def test_first_instances_hold_all_shards_soon(self, *names: str) -> None:
         cluster = world.World(names)
--- a/packages/yuccarill-core/tests/leases/test_table_keeper.py
+++ b/packages/yuccarill-core/tests/leases/test_table_manager.py
@@ -23,7 +23,7 @@
 NOW = Instant(1.0)
 
 
-class TableKeeperTest(unittest.TestCase):
+class TableManagerTest(unittest.TestCase):
     def setUp(self) -> None:
         self.keeper = table_manager.TableManager(
             policy.LeasePolicy(), random.Random(1), itertools.count(1)
--- a/packages/yuccarill-core/tests/weights/fleet.py
+++ b/packages/yuccarill-core/tests/weights/fleet.py
@@ -15,7 +15,7 @@
 from yuccarill.core.ids import TargetId
 from yuccarill.core.ids import WeightVersion
 from yuccarill.core.weights import capacity
-from yuccarill.core.weights import engine_orders
+from yuccarill.core.weights import engine_orders as engine_orders_module
 from yuccarill.core.weights.orders import Order
 from yuccarill.core.weights.orders import OrderKind
 from yuccarill.core.weights.orders import OrderOutcome
@@ -72,8 +72,8 @@
     # A holder without a lease has no epoch for its orders.
     has_lease: bool = True
     polled_at: float = -POLL_SECONDS
-    desk: engine_orders.EngineOrders = dataclasses.field(
-        default_factory=engine_orders.EngineOrders
+    engine_orders: engine_orders_module.EngineOrders = dataclasses.field(
+        default_factory=engine_orders_module.EngineOrders
     )
 
 
@@ -159,7 +159,7 @@
     def pause_holder(self, holder: Holder) -> None:
         """Pause a holder until after its successor has taken over."""
         paused = Holder(holder.engines, holder.epoch, True, False)
-        paused.desk = holder.desk
+        paused.engine_orders = holder.engine_orders
         self.crash_holder(holder)
         names = {engine.name for engine in holder.engines}
 
@@ -189,7 +189,7 @@
         )
 
     def _take_over(self, holder: Holder) -> None:
-        holder.desk = engine_orders.EngineOrders()
+        holder.engine_orders = engine_orders_module.EngineOrders()
         holder.epoch = Epoch(holder.epoch + 1)
         holder.is_up, holder.polled_at = True, -POLL_SECONDS
         self._query(holder)
@@ -199,8 +199,8 @@
             return
         for engine in holder.engines:
             self.rollout.records_by_id[engine.name].mark_unknown()
-            holder.desk.repeat_report(engine.name)
-        holder.desk.accept_model_epoch(MODEL, self.model_epoch)
+            holder.engine_orders.repeat_report(engine.name)
+        holder.engine_orders.accept_model_epoch(MODEL, self.model_epoch)
 
     def _tick(self) -> None:
         for holder in self.holders:
@@ -231,8 +231,8 @@
 
     def _poll(self, holder: Holder) -> None:
         for engine in holder.engines:
-            holder.desk.set_epoch(engine.name, holder.epoch, self.now)
-            holder.desk.record_state(engine.name, self._read(engine))
+            holder.engine_orders.set_epoch(engine.name, holder.epoch, self.now)
+            holder.engine_orders.record_state(engine.name, self._read(engine))
 
     def _read(self, engine: FakeEngine) -> TargetState | None:
         if not engine.is_up or engine.frozen_until > self.now:
@@ -248,7 +248,7 @@
         )
 
     def _push(self, holder: Holder) -> None:
-        for report in holder.desk.changed_reports(self.now):
+        for report in holder.engine_orders.changed_reports(self.now):
             self.at(LATENCY, lambda r=report: self._report(r))
 
     def _report(self, report: object) -> None:
@@ -266,10 +266,13 @@
             return
         if not holder.is_up:
             return
-        if not holder.desk.accept_model_epoch(MODEL, epoch):
+        if not holder.engine_orders.accept_model_epoch(MODEL, epoch):
             return
         order_epoch = holder.epoch if holder.has_lease else None
-        if holder.desk.begin(order, order_epoch, self.now) is not None:
+        if (
+            holder.engine_orders.begin(order, order_epoch, self.now)
+            is not None
+        ):
             return
         if order.version <= engine.version:
             self.faults.append(f'{engine.name} ordered to no newer version')
@@ -277,7 +280,7 @@
         wait = max(LATENCY, engine.frozen_until - self.now)
         self.at(wait, lambda: self._arrive(engine, order, holder))
         self.at(
-            engine_orders.ORDER_SECONDS,
+            engine_orders_module.ORDER_SECONDS,
             lambda: self._end(engine, holder, order, OrderOutcome.SILENT),
         )
 
@@ -337,8 +340,8 @@
         order: Order,
         outcome: OrderOutcome,
     ) -> None:
-        holder.desk.record_state(engine.name, self._read(engine))
-        holder.desk.finish(order, outcome)
+        holder.engine_orders.record_state(engine.name, self._read(engine))
+        holder.engine_orders.finish(order, outcome)
         if holder.is_up:
             self._push(holder)
 
--- a/packages/yuccarill-core/tests/weights/test_desk.py
+++ b/packages/yuccarill-core/tests/weights/test_engine_orders.py
@@ -36,10 +36,10 @@
     )
 
 
-class DeskTest(unittest.TestCase):
+class EngineOrdersTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.desk = engine_orders.EngineOrders()
-        self.desk.set_epoch(TARGET, Epoch(1), NOW)
+        self.engine_orders = engine_orders.EngineOrders()
+        self.engine_orders.set_epoch(TARGET, Epoch(1), NOW)
 
     # A delayed order must not return the engine to an older version, nor make
     # it download while out of service.
@@ -57,21 +57,23 @@
         (SWITCH, 3, state(2, 3), 2, NOT_SENT),
     )
     def test_begin(self, kind, version, read, epoch, expected) -> None:
-        self.desk.record_state(TARGET, read)
-        found = self.desk.begin(order(kind, version), epoch, NOW)
+        self.engine_orders.record_state(TARGET, read)
+        found = self.engine_orders.begin(order(kind, version), epoch, NOW)
         self.assertIs(expected, found)
 
     def test_second_order_waits_for_the_first(self) -> None:
-        self.desk.record_state(TARGET, state(2, 3))
-        self.assertIsNone(self.desk.begin(order(SWITCH, 3), Epoch(1), NOW))
+        self.engine_orders.record_state(TARGET, state(2, 3))
+        self.assertIsNone(
+            self.engine_orders.begin(order(SWITCH, 3), Epoch(1), NOW)
+        )
         again = orders.Order(2, TARGET, STAGE, WeightVersion(4))
-        self.assertIs(NOT_SENT, self.desk.begin(again, Epoch(1), NOW))
+        self.assertIs(NOT_SENT, self.engine_orders.begin(again, Epoch(1), NOW))
 
     def test_change_is_reported_once_unless_lost(self) -> None:
-        self.assertEqual([], self.desk.changed_reports(NOW))
-        self.desk.record_state(TARGET, state(2))
-        self.assertEqual(1, len(self.desk.changed_reports(NOW)))
-        self.desk.record_state(TARGET, state(2))
-        self.assertEqual([], self.desk.changed_reports(NOW))
-        self.desk.repeat_report(TARGET)
-        self.assertEqual(1, len(self.desk.changed_reports(NOW)))
+        self.assertEqual([], self.engine_orders.changed_reports(NOW))
+        self.engine_orders.record_state(TARGET, state(2))
+        self.assertEqual(1, len(self.engine_orders.changed_reports(NOW)))
+        self.engine_orders.record_state(TARGET, state(2))
+        self.assertEqual([], self.engine_orders.changed_reports(NOW))
+        self.engine_orders.repeat_report(TARGET)
+        self.assertEqual(1, len(self.engine_orders.changed_reports(NOW)))
--- a/packages/yuccarill-core/tests/weights/test_fault_matrix.py
+++ b/packages/yuccarill-core/tests/weights/test_fault_matrix.py
@@ -163,6 +163,8 @@
         # Orders of a model's holder that resumes after its lease would leave
         # too few engines serving.
         holder = self.scenario.holder
-        accept: Callable[[str, int], bool] = holder.desk.accept_model_epoch
+        accept: Callable[[str, int], bool] = (
+            holder.engine_orders.accept_model_epoch
+        )
         self.assertTrue(accept(fleet_module.MODEL, 5))
         self.assertIs(age == 0, accept(fleet_module.MODEL, 5 - age))
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/duties.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/duties.py
@@ -67,7 +67,7 @@
         # Whether the duty has work; by default, whether engines exist.
         self._is_wanted = is_wanted or self._has_targets
         self._holder_calls = holders
-        self.tenure: leadership.HeldLease | None = None
+        self.held_lease: leadership.HeldLease | None = None
         # Whether no other process held the duty between two holds of this one.
         self.is_continued = False
         # Peer address of the last holder's standby; empty if unknown.
@@ -108,13 +108,15 @@
     @property
     def revision(self) -> Revision | None:
         """Return the store revision that granted the duty, if held."""
-        if self.tenure is None:
+        if self.held_lease is None:
             return None
-        return Revision(self.tenure.epoch)
+        return Revision(self.held_lease.epoch)
 
     def is_held(self) -> bool:
         """Return whether this instance holds a valid lease of the duty."""
-        return self.tenure is not None and self.tenure.is_held(self._now())
+        return self.held_lease is not None and self.held_lease.is_held(
+            self._now()
+        )
 
     @property
     def is_elsewhere(self) -> bool:
@@ -127,7 +129,7 @@
     def update(self) -> None:
         """Check this instance's hold, or contend for a free duty."""
         holder = self._state.duties_by_service.get(self.service)
-        if self.tenure is not None:
+        if self.held_lease is not None:
             self._check_hold(holder)
         elif self._acquisition is None and self._is_free(holder):
             self._contend()
@@ -148,7 +150,7 @@
         A lease renewal is no proof: the store can delete the key, keep the
         lease and grant the duty to another instance.
         """
-        if self.tenure is None:
+        if self.held_lease is None:
             return False
         if self._now() - self._confirmed_at <= max_age:
             return True
@@ -159,7 +161,7 @@
         self._confirming.addBoth(_notify_waiter, waiting)
         await waiting
         age = self._now() - self._confirmed_at
-        return self.tenure is not None and age <= max_age + CONFIRM_SECONDS
+        return self.held_lease is not None and age <= max_age + CONFIRM_SECONDS
 
     async def _read_key(self) -> None:
         sent_at = self._now()
@@ -179,37 +181,39 @@
 
     def may_order(self) -> bool:
         """Return whether an order may be sent to an engine."""
-        return self.tenure is not None and self.tenure.may_order(self._now())
+        return self.held_lease is not None and self.held_lease.may_order(
+            self._now()
+        )
 
     def record_order(self) -> None:
         """Record that an order is sent."""
-        if self.tenure is not None:
-            self.tenure.record_order(self._now())
+        if self.held_lease is not None:
+            self.held_lease.record_order(self._now())
 
     async def release(self) -> None:
         """Release the duty and record the time since the last order.
 
         Retries until the store accepts or the lease has expired.
         """
-        tenure, self.tenure = self.tenure, None
-        if tenure is None:
+        held_lease, self.held_lease = self.held_lease, None
+        if held_lease is None:
             return
         self._stop_renewing()
         self._on_change()
         now = self._now()
-        idle = min(tenure.idle_seconds(now), NEVER_ORDERED_SECONDS)
-        wait = max(0.0, tenure.earliest_order_at - now)
-        await self._keys.release_hold(Revision(tenure.epoch), idle, wait)
+        idle = min(held_lease.idle_seconds(now), NEVER_ORDERED_SECONDS)
+        wait = max(0.0, held_lease.earliest_order_at - now)
+        await self._keys.release_hold(Revision(held_lease.epoch), idle, wait)
         log.info('Duty given back.', service=self.service)
 
     def give_up(self, revision: Revision) -> None:
         """Drop the hold of a revision that the store no longer has."""
-        if self.tenure is not None and self.revision == revision:
+        if self.held_lease is not None and self.revision == revision:
             self._drop_hold('the store has no entry of this hold')
 
     def _check_hold(self, holder: DutyRecord | None) -> None:
-        assert self.tenure is not None
-        epoch = self.tenure.epoch
+        assert self.held_lease is not None
+        epoch = self.held_lease.epoch
         if holder is not None and holder.revision > epoch:
             self._drop_hold('another instance holds the duty')
         elif self._lease.id is None:
@@ -219,17 +223,17 @@
             self._drop_hold('the entry of this hold was deleted')
         else:
             self._is_observed = self._is_observed or holder is not None
-            self.tenure.renew(self._lease.renewed_at)
+            self.held_lease.renew(self._lease.renewed_at)
 
     def _drop_hold(self, cause: str) -> None:
-        assert self.tenure is not None
+        assert self.held_lease is not None
         log.warning(
             'Duty lost.',
             service=self.service,
-            epoch=self.tenure.epoch,
+            epoch=self.held_lease.epoch,
             cause=cause,
         )
-        self.tenure = None
+        self.held_lease = None
         self._stop_renewing()
         self._on_change()
         self._clock.callLater(0, self.update)
@@ -292,7 +296,7 @@
         self.is_continued = (
             last is not None and last.incarnation == self._incarnation
         )
-        self.tenure = leadership.HeldLease(
+        self.held_lease = leadership.HeldLease(
             Epoch(revision),
             self._policy,
             self._lease.renewed_at,
@@ -326,10 +330,10 @@
             self._write_last_holder()
 
     def _write_last_holder(self) -> None:
-        assert self.tenure is not None
-        wait = max(0.0, self.tenure.earliest_order_at - self._now())
+        assert self.held_lease is not None
+        wait = max(0.0, self.held_lease.earliest_order_at - self._now())
         writing = defer.Deferred.fromCoroutine(
-            self._keys.write_wait(Revision(self.tenure.epoch), wait)
+            self._keys.write_wait(Revision(self.held_lease.epoch), wait)
         )
         writing.addErrback(self._last_holder_write_failed)
 
@@ -365,7 +369,7 @@
 
     def _acquisition_ended(self, _: object) -> None:
         self._acquisition = None
-        if self.tenure is None:
+        if self.held_lease is None:
             self._clock.callLater(RETRY_SECONDS, self.update)
 
     def _now(self) -> Instant:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_runs.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_runs.py
@@ -237,13 +237,13 @@
         engine: engines_module.EngineState,
     ) -> None:
         now = self._now()
-        beside = engine.running - 1
-        estimate = self._fleet.estimate(engine, beside, now)
+        concurrent = engine.running - 1
+        estimate = self._fleet.estimate(engine, concurrent, now)
         log.info(
             'Run placed.',
             item=run.item.id,
             engine=engine.target.id,
-            beside=beside,
+            beside=concurrent,
             estimate=round(estimate.pace, 4),
             deviation=round(estimate.deviation, 3),
             spare=round(plan.slack(run, estimate.pace, now), 2),
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/run_moves.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/run_moves.py
@@ -49,9 +49,9 @@
     ) -> None:
         # An engine that loads new weights pauses its runs.
         if not self.engine.switching_models:
-            beside = max(0, self.engine.running - 1)
+            concurrent = max(0, self.engine.running - 1)
             gap = now - self.last_at
-            speeds.record_unit(self.engine.target.id, gap, beside, now)
+            speeds.record_unit(self.engine.target.id, gap, concurrent, now)
 
 
 class RunMoves:
@@ -140,8 +140,8 @@
     ) -> None:
         meters.RUN_MOVES.labels(reason).inc()
         engine = active_run.engine
-        beside = max(0, engine.running - 1)
-        estimate = self._fleet.estimate(engine, beside, now)
+        concurrent = max(0, engine.running - 1)
+        estimate = self._fleet.estimate(engine, concurrent, now)
         log.info(
             'Run moved.',
             item=run.item.id,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/service_work.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/service_work.py
@@ -128,7 +128,7 @@
     def _duty_changed(self, service: ServiceName) -> None:
         duty = self.duties_by_service[service]
         old_runner = self.runners_by_service.get(service)
-        if duty.tenure is None:
+        if duty.held_lease is None:
             # Runs continue: a lease that expired while the store was
             # unavailable usually returns to this instance.
             if old_runner is not None and self._state.is_leaving:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/scaling/scaler.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/scaling/scaler.py
@@ -119,13 +119,13 @@
 
     async def _send(self, orders: list[TargetOrder]) -> None:
         for order in orders:
-            tenure = self._duty.tenure
-            if tenure is None or not self._duty.may_order():
+            held_lease = self._duty.held_lease
+            if held_lease is None or not self._duty.may_order():
                 return
             self._duty.record_order()
             self._scaling.record_sent(order, self._now())
             result = await self._orders.send(
-                order, self._state.settings.instance, tenure.epoch
+                order, self._state.settings.instance, held_lease.epoch
             )
             self._scaling.record_result(order, result, self._now())
             meters.TARGET_ORDERS.labels(result.value).inc()
@@ -137,7 +137,7 @@
                 count=order.count,
                 wanted=round(self._measure.demand, 1),
                 outcome=result.value,
-                epoch=tenure.epoch,
+                epoch=held_lease.epoch,
             )
 
     def _clear_sending(self, _: object) -> None:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/reporter.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/reporter.py
@@ -102,7 +102,7 @@
 
     def holder(self) -> InstanceId | None:
         """Return the instance to which counts are sent, if any."""
-        if self._duty.tenure is not None:
+        if self._duty.held_lease is not None:
             return self._state.settings.instance
         known = self._state.duties_by_service.get(DUTY)
         if known is None or known.instance == self._state.settings.instance:
@@ -292,10 +292,10 @@
         )
 
     async def _send(self, window: WindowNumber) -> None:
-        tenure = self._duty.tenure
-        assert tenure is not None
+        held_lease = self._duty.held_lease
+        assert held_lease is not None
         report = self._reports_by_window[window]
-        epoch: Epoch = tenure.epoch
+        epoch: Epoch = held_lease.epoch
         self._duty.record_order()
         outcome = await self._billing.report(
             window, report.counts, self._state.settings.instance, epoch
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/weight_switcher.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/weight_switcher.py
@@ -188,11 +188,15 @@
         if not self._fleet.is_current(engine):
             # The engine restarted: its order count belongs to the old process.
             return wire_engines.OrderOutcome.GONE
-        tenure = self._duty.tenure
+        held_lease = self._duty.held_lease
         now = self._now()
         # Checked right before the order: the confirmation can have taken
         # longer than the lease.
-        if not is_confirmed or tenure is None or not self._duty.may_order():
+        if (
+            not is_confirmed
+            or held_lease is None
+            or not self._duty.may_order()
+        ):
             return wire_engines.OrderOutcome.FENCED
         self._duty.record_order()
         order = wire_engines.VersionOrder(
@@ -200,7 +204,7 @@
             version=switch.version,
             mode=wire_engines.SwitchMode.CONTINUE,
             holder=self._state.settings.instance,
-            epoch=tenure.epoch,
+            epoch=held_lease.epoch,
             # An unanswered order can be executed seconds later; the expected
             # count makes it fail once another order was accepted.
             expected_orders=report.orders_accepted,
@@ -214,7 +218,7 @@
             engine=engine.target.id,
             model=switch.model,
             version=switch.version,
-            epoch=tenure.epoch,
+            epoch=held_lease.epoch,
             expected=report.orders_accepted,
             running=engine.running,
             outcome=outcome,
--- a/packages/yuccarill-daemon/tests/gateway/runner_world.py
+++ b/packages/yuccarill-daemon/tests/gateway/runner_world.py
@@ -213,7 +213,7 @@
 class HeldDuty(test_listing.HeldDuty):
     """Simulate a held duty that permits version orders."""
 
-    tenure: Any = None
+    held_lease: Any = None
 
     def is_held(self) -> bool:
         return self.revision is not None
@@ -263,7 +263,7 @@
         self.holds += 1
         self.keys.put(keys.duty(self.part), b'%d' % self.holds)
         duty = self.duty()
-        duty.tenure = mock.Mock(epoch=self.keys.revision)
+        duty.held_lease = mock.Mock(epoch=self.keys.revision)
         state = self.state(name)
         state.table = self.table
         state.placement = self.placement
--- a/packages/yuccarill-daemon/tests/gateway/test_scaling.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_scaling.py
@@ -39,12 +39,12 @@
     service = world.SERVICE
 
     def __init__(self) -> None:
-        self.tenure: HeldLease | None = HeldLease()
+        self.held_lease: HeldLease | None = HeldLease()
         self.is_usable = True
         self.orders = 0
 
     def may_order(self) -> bool:
-        return self.tenure is not None and self.is_usable
+        return self.held_lease is not None and self.is_usable
 
     def record_order(self) -> None:
         self.orders += 1
@@ -124,7 +124,7 @@
         """Guard against orders without the duty, a lease or bounds."""
         match missing:
             case 'no duty':
-                self.duty.tenure = None
+                self.duty.held_lease = None
             case 'no lease':
                 self.duty.is_usable = False
             case 'no bounds':
