--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/duties.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/duties.py
@@ -69,9 +69,9 @@
         self._holder_calls = holders
         self.held_lease: leadership.HeldLease | None = None
         # Whether no other process held the duty between two holds of this one.
-        self.is_continued = False
+        self.is_reacquired = False
         # Peer address of the last holder's standby; empty if unknown.
-        self.last_standby = ''
+        self.last_standby_address = ''
         self._incarnation = Incarnation(uuid.uuid4().hex)
         self._state = state
         self._keys = duty_keys.DutyKeys(
@@ -119,7 +119,7 @@
         )
 
     @property
-    def is_elsewhere(self) -> bool:
+    def is_held_elsewhere(self) -> bool:
         """Return whether another instance is known to hold the duty."""
         holder = self._state.duties_by_service.get(self.service)
         if holder is None:
@@ -140,7 +140,7 @@
         own_id = self._state.settings.instance
         return holder is None or holder.instance == own_id
 
-    def confirm_from(self, sent_at: Instant) -> None:
+    def record_confirmation(self, sent_at: Instant) -> None:
         """Record that the hold was valid in the store at a send time."""
         self._confirmed_at = max(self._confirmed_at, sent_at)
 
@@ -175,11 +175,11 @@
         if revision is None or revision != self.revision:
             return
         if is_in_store:
-            self.confirm_from(sent_at)
+            self.record_confirmation(sent_at)
         else:
             self._drop_hold('the store has no entry of this hold')
 
-    def may_order(self) -> bool:
+    def can_send_orders(self) -> bool:
         """Return whether an order may be sent to an engine."""
         return self.held_lease is not None and self.held_lease.may_order(
             self._now()
@@ -206,7 +206,7 @@
         await self._keys.release_hold(Revision(held_lease.epoch), idle, wait)
         log.info('Duty given back.', service=self.service)
 
-    def give_up(self, revision: Revision) -> None:
+    def drop_hold(self, revision: Revision) -> None:
         """Drop the hold of a revision that the store no longer has."""
         if self.held_lease is not None and self.revision == revision:
             self._drop_hold('the store has no entry of this hold')
@@ -269,7 +269,9 @@
         if not is_released and self._holder_calls is not None:
             asked_at = self._clock.seconds()
             assert last is not None
-            if await self._holder_calls.is_alive(last.instance, self.service):
+            if await self._holder_calls.request_reclaim(
+                last.instance, self.service
+            ):
                 wait += holder_calls.RECLAIM_SECONDS
             wait -= self._clock.seconds() - asked_at
         await task.deferLater(self._clock, max(0.0, wait))
@@ -289,11 +291,11 @@
             self._state.settings.instance, last, self._policy, self._now()
         )
         wait = earliest_order_at - self._now()
-        self.last_standby = '' if last is None else last.standby
+        self.last_standby_address = '' if last is None else last.standby
         self._keys.standby = ''
         revision = await self._keys.acquire(lease, holder, last, wait)
         earliest_order_at = Instant(self._now() + wait)
-        self.is_continued = (
+        self.is_reacquired = (
             last is not None and last.incarnation == self._incarnation
         )
         self.held_lease = leadership.HeldLease(
@@ -323,7 +325,7 @@
             return
         self._write_last_holder()
 
-    def name_standby(self, address: str) -> None:
+    def record_standby(self, address: str) -> None:
         """Record the peer address of the standby for the next holder."""
         if address != self._keys.standby and self.is_held():
             self._keys.standby = address
@@ -338,7 +340,7 @@
         writing.addErrback(self._last_holder_write_failed)
 
     def _last_holder_write_failed(self, failure: Any) -> None:
-        # With no address kept, the next name_standby() call writes again.
+        # With no address kept, the next record_standby() call writes again.
         self._keys.standby = ''
         self._failed(failure)
 
@@ -373,7 +375,7 @@
             self._clock.callLater(RETRY_SECONDS, self.update)
 
     def _now(self) -> Instant:
-        return lease_module.boot_time()
+        return lease_module.seconds_since_boot()
 
 
 def _notify_waiter(result: object, waiting: defer.Deferred[None]) -> object:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/departure.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/graceful_shutdown.py
@@ -28,7 +28,7 @@
 RETRY_SECONDS = 0.3
 
 
-class Departure:
+class GracefulShutdown:
     """Announce a planned shutdown and hand over duties and texts."""
 
     def __init__(
@@ -59,7 +59,7 @@
         """
         await self._announce()
         # A new holder fetches the texts as soon as it acquires a duty.
-        await self.hand_on()
+        await self.hand_over_texts()
         await defer.gatherResults(
             [
                 defer.Deferred.fromCoroutine(duty.release())
@@ -70,7 +70,7 @@
             ]
         )
 
-    async def hand_on(self) -> None:
+    async def hand_over_texts(self) -> None:
         """Hand over partial texts, including those kept for another holder."""
         for service in list(self._duties_by_service):
             runner = self._runners_by_service.get(service)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/holder_calls.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/holder_calls.py
@@ -35,9 +35,11 @@
         self._state = state
         self._peers = peers
         # Called with the service whose duty another instance found free.
-        self.on_asked: Callable[[ServiceName], None] = lambda service: None
+        self.on_duty_free: Callable[[ServiceName], None] = lambda service: None
 
-    async def is_alive(self, holder: InstanceId, service: ServiceName) -> bool:
+    async def request_reclaim(
+        self, holder: InstanceId, service: ServiceName
+    ) -> bool:
         """Return whether the last holder is alive and reclaims the duty."""
         peer = self._state.instances_by_id.get(holder)
         if peer is None:
@@ -65,5 +67,5 @@
         service = ServiceName(query.get('service', [''])[0])
         if self._state.is_leaving:
             return SmallResponse(status=409)
-        self.on_asked(service)
+        self.on_duty_free(service)
         return SmallResponse(status=200)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/lease.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/lease.py
@@ -22,7 +22,7 @@
 RETRY_SECONDS = 0.2
 
 
-def boot_time() -> Instant:
+def seconds_since_boot() -> Instant:
     """Return seconds on a clock that also counts while the machine sleeps.
 
     On a clock that stops during suspension, an expired lease would look valid
@@ -45,10 +45,10 @@
         is_urgent: bool,
     ) -> None:
         self.id: int | None = None
-        # Send time of the last successful renewal, by boot_time().
+        # Send time of the last successful renewal, by seconds_since_boot().
         self.renewed_at = Instant(0.0)
         # Called when the store is reachable again after an outage.
-        self.on_return: Callable[[], None] = lambda: None
+        self.on_store_recovery: Callable[[], None] = lambda: None
         self._store = store
         self._seconds = seconds
         self._renewal_seconds = renewal_seconds
@@ -63,7 +63,7 @@
 
         Raises StoreRefused or StoreOutcomeUnknown.
         """
-        sent_at = boot_time()
+        sent_at = seconds_since_boot()
         self.id = await self._store.open_lease(self._seconds)
         self.renewed_at = sent_at
         return self.id
@@ -88,7 +88,7 @@
 
     async def _renew(self, lease_id: int) -> bool:
         """Send a renewal; return False if it has to be retried."""
-        sent_at = boot_time()
+        sent_at = seconds_since_boot()
         try:
             await self._store.renew_lease(lease_id)
         except store_module.LeaseEnded:
@@ -115,4 +115,4 @@
         if self._is_store_unreachable:
             self._is_store_unreachable = False
             log.info('Store reached again.')
-            self.on_return()
+            self.on_store_recovery()
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/session.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/session.py
@@ -54,7 +54,7 @@
             is_urgent=False,
         )
 
-    async def follow(self) -> None:
+    async def keep_registered(self) -> None:
         """Register and renew the lease until end() or cancellation."""
         while not self._is_ended:
             try:
@@ -70,7 +70,7 @@
                 log.warning('Instance registration failed.', cause=str(error))
                 await self._store.pause(lease_module.RETRY_SECONDS)
 
-    async def check(self) -> None:
+    async def restore_registration(self) -> None:
         """Register again if the entry was deleted while its lease is valid."""
         own_id = self._state.settings.instance
         if self.lease.id is None or not self._state.is_current:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/listing.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/listing.py
@@ -158,7 +158,7 @@
         revision = self._duty.revision
         if revision is None:
             return False
-        sent_at = lease.boot_time()
+        sent_at = lease.seconds_since_boot()
         try:
             await self._jobs.append(
                 self._job,
@@ -175,10 +175,10 @@
             # The chunk is retried if this process regains the duty. If
             # another process gets the duty, this listing is stopped.
             log.warning('Results not written: duty is lost.', job=self._job)
-            self._duty.give_up(revision)
+            self._duty.drop_hold(revision)
             return False
         # The write was conditional on the duty, so it confirms the duty.
-        self._duty.confirm_from(sent_at)
+        self._duty.record_confirmation(sent_at)
         return True
 
     def _next_chunk(self) -> tuple[ItemResult, ...]:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/service_work.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/service_work.py
@@ -33,7 +33,7 @@
     from yuccarill.daemon.gateway.requests.sender import Sender
     from yuccarill.daemon.gateway.scaling.parts import ScalingParts
     from yuccarill.daemon.gateway.scaling.scaler import Scaler
-    from yuccarill.daemon.gateway.standby.desk import StandbyDesk
+    from yuccarill.daemon.gateway.standby.service import StandbyService
     from yuccarill.daemon.gateway.state import GatewayState
     from yuccarill.platform.engines import Engines
     from yuccarill.platform.store import Store
@@ -54,7 +54,7 @@
         depot: TextDepot,
         text_sender: TextSender,
         text_fetcher: TextFetcher,
-        standbys: StandbyDesk,
+        standbys: StandbyService,
         peers: PeerCalls,
         holders: HolderCalls,
         scaling: ScalingParts,
@@ -105,7 +105,7 @@
         for duty in list(self.duties_by_service.values()):
             duty.update()
         for name, running in list(self.runners_by_service.items()):
-            if self.duties_by_service[name].is_elsewhere:
+            if self.duties_by_service[name].is_held_elsewhere:
                 self._stop_runner(name)
             else:
                 running.survey()
@@ -134,7 +134,7 @@
             if old_runner is not None and self._state.is_leaving:
                 self._stop_runner(service)
             return
-        if old_runner is not None and duty.is_continued:
+        if old_runner is not None and duty.is_reacquired:
             old_runner.resume()
             return
         self._stop_runner(service)
@@ -170,7 +170,7 @@
             new_runner.open_jobs,
             self._text_sender,
             self._peers,
-            duty.name_standby,
+            duty.record_standby,
             self._clock,
         )
         self._job_copiers_by_service[service] = job_copier
@@ -200,7 +200,7 @@
         if found:
             return found
         return await self._text_fetcher.newest(
-            duty.service, duty.last_standby, records.read
+            duty.service, duty.last_standby_address, records.read
         )
 
     def _stop_runner(self, service: ServiceName) -> None:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/process.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/process.py
@@ -17,7 +17,7 @@
 from yuccarill.daemon.gateway.accounts import look
 from yuccarill.daemon.gateway.capacity import control
 from yuccarill.daemon.gateway.capacity import port
-from yuccarill.daemon.gateway.duty import departure
+from yuccarill.daemon.gateway.duty import graceful_shutdown
 from yuccarill.daemon.gateway.duty import holder_calls
 from yuccarill.daemon.gateway.duty import session
 from yuccarill.daemon.gateway.flow import desk as flow_desk
@@ -41,8 +41,8 @@
 from yuccarill.daemon.gateway.requests import streams
 from yuccarill.daemon.gateway.requests import usage_sink
 from yuccarill.daemon.gateway.scaling import parts as scaling_parts
-from yuccarill.daemon.gateway.standby import desk
-from yuccarill.daemon.gateway.standby import unlisted_runs
+from yuccarill.daemon.gateway.standby import service as standby_service
+from yuccarill.daemon.gateway.standby import standby_runner
 from yuccarill.daemon.gateway.standby import witness
 from yuccarill.daemon.gateway import state as state_module
 from yuccarill.daemon.gateway.store import feed
@@ -137,13 +137,13 @@
         self._text_depot = texts.TextDepot(clock)
         text_sender = texts.TextSender(self._state, links, clock)
         text_fetcher = text_fetch.TextFetcher(self._state, links, clock)
-        self._standbys = desk.StandbyDesk(
+        self._standbys = standby_service.StandbyService(
             self._state,
             self._observer.min_age,
             self._text_depot,
             witness.Witnesses(self._state, peers, self._observer.min_age),
             self._standby_runner,
-            self._holder_calls.is_alive,
+            self._holder_calls.request_reclaim,
             self._store_router.probe_now,
             clock,
         )
@@ -220,7 +220,7 @@
             account_admission,
             self._observer.max_age,
         )
-        self._departure = departure.Departure(
+        self._graceful_shutdown = graceful_shutdown.GracefulShutdown(
             self._session,
             self._work.duties_by_service,
             self._work.runners_by_service,
@@ -271,12 +271,12 @@
         # Connections to a restarted target would be reset.
         self._observer.on_restart = self._calls.close_idle
         self._observer.on_start = self._quarantine.ends.started
-        self._session.lease.on_return = self._observer.refresh
+        self._session.lease.on_store_recovery = self._observer.refresh
         self._store_router.on_direct_path_failed = self._on_store_lost
-        self._holder_calls.on_asked = self._on_duty_query
+        self._holder_calls.on_duty_free = self._on_duty_query
         for work in (
             *self._observer.follow_coroutines(),
-            self._session.follow(),
+            self._session.keep_registered(),
         ):
             background_task = defer.ensureDeferred(work)
             background_task.addErrback(self._log_crash)
@@ -289,8 +289,8 @@
 
     def _standby_runner(
         self, service: ServiceName
-    ) -> unlisted_runs.StandbyRunner:
-        return unlisted_runs.StandbyRunner(
+    ) -> standby_runner.StandbyRunner:
+        return standby_runner.StandbyRunner(
             service,
             self._state,
             generation.Generator(self._calls, self._clock),
@@ -340,14 +340,18 @@
         end_at = self._now() + grace - END_BEFORE_KILL
         log.info('Stopping.', under_way=self._clients.requests_under_way)
         self._state.is_leaving = True
-        departing = defer.Deferred.fromCoroutine(self._departure.leave())
+        departing = defer.Deferred.fromCoroutine(
+            self._graceful_shutdown.leave()
+        )
         departing.addErrback(self._log_crash)
         while self._now() < close_at:
             await self._pause()
         if not departing.called:
             # Another instance takes the duty over when the lease expires.
             departing.cancel()
-            handover = defer.Deferred.fromCoroutine(self._departure.hand_on())
+            handover = defer.Deferred.fromCoroutine(
+                self._graceful_shutdown.hand_over_texts()
+            )
             handover.addErrback(self._log_crash)
         await defer.maybeDeferred(self._client_port.stopListening)
         self._clients.close_idle()
@@ -368,7 +372,9 @@
             log.warning('Lease was not revoked.', cause=str(error))
 
     def _update(self) -> None:
-        registering = defer.ensureDeferred(self._session.check())
+        registering = defer.ensureDeferred(
+            self._session.restore_registration()
+        )
         registering.addErrback(self._log_store_failure)
         if self._usage is not None:
             self._usage.duty.update()
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/scaling/scaler.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/scaling/scaler.py
@@ -83,7 +83,7 @@
         bounds = self._bounds()
         if bounds is None or self._sending is not None:
             return
-        if not self._duty.may_order():
+        if not self._duty.can_send_orders():
             return
         orders = self._scaling.orders(
             bounds,
@@ -120,7 +120,7 @@
     async def _send(self, orders: list[TargetOrder]) -> None:
         for order in orders:
             held_lease = self._duty.held_lease
-            if held_lease is None or not self._duty.may_order():
+            if held_lease is None or not self._duty.can_send_orders():
                 return
             self._duty.record_order()
             self._scaling.record_sent(order, self._now())
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/desk.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/service.py
@@ -29,7 +29,7 @@
     from yuccarill.core.jobs.job import JobId
     from yuccarill.daemon.adapters.small_server import SmallRequest
     from yuccarill.daemon.gateway.jobs.texts import TextDepot
-    from yuccarill.daemon.gateway.standby.unlisted_runs import StandbyRunner
+    from yuccarill.daemon.gateway.standby.standby_runner import StandbyRunner
     from yuccarill.daemon.gateway.standby.witness import Witnesses
     from yuccarill.daemon.gateway.state import GatewayState
 
@@ -64,7 +64,7 @@
     next_retry_at: Instant = Instant(0.0)
 
 
-class StandbyDesk:
+class StandbyService:
     """Run the jobs of a holder that is lost during a store outage."""
 
     def __init__(
@@ -100,7 +100,7 @@
         self._ticker.start(TICK_SECONDS).addErrback(self._failed)
 
     def handles(self, path: str) -> bool:
-        """Return whether this desk serves a path of the peer port."""
+        """Return whether this service handles a path of the peer port."""
         return path.startswith(messages.PATH)
 
     async def handle(self, request: SmallRequest) -> SmallResponse:
@@ -192,7 +192,7 @@
 
     def _run(self, service: ServiceName, state: _HolderState) -> None:
         if state.runner is not None:
-            state.runner.survey()
+            state.runner.schedule_runs()
             return
         if self._state.is_leaving or not state.jobs_by_id:
             return
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/unlisted_runs.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/standby_runner.py
@@ -77,7 +77,7 @@
         self._queue.keep_partial_texts(texts)
         for job, ended in jobs:
             self._add_job(job, ended)
-        self.survey()
+        self.schedule_runs()
 
     def _add_job(self, job: Job, ended: set[ItemId]) -> None:
         # Clock skew between machines affects only the order of jobs.
@@ -93,7 +93,7 @@
         for run in self._queue.add(state):
             self.track(job.id, self._runs.score(run))
 
-    def survey(self) -> None:
+    def schedule_runs(self) -> None:
         """Update the engines, move runs and start those that fit."""
         self._fleet.update(self._state.engines(self._service))
         self._runs.moves.move()
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/clock.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/clock.py
@@ -40,7 +40,7 @@
         """Return the fleet's time, or local wall time until it is known."""
         if self._offset is None:
             return self.wall()
-        return WallTime(lease.boot_time() + self._offset)
+        return WallTime(lease.seconds_since_boot() + self._offset)
 
     def wall(self) -> WallTime:
         """Return the time of this machine's wall clock."""
@@ -49,17 +49,17 @@
     def adopt(self, holder_time: WallTime, round_trip_seconds: float) -> None:
         """Adopt the holder's time from an answer with this round-trip time."""
         self._offset = (
-            holder_time + round_trip_seconds / 2.0 - lease.boot_time()
+            holder_time + round_trip_seconds / 2.0 - lease.seconds_since_boot()
         )
 
     def record(self, instance: InstanceId, wall: WallTime) -> None:
         """Record the wall time of an instance."""
-        now = lease.boot_time()
+        now = lease.seconds_since_boot()
         self._offsets_by_instance[instance] = (wall - now, now)
 
     def agree(self) -> None:
         """Derive the fleet's time from the recorded wall times."""
-        now = lease.boot_time()
+        now = lease.seconds_since_boot()
         self._offsets_by_instance = {
             instance: (offset, at)
             for instance, (offset, at) in self._offsets_by_instance.items()
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/reporter.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/reporter.py
@@ -194,7 +194,7 @@
                 await self._save(revision)
         except store_module.StoreConflict:
             log.warning('Usage not written: the reporting duty was lost.')
-            self._duty.give_up(revision)
+            self._duty.drop_hold(revision)
         except (
             store_module.StoreRefused,
             store_module.StoreOutcomeUnknown,
@@ -236,7 +236,8 @@
 
     def _may_send(self) -> bool:
         return (
-            self._clock.seconds() >= self._send_at and self._duty.may_order()
+            self._clock.seconds() >= self._send_at
+            and self._duty.can_send_orders()
         )
 
     def _is_report_due(self) -> bool:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/weight_switcher.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/weight_switcher.py
@@ -74,7 +74,7 @@
 
     def update(self) -> None:
         """Start the switches that are due."""
-        if not self._duty.may_order():
+        if not self._duty.can_send_orders():
             return
         versions_by_model = {
             model: version
@@ -195,7 +195,7 @@
         if (
             not is_confirmed
             or held_lease is None
-            or not self._duty.may_order()
+            or not self._duty.can_send_orders()
         ):
             return wire_engines.OrderOutcome.FENCED
         self._duty.record_order()
--- a/packages/yuccarill-daemon/tests/gateway/runner_world.py
+++ b/packages/yuccarill-daemon/tests/gateway/runner_world.py
@@ -218,7 +218,7 @@
     def is_held(self) -> bool:
         return self.revision is not None
 
-    def may_order(self) -> bool:
+    def can_send_orders(self) -> bool:
         return self.revision is not None
 
     def record_order(self) -> None:
--- a/packages/yuccarill-daemon/tests/gateway/test_duties.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_duties.py
@@ -84,7 +84,7 @@
             self.clock,
             holders=holders,
         )
-        holders.on_asked = lambda _: duty.update()
+        holders.on_duty_free = lambda _: duty.update()
         watching.add_listener(duty.update)
         following = [
             defer.ensureDeferred(work) for work in watching.follow_coroutines()
@@ -113,7 +113,7 @@
     def test_first_holder_may_order_immediately(self) -> None:
         a = self.start('a')
         self.run_for(1.0)
-        self.assertTrue(a.duty.may_order())
+        self.assertTrue(a.duty.can_send_orders())
 
     def test_the_next_holder_waits_before_it_orders(self) -> None:
         """Orders of two holders in quick succession corrupt engine weights.
@@ -128,9 +128,9 @@
         a.kill()
         self.run_for(duties.LEASE_SECONDS + 1.0)
         self.assertEqual(['b'], self.holders(a, b))
-        self.assertFalse(b.duty.may_order())
+        self.assertFalse(b.duty.can_send_orders())
         self.run_for(PAUSE_SECONDS)
-        self.assertTrue(b.duty.may_order())
+        self.assertTrue(b.duty.can_send_orders())
 
     # The other instance and the last holder; each name ranks first once.
     @params(('a', 'b'), ('b', 'a'))
@@ -153,8 +153,8 @@
             each.store.rejects_calls = False
         self.run_for(1.5)
         self.assertTrue(holder.duty.is_held())
-        self.assertTrue(holder.duty.is_continued)
-        self.assertTrue(holder.duty.may_order())
+        self.assertTrue(holder.duty.is_reacquired)
+        self.assertTrue(holder.duty.can_send_orders())
 
     def test_a_partitioned_last_holder_is_replaced(self) -> None:
         # The last holder cannot reclaim the duty, so the other acquires it.
@@ -186,7 +186,7 @@
         self.run_for(0.5)
         self.assertEqual(['b'], self.holders(a, b))
         # The first holder never sent an order.
-        self.assertTrue(b.duty.may_order())
+        self.assertTrue(b.duty.can_send_orders())
 
     def test_a_restarted_holder_reacquires_its_duty(self) -> None:
         # A process restarts before its predecessor's lease expires. To an
@@ -196,8 +196,8 @@
         a.kill()
         again = self.start('a')
         self.run_for(0.5)
-        self.assertTrue(again.duty.may_order())
-        self.assertFalse(again.duty.is_continued)
+        self.assertTrue(again.duty.can_send_orders())
+        self.assertFalse(again.duty.is_reacquired)
 
     def test_a_holder_that_restarts_while_it_waits_waits_again(self) -> None:
         """A restart must not cut short the wait for another holder's order.
@@ -217,7 +217,7 @@
         self.assertEqual(['b'], self.holders(a, b))
         b.kill()
         again = self.start('b')
-        while not again.duty.may_order():
+        while not again.duty.can_send_orders():
             self.run_for(0.01)
         gap = self.clock.seconds() - ordered_at
         self.assertGreaterEqual(gap, 3.0)
@@ -237,40 +237,40 @@
         a.state.is_leaving = True
         self.finish(a.duty.release())
         self.run_for(0.5)
-        b.duty.name_standby('c:2')
+        b.duty.record_standby('c:2')
         self.run_for(0.2)
         b.kill()
         again = self.start('b')
-        while not again.duty.may_order():
+        while not again.duty.can_send_orders():
             self.run_for(0.01)
-        self.assertEqual('c:2', again.duty.last_standby)
+        self.assertEqual('c:2', again.duty.last_standby_address)
         self.assertGreaterEqual(self.clock.seconds() - ordered_at, 3.0)
 
     def test_the_next_holder_knows_the_standby(self) -> None:
         a = self.start('a')
         self.run_for(1.0)
-        a.duty.name_standby('c:2')
+        a.duty.record_standby('c:2')
         self.run_for(0.2)
         a.kill()
         b = self.start('b')
         self.run_for(duties.LEASE_SECONDS + 1.0)
         self.assertEqual(['b'], self.holders(a, b))
-        self.assertEqual('c:2', b.duty.last_standby)
+        self.assertEqual('c:2', b.duty.last_standby_address)
 
     def test_a_failed_record_of_a_standby_is_retried(self) -> None:
         a = self.start('a')
         self.run_for(1.0)
         a.store.rejects_calls = True
-        a.duty.name_standby('c:2')
+        a.duty.record_standby('c:2')
         self.run_for(0.2)
         a.store.rejects_calls = False
         self.run_for(0.5)
-        a.duty.name_standby('c:2')
+        a.duty.record_standby('c:2')
         self.run_for(0.2)
         a.kill()
         b = self.start('b')
         self.run_for(duties.LEASE_SECONDS + 1.0)
-        self.assertEqual('c:2', b.duty.last_standby)
+        self.assertEqual('c:2', b.duty.last_standby_address)
 
     def test_an_unused_duty_keeps_the_wait_when_released(
         self,
@@ -290,7 +290,7 @@
         self.run_for(0.2)
         b.state.is_leaving = True
         self.finish(b.duty.release())
-        while not c.duty.may_order():
+        while not c.duty.can_send_orders():
             self.run_for(0.01)
         gap = self.clock.seconds() - ordered_at
         self.assertGreaterEqual(gap, 3.0)
@@ -303,11 +303,11 @@
         self.run_for(0.5)
         a.kill()
         self.run_for(9.0)
-        self.assertTrue(b.duty.may_order())
+        self.assertTrue(b.duty.can_send_orders())
         b.kill()
         again = self.start('b')
         self.run_for(0.5)
-        self.assertTrue(again.duty.may_order())
+        self.assertTrue(again.duty.can_send_orders())
 
     def test_a_suspended_holder_does_not_order(self) -> None:
         """A lease must expire while the holder's machine is suspended.
@@ -317,7 +317,7 @@
         a = self.start('a')
         self.run_for(1.0)
         self.suspended = 10.0
-        self.assertFalse(a.duty.may_order())
+        self.assertFalse(a.duty.can_send_orders())
         self.assertFalse(a.duty.is_held())
 
     def test_a_deleted_key_is_detected(self) -> None:
@@ -330,7 +330,7 @@
         self.run_for(1.0)
         self.assertTrue(a.duty.is_held())
         self.assertNotEqual(epoch, a.duty.revision)
-        self.assertTrue(a.duty.is_continued)
+        self.assertTrue(a.duty.is_reacquired)
 
     def test_partitioned_holder_stops_ordering_before_successor(self) -> None:
         """Orders of a partitioned holder and its successor must not overlap.
@@ -347,7 +347,7 @@
         for _ in range(1000):
             self.run_for(0.01)
             for name, each in (('a', a), ('b', b)):
-                if each.duty.may_order():
+                if each.duty.can_send_orders():
                     orders_by_name[name].append(self.clock.seconds())
         gap = orders_by_name['b'][0] - orders_by_name['a'][-1]
         self.assertGreaterEqual(gap, 3.0)
@@ -367,7 +367,7 @@
         self.run_for(0.6)
         self.assertTrue(a.duty.is_held())
         self.assertFalse(self.finish(a.duty.confirm(0.5)))
-        self.assertFalse(a.duty.may_order())
+        self.assertFalse(a.duty.can_send_orders())
 
     def test_a_hold_is_not_confirmed_without_the_store(self) -> None:
         a = self.start('a')
@@ -396,7 +396,7 @@
         self.run_for(0.5)
         holder.store.loses_replies = False
         self.run_for(3.0)
-        self.assertTrue(holder.duty.may_order())
+        self.assertTrue(holder.duty.can_send_orders())
 
     def test_duty_is_reacquired_after_a_long_outage(self) -> None:
         a = self.start('a')
@@ -407,4 +407,4 @@
         a.store.rejects_calls = False
         self.run_for(1.5)
         self.assertTrue(a.duty.is_held())
-        self.assertTrue(a.duty.is_continued)
+        self.assertTrue(a.duty.is_reacquired)
--- a/packages/yuccarill-daemon/tests/gateway/test_listing.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_listing.py
@@ -30,10 +30,10 @@
     service: str = world.SERVICE
     given_up: list[Revision] = dataclasses.field(default_factory=list)
 
-    def confirm_from(self, sent_at: float) -> None:
+    def record_confirmation(self, sent_at: float) -> None:
         pass
 
-    def give_up(self, revision: Revision) -> None:
+    def drop_hold(self, revision: Revision) -> None:
         self.given_up.append(revision)
         self.revision = None
 
--- a/packages/yuccarill-daemon/tests/gateway/test_scaling.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_scaling.py
@@ -43,7 +43,7 @@
         self.is_usable = True
         self.orders = 0
 
-    def may_order(self) -> bool:
+    def can_send_orders(self) -> bool:
         return self.held_lease is not None and self.is_usable
 
     def record_order(self) -> None:
--- a/packages/yuccarill-daemon/tests/gateway/test_standby.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_standby.py
@@ -21,8 +21,8 @@
 from yuccarill.daemon.gateway.quarantine import target_ends
 from yuccarill.daemon.gateway.quarantine import watched_calls
 from yuccarill.daemon.gateway.standby import copier
-from yuccarill.daemon.gateway.standby import desk
-from yuccarill.daemon.gateway.standby import unlisted_runs
+from yuccarill.daemon.gateway.standby import service as standby_service
+from yuccarill.daemon.gateway.standby import standby_runner
 from yuccarill.daemon.gateway.standby import witness
 from yuccarill.daemon.gateway import state as state_module
 
@@ -55,12 +55,12 @@
             target_ends.TargetEnds(test.engines, guarding, test.clock),
             guarding,
         )
-        self.desk = desk.StandbyDesk(
+        self.standby_service = standby_service.StandbyService(
             self.state,
             lambda: self.store_age,
             self.depot,
             witness.Witnesses(self.state, self.peers, lambda: self.store_age),
-            lambda service: unlisted_runs.StandbyRunner(
+            lambda service: standby_runner.StandbyRunner(
                 service,
                 self.state,
                 generation.Generator(self.calls, test.clock),
@@ -72,14 +72,14 @@
             lambda: test.store_retries.append(name),
             test.clock,
         )
-        self.desk.start()
-        test.addCleanup(self.desk.stop, world.SERVICE)
+        self.standby_service.start()
+        test.addCleanup(self.standby_service.stop, world.SERVICE)
 
     async def handle(
         self, request: small_server.SmallRequest
     ) -> small_server.SmallResponse:
-        if self.desk.handles(request.path):
-            return await self.desk.handle(request)
+        if self.standby_service.handles(request.path):
+            return await self.standby_service.handle(request)
         return await self.depot.handle(request)
 
 
@@ -243,7 +243,7 @@
         running = [
             peer.state.settings.instance
             for peer in self.peers_by_name.values()
-            for known in peer.desk._holders_by_service.values()
+            for known in peer.standby_service._holders_by_service.values()
             if known.runner is not None
         ]
         self.assertEqual([name], running)
@@ -413,7 +413,7 @@
         """A restarted standby must receive the jobs whole again."""
         self.submit()
         self.run_for(1.2)
-        self.standby.desk.stop(world.SERVICE)
+        self.standby.standby_service.stop(world.SERVICE)
         self.run_for(1.2)
         self.lose_holder()
         self.silence_store()
--- a/packages/yuccarill-daemon/tests/gateway/test_texts.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_texts.py
@@ -18,7 +18,7 @@
 from yuccarill.core.speeds.estimate import SpeedRecord
 from yuccarill.daemon.adapters import http_exchange
 from yuccarill.daemon.adapters import small_server
-from yuccarill.daemon.gateway.duty import departure
+from yuccarill.daemon.gateway.duty import graceful_shutdown
 from yuccarill.daemon.gateway.duty import session as session_module
 from yuccarill.daemon.gateway.jobs import runner as runner_module
 from yuccarill.daemon.gateway.jobs import text_copier
@@ -328,7 +328,7 @@
                 )
             )
         )
-        self.leaving = departure.Departure(
+        self.leaving = graceful_shutdown.GracefulShutdown(
             session,
             {world.SERVICE: self},
             {},
--- a/packages/yuccarill-daemon/tests/gateway/world.py
+++ b/packages/yuccarill-daemon/tests/gateway/world.py
@@ -104,11 +104,13 @@
         self.keys = memory_store.Keys(self.clock)
         # Simulated suspend time, which only the boot clock includes.
         self.suspended = 0.0
-        patch = mock.patch.object(lease, 'boot_time', self.boot_time)
+        patch = mock.patch.object(
+            lease, 'seconds_since_boot', self.seconds_since_boot
+        )
         patch.start()
         self.addCleanup(patch.stop)
 
-    def boot_time(self) -> Instant:
+    def seconds_since_boot(self) -> Instant:
         return Instant(self.clock.seconds() + self.suspended)
 
     def store(self) -> memory_store.MemoryStore:
