--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/admission.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/admission.py
@@ -73,7 +73,7 @@
     async def _table(self) -> RouteTable:
         """Return the route table, waiting for the first configuration."""
         deadline = self._clock.seconds() + CONFIGURATION_SECONDS
-        while (table := self._state.table) is None:
+        while (table := self._state.route_table) is None:
             if self._clock.seconds() >= deadline:
                 raise errors.NoConfiguration(
                     'No configuration is known here yet.', RETRY_AFTER
@@ -131,7 +131,7 @@
                     raise errors.KeyUnknown('No client account has this key.')
 
     def _directory(self) -> AccountDirectory | None:
-        table = self._state.table
+        table = self._state.route_table
         return None if table is None else table.accounts
 
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/control.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/control.py
@@ -16,7 +16,7 @@
 from yuccarill.core.ids import InstanceId
 from yuccarill.core.ids import Instant
 from yuccarill.daemon.adapters.small_server import SmallResponse
-from yuccarill.daemon.gateway.capacity import broker_desk
+from yuccarill.daemon.gateway.capacity import broker_server
 from yuccarill.daemon.gateway.capacity import port
 from yuccarill.daemon.gateway.capacity import reporting
 from yuccarill.daemon.gateway import meters
@@ -41,7 +41,7 @@
     ) -> None:
         self._state = state
         self._clock = clock
-        self.desk = broker_desk.BrokerDesk(state, peers, clock)
+        self.desk = broker_server.BrokerDesk(state, peers, clock)
         self._reporter = reporting.Reporter(
             state, peers, self.desk, self._admit_waiting, clock
         )
@@ -51,7 +51,7 @@
         ] = {}
         self._timers_by_service: dict[ServiceName, Any] = {}
 
-    async def enter(
+    async def acquire(
         self, service: ServiceName, request: CapacityRequest
     ) -> port.SendPermit:
         """Wait until a request may be sent; raise Overloaded if refused."""
@@ -83,16 +83,16 @@
 
     def handles(self, path: str) -> bool:
         """Return whether this class serves a path of the peer port."""
-        return path in broker_desk.PATHS
+        return path in broker_server.PATHS
 
     async def handle(self, request: SmallRequest) -> SmallResponse:
         """Answer a request from the peer port."""
         match request.path:
-            case broker_desk.REPORT_PATH:
+            case broker_server.REPORT_PATH:
                 return self.desk.handle(request)
-            case broker_desk.NOTICE_PATH:
+            case broker_server.NOTICE_PATH:
                 return self._handle_notice(request)
-            case broker_desk.OVERVIEW_PATH:
+            case broker_server.OVERVIEW_PATH:
                 overviews = [self._overview(each) for each in self._services()]
                 return SmallResponse(
                     status=200, body=msgspec.json.encode(overviews)
@@ -124,7 +124,7 @@
     def _handle_notice(self, request: SmallRequest) -> SmallResponse:
         try:
             notice = msgspec.msgpack.decode(
-                request.body, type=broker_desk.CapacityNotice
+                request.body, type=broker_server.CapacityNotice
             )
         except msgspec.MsgspecError as error:
             log.warning('Congestion notice is malformed.', cause=str(error))
@@ -147,7 +147,7 @@
         return gate
 
     def _has_engines(self, service: ServiceName) -> bool:
-        table = self._state.table
+        table = self._state.route_table
         known = table and table.services_by_name.get(service)
         return bool(known and known.engine is not None)
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/port.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/port.py
@@ -41,7 +41,7 @@
 class CapacityPort(Protocol):
     """Admit requests and record the results of their attempts."""
 
-    async def enter(
+    async def acquire(
         self, service: ServiceName, request: CapacityRequest
     ) -> SendPermit:
         """Wait until a request may be sent; raise Overloaded if refused."""
@@ -75,7 +75,7 @@
 class NoCapacity:
     """Admit every request, for deployments that share no capacity."""
 
-    async def enter(
+    async def acquire(
         self, service: ServiceName, request: CapacityRequest
     ) -> SendPermit:
         return UNLIMITED
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/reporting.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/reporting.py
@@ -11,7 +11,7 @@
 from yuccarill.core.capacity.messages import CapacityGrant
 from yuccarill.core.gateway import candidates
 from yuccarill.core.ids import Instant
-from yuccarill.daemon.gateway.capacity import broker_desk
+from yuccarill.daemon.gateway.capacity import broker_server
 from yuccarill.daemon.gateway import peer_call
 from yuccarill.daemon import logs
 
@@ -21,7 +21,7 @@
     from yuccarill.core.capacity.messages import DemandReport
     from yuccarill.core.capacity import service_gate
     from yuccarill.core.ids import ServiceName
-    from yuccarill.daemon.gateway.capacity.broker_desk import BrokerDesk
+    from yuccarill.daemon.gateway.capacity.broker_server import BrokerDesk
     from yuccarill.daemon.gateway.peer_call import PeerCalls
     from yuccarill.daemon.gateway.state import GatewayState
 
@@ -118,10 +118,10 @@
         else:
             return None
         try:
-            return await self._peers.ask(
+            return await self._peers.call_decoded(
                 record,
                 'POST',
-                broker_desk.REPORT_PATH,
+                broker_server.REPORT_PATH,
                 ANSWER_SECONDS,
                 CapacityGrant,
                 report,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/requests.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/requests.py
@@ -32,7 +32,7 @@
     )
 
 
-def of_score(
+def from_score(
     route: Route, request: RequestId, now: Instant, deadline: Instant
 ) -> CapacityRequest:
     """Return the capacity request of a call that scores a text."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/holder_calls.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/holder_calls.py
@@ -44,7 +44,7 @@
         peer = self._state.instances_by_id.get(holder)
         if peer is None:
             # A live holder's session lease can expire in a store outage.
-            peer = self._state.known_instances_by_id.get(holder)
+            peer = self._state.recent_instances_by_id.get(holder)
         if peer is None:
             return False
         query = urllib.parse.urlencode({'service': service})
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/flow/desk.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/flow/buffers.py
@@ -23,7 +23,7 @@
 log = logs.for_part('flow')
 
 
-class FlowDesk:
+class BufferTracker:
     """Track the buffers of all connections against one budget."""
 
     is_bounded = True
@@ -67,13 +67,13 @@
 
     def __init__(
         self,
-        desk: FlowDesk,
+        tracker: BufferTracker,
         holder: HolderId,
         give_up: Callable[[Drop], None],
     ) -> None:
         self.holder = budget_module.Holder(id=holder)
         self.give_up = give_up
-        self._desk = desk
+        self._tracker = tracker
         self._is_open = True
         self._is_paused = False
 
@@ -84,10 +84,10 @@
         """
         if not self._is_open:
             return False
-        budget = self._desk.budget
+        budget = self._tracker.budget
         pressure = budget.set_buffered(self.holder, holding, count)
         if pressure is Pressure.DROP:
-            self._desk.free()
+            self._tracker.free()
         meters.HELD_BYTES.set(budget.held)
         should_pause = count > 0 and pressure is not Pressure.NONE
         self._set_paused(should_pause and holding is _ANSWER)
@@ -100,14 +100,14 @@
     def set_account(self, account: AccountName | None) -> None:
         """Set the client account of the connection's request."""
         if self._is_open:
-            self._desk.budget.set_account(self.holder, account)
+            self._tracker.budget.set_account(self.holder, account)
 
     def close(self) -> None:
         """Release all buffered bytes."""
         if self._is_open:
             self._is_open = False
             self._set_paused(False)
-            self._desk.close(self)
+            self._tracker.close(self)
 
     def _set_paused(self, is_paused: bool) -> None:
         if is_paused != self._is_paused:
@@ -115,7 +115,7 @@
             meters.PAUSED_ANSWERS.inc(1 if is_paused else -1)
 
 
-class NoFlow:
+class UnboundedBuffers:
     """Enforce no bounds, for machines of unknown memory size."""
 
     is_bounded = False
@@ -143,9 +143,9 @@
 _ANSWER = budget_module.BufferKind.ANSWER
 
 
-def for_memory(memory: int | None) -> FlowDesk | NoFlow:
-    """Return a desk with bounds for the machine's memory in bytes."""
+def for_memory(memory: int | None) -> BufferTracker | UnboundedBuffers:
+    """Return a tracker with bounds for the machine's memory in bytes."""
     if memory is None:
-        return NoFlow()
+        return UnboundedBuffers()
     bounds = budget_module.bounds(memory)
-    return FlowDesk(budget_module.MemoryBudget(bounds))
+    return BufferTracker(budget_module.MemoryBudget(bounds))
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/intake.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/intake.py
@@ -132,7 +132,7 @@
         runner = self._runners_by_service.get(job.service)
         if runner is None and not relay_module.is_relayed(request):
             # The instance that runs the job then gets it without a read.
-            holder = self._relay.holder_of(job.service)
+            holder = self._relay.holder_of_part(job.service)
             if holder is not None:
                 answer = await self._relay.send(holder, request, RELAY_SECONDS)
                 if answer is not None and answer.status == 202:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_runs.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_runs.py
@@ -210,7 +210,7 @@
 
     def _permission(self, run: job_queue.ItemRun) -> Permission:
         # An item must not reach a service that its route no longer names.
-        table = self._state.table
+        table = self._state.route_table
         path = run.item.path.partition('?')[0]
         route = table.find(run.job.host, path) if table else None
         if route is None:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/scoring.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/scoring.py
@@ -12,7 +12,7 @@
 from yuccarill.core.gateway import attempts
 from yuccarill.core.ids import Instant
 from yuccarill.daemon.gateway.capacity import requests as capacity_requests
-from yuccarill.daemon.gateway.requests import exchange
+from yuccarill.daemon.gateway.requests import hedged_request
 from yuccarill.daemon import logs
 from yuccarill.platform import calls as calls_module
 
@@ -75,7 +75,7 @@
             await task.deferLater(self._clock, pause)
 
     def _route(self, request: ScoreRequest) -> Route | None:
-        table = self._state.table
+        table = self._state.route_table
         path = request.path.partition('?')[0]
         return table.find(request.host, path) if table else None
 
@@ -96,7 +96,7 @@
             return None
         now = self._clock.seconds()
         deadline = Instant(now + route.timeout)
-        record = exchange.SendRecord()
+        record = hedged_request.SendRecord()
         plan = attempts.AttemptPlan(
             deadline=deadline,
             max_attempts=route.max_attempts,
@@ -111,9 +111,9 @@
             deadline=deadline,
         )
         try:
-            entry = await self._sender.capacity.enter(
+            entry = await self._sender.capacity.acquire(
                 service,
-                capacity_requests.of_score(
+                capacity_requests.from_score(
                     route, request.id, Instant(now), deadline
                 ),
             )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/service_work.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/service_work.py
@@ -31,7 +31,7 @@
     from yuccarill.daemon.gateway.quarantine.guard import ContentGuard
     from yuccarill.daemon.gateway.quarantine.watched_calls import WatchedCalls
     from yuccarill.daemon.gateway.requests.sender import Sender
-    from yuccarill.daemon.gateway.scaling.parts import ScalingParts
+    from yuccarill.daemon.gateway.scaling.parts import ScalerFactory
     from yuccarill.daemon.gateway.scaling.scaler import Scaler
     from yuccarill.daemon.gateway.standby.service import StandbyService
     from yuccarill.daemon.gateway.state import GatewayState
@@ -57,7 +57,7 @@
         standbys: StandbyService,
         peers: PeerCalls,
         holders: HolderCalls,
-        scaling: ScalingParts,
+        scaling: ScalerFactory,
         clock: Any,
     ) -> None:
         self._state = state
@@ -90,7 +90,7 @@
 
     def update(self) -> None:
         """Update duties and runners after a change of the known state."""
-        table = self._state.table
+        table = self._state.route_table
         services = {} if table is None else table.services_by_name
         for service in services.values():
             if service.engine is None:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/text_fetch.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/text_fetch.py
@@ -130,7 +130,7 @@
         own_name = self._state.settings.instance
         records_by_name = {
             record.instance: record
-            for record in self._state.remembered_instances()
+            for record in self._state.recent_instances()
             if record.instance != own_name
         }
         cores_by_name = {n: r.cores for n, r in records_by_name.items()}
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/trainers.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/trainers.py
@@ -60,7 +60,7 @@
         self, call: TrainerCall, request: ClientRequest
     ) -> TargetAnswer | None:
         """Return the answer of the instance that runs the job, or None."""
-        holder = self._relay.holder(request.host, call.job)
+        holder = self._relay.holder_of_job(request.host, call.job)
         if holder is None:
             return None
         seconds = intake_module.RELAY_SECONDS
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/peer_call.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/peer_call.py
@@ -73,7 +73,7 @@
             raise PeerFailed(f'status {reply.head.status}')
         return reply.body
 
-    async def ask(
+    async def call_decoded(
         self,
         peer: InstanceRecord,
         method: str,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/process.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/process.py
@@ -20,7 +20,7 @@
 from yuccarill.daemon.gateway.duty import graceful_shutdown
 from yuccarill.daemon.gateway.duty import holder_calls
 from yuccarill.daemon.gateway.duty import session
-from yuccarill.daemon.gateway.flow import desk as flow_desk
+from yuccarill.daemon.gateway.flow import buffers
 from yuccarill.daemon.gateway.jobs import generation
 from yuccarill.daemon.gateway.jobs import intake
 from yuccarill.daemon.gateway.jobs import job_store
@@ -161,7 +161,7 @@
             self._standbys,
             peers,
             self._holder_calls,
-            scaling_parts.ScalingParts(
+            scaling_parts.ScalerFactory(
                 options.target_orders, self._state, links, clock
             ),
             clock,
@@ -231,7 +231,7 @@
         )
         self._clients = server.ClientFactory(
             self._front,
-            flow_desk.for_memory(settings.memory),
+            buffers.for_memory(settings.memory),
             clock,
             self._now,
         )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/records.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/records.py
@@ -91,7 +91,7 @@
         # To limit conflicts, only the watchers write: they are the first to
         # see changes in the store.
         writers = watchers.watchers(
-            self._state.cores_by_name(), self._state.centres_by_name()
+            self._state.cores_by_name(), self._state.data_centres_by_name()
         )
         if self._state.settings.instance in writers:
             self.write(content)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/forwarding.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/forwarding.py
@@ -14,7 +14,7 @@
 from yuccarill.daemon.gateway.capacity import port
 from yuccarill.daemon.gateway.capacity import requests as capacity_requests
 from yuccarill.daemon.gateway import meters
-from yuccarill.daemon.gateway.requests import exchange
+from yuccarill.daemon.gateway.requests import hedged_request
 from yuccarill.daemon import logs
 from yuccarill.platform import calls as calls_module
 
@@ -67,7 +67,7 @@
 
         Raises KeyMissing, KeyUnknown, or NotRun if the key can't be checked.
         """
-        table = self._state.table
+        table = self._state.route_table
         if table is None:
             return
         route = table.find(request.host, request.path)
@@ -105,7 +105,7 @@
             )
 
     def _match(self, request: ClientRequest) -> Route:
-        table = self._state.table
+        table = self._state.route_table
         if table is None:
             raise errors.NoConfiguration(
                 'No configuration is known here yet.', NO_CONFIGURATION_RETRY
@@ -141,9 +141,9 @@
             max_attempts=route.max_attempts,
             hedge_delay=attempts.hedge_delay(route.objective),
         )
-        record = exchange.SendRecord()
+        record = hedged_request.SendRecord()
         service = self._choose_service(route)
-        permit = await self._capacity.enter(
+        permit = await self._capacity.acquire(
             service, capacity_requests.from_client(route, request, deadline)
         )
         try:
@@ -155,7 +155,7 @@
                 permit,
             )
         finally:
-            self._usage.began(request.account, record.began_at)
+            self._usage.record_start(request.account, record.began_at)
 
     async def _send_at_most_once(
         self, route: Route, request: ClientRequest
@@ -163,7 +163,7 @@
         deadline = requests.time_limit(route, request)
         service = self._choose_service(route)
         call = to_target_call(request, deadline)
-        permit = await self._capacity.enter(
+        permit = await self._capacity.acquire(
             service, capacity_requests.from_client(route, request, deadline)
         )
         selector = self._sender.select_targets(
@@ -184,7 +184,7 @@
                     attempt.answer = answer
             except calls_module.CallFailed as error:
                 if error.end is calls_module.CallEnd.BROKEN:
-                    self._usage.began(request.account, sent_at)
+                    self._usage.record_start(request.account, sent_at)
                     # The request may have run; a retry could run it twice.
                     raise errors.OutcomeUnknown(
                         f'The target failed during the request: {error}.'
@@ -193,7 +193,7 @@
                 selector.record_unreached(target)
                 continue
             if not answer.not_run:
-                self._usage.began(request.account, sent_at)
+                self._usage.record_start(request.account, sent_at)
                 return answer
             cause = f'refused with status {answer.status}'
         raise permit.refusal(cause)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/front.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/front.py
@@ -49,7 +49,7 @@
 
     def is_ready(self) -> bool:
         """Return whether this instance should get new connections."""
-        if self._state.is_leaving or self._state.table is None:
+        if self._state.is_leaving or self._state.route_table is None:
             return False
         return self._state.is_current
 
@@ -57,7 +57,7 @@
         return self._state.is_leaving
 
     def limits(self) -> ClientLimits:
-        table = self._state.table
+        table = self._state.route_table
         return ClientLimits() if table is None else table.limits
 
     def addresses(self, data_centre: DataCentreId) -> AddressList:
@@ -113,7 +113,7 @@
         self, request_id: str, error: errors.YuccarillError
     ) -> None:
         """Log why a request got no answer from a target."""
-        table = self._state.table
+        table = self._state.route_table
         log.info(
             'Request refused or failed.',
             request=request_id,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/exchange.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/hedged_request.py
@@ -12,14 +12,14 @@
 from yuccarill.core.gateway import attempts
 from yuccarill.core.ids import Instant
 from yuccarill.daemon.gateway.capacity import port
-from yuccarill.daemon.gateway.requests import tries
+from yuccarill.daemon.gateway.requests import target_selector
 from yuccarill.platform import calls as calls_module
 
 if TYPE_CHECKING:
     from yuccarill.core.gateway.requests import TargetAnswer
     from yuccarill.core.gateway.targets import ListedTarget
     from yuccarill.core.ids import ServiceName
-    from yuccarill.daemon.gateway.requests.attempting import Attempts
+    from yuccarill.daemon.gateway.requests.attempts import Attempts
     from yuccarill.platform.calls import TargetCall
 
 
@@ -67,7 +67,7 @@
         # Cleared when there is no capacity for a hedge.
         self._may_hedge = True
         # Unlimited here: the plan limits the attempts.
-        self._selector = tries.TargetSelector(
+        self._selector = target_selector.TargetSelector(
             attempting, service, call.content, sys.maxsize
         )
         self._quarantine_error: errors.RequestQuarantined | None = None
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/relay.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/relay.py
@@ -49,7 +49,7 @@
         self._clock = clock
         self._peers = peer_choice.PeerChoice(state, clock)
 
-    def holder(self, host: str, job: JobId) -> InstanceRecord | None:
+    def holder_of_job(self, host: str, job: JobId) -> InstanceRecord | None:
         """Return the peer that has a job's results in memory, if any."""
         service = self._service(host)
         if service is None:
@@ -60,7 +60,7 @@
         if division.parts > 1:
             # The job's record in the store names its holder.
             return None
-        return self.holder_of(service)
+        return self.holder_of_part(service)
 
     def _find_reader(
         self, service: ServiceName, count: int, job: JobId
@@ -85,7 +85,7 @@
             return None
         return found
 
-    def holder_of(self, part: ServiceName) -> InstanceRecord | None:
+    def holder_of_part(self, part: ServiceName) -> InstanceRecord | None:
         """Return the peer that holds the duty of a service's part, if any."""
         duty = self._state.duties_by_service.get(part)
         if not duty or duty.instance == self._state.settings.instance:
@@ -143,7 +143,7 @@
         )
 
     def _service(self, host: str) -> ServiceName | None:
-        table = self._state.table
+        table = self._state.route_table
         if table is None:
             return None
         name = (host.rpartition(':')[0] or host).lower()
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/sender.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/sender.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING
 
 from yuccarill.daemon.gateway.capacity import port
-from yuccarill.daemon.gateway.requests import attempting
-from yuccarill.daemon.gateway.requests import exchange
-from yuccarill.daemon.gateway.requests import tries
+from yuccarill.daemon.gateway.requests import attempts
+from yuccarill.daemon.gateway.requests import hedged_request
+from yuccarill.daemon.gateway.requests import target_selector
 
 if TYPE_CHECKING:
     from yuccarill.core.gateway.attempts import AttemptPlan
@@ -32,7 +32,7 @@
         capacity: port.CapacityPort = port.NO_CAPACITY,
     ) -> None:
         self.capacity = capacity
-        self._attempts = attempting.Attempts(
+        self._attempts = attempts.Attempts(
             pools, calls, guard, clock, capacity
         )
 
@@ -41,7 +41,7 @@
         service: ServiceName,
         call: TargetCall,
         plan: AttemptPlan,
-        record: exchange.SendRecord,
+        record: hedged_request.SendRecord,
         permit: port.SendPermit = port.UNLIMITED,
     ) -> TargetAnswer:
         """Return the first success, else a target's signed error response.
@@ -49,7 +49,7 @@
         Raises NotRun if certainly no attempt ran, else OutcomeUnknown or
         DeadlinePassed.
         """
-        running = exchange.Exchange(
+        running = hedged_request.Exchange(
             self._attempts, service, call, plan, record, permit
         )
         try:
@@ -63,8 +63,8 @@
         call: TargetCall,
         limit: int,
         permit: port.SendPermit = port.UNLIMITED,
-    ) -> tries.TargetSelector:
+    ) -> target_selector.TargetSelector:
         """Return a target selector for one request."""
-        return tries.TargetSelector(
+        return target_selector.TargetSelector(
             self._attempts, service, call.content, limit, permit
         )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/streams.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/streams.py
@@ -24,7 +24,7 @@
     from yuccarill.core.jobs.text import StreamEvent
     from yuccarill.daemon.gateway.quarantine.watched_calls import WatchedCalls
     from yuccarill.daemon.gateway.requests.sender import Sender
-    from yuccarill.daemon.gateway.requests.tries import TargetSelector
+    from yuccarill.daemon.gateway.requests import target_selector
     from yuccarill.daemon.gateway.requests.usage_sink import UsageSink
     from yuccarill.daemon.gateway.state import GatewayState
     from yuccarill.platform.ports import Answerer
@@ -68,7 +68,7 @@
         if service is None:
             raise errors.NoTarget('The route has no service.', 1.0)
         deadline = requests.time_limit(route, request)
-        permit = await self._capacity.enter(
+        permit = await self._capacity.acquire(
             service, capacity_requests.from_client(route, request, deadline)
         )
         run = _StreamRun(request, answerer, permit, self._clock)
@@ -83,12 +83,12 @@
         except errors.RequestQuarantined as error:
             return run.refuse(error)
         finally:
-            self._usage.began(request.account, run.began_at)
+            self._usage.record_start(request.account, run.began_at)
 
     async def _run_attempts(
         self,
         run: _StreamRun,
-        selector: TargetSelector,
+        selector: target_selector.TargetSelector,
         route: Route,
         service: ServiceName,
         permit: port.SendPermit,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/tries.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/target_selector.py
@@ -11,7 +11,7 @@
     from yuccarill.core.ids import ContentDigest
     from yuccarill.core.ids import ServiceName
     from yuccarill.core.ids import TargetId
-    from yuccarill.daemon.gateway.requests.attempting import Attempts
+    from yuccarill.daemon.gateway.requests.attempts import Attempts
 
 
 class TargetSelector:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/usage_sink.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/usage_sink.py
@@ -13,7 +13,7 @@
 class UsageSink(Protocol):
     """Count requests that began to run."""
 
-    def began(
+    def record_start(
         self, account: AccountName | None, at: Instant | None
     ) -> None: ...
 
@@ -21,5 +21,7 @@
 class NoUsage:
     """Count nothing, for deployments without usage reports."""
 
-    def began(self, account: AccountName | None, at: Instant | None) -> None:
+    def record_start(
+        self, account: AccountName | None, at: Instant | None
+    ) -> None:
         pass
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/scaling/parts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/scaling/parts.py
@@ -19,7 +19,7 @@
     from yuccarill.daemon.gateway.state import GatewayState
 
 
-class ScalingParts:
+class ScalerFactory:
     """Create scalers from the dependencies that all of them share."""
 
     def __init__(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/scaling/scaler.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/scaling/scaler.py
@@ -98,7 +98,7 @@
             self._sending.addBoth(self._clear_sending)
 
     def _bounds(self) -> ScalingBounds | None:
-        table = self._state.table
+        table = self._state.route_table
         if table is None:
             return None
         service = table.services_by_name.get(self._duty.service)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/copier.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/copier.py
@@ -112,7 +112,7 @@
             ),
         )
         try:
-            answer = await self._peers.ask(
+            answer = await self._peers.call_decoded(
                 peer,
                 'POST',
                 messages.PATH,
@@ -144,7 +144,7 @@
             incarnation=self._state.incarnation,
         )
         try:
-            await self._peers.ask(
+            await self._peers.call_decoded(
                 peer,
                 'POST',
                 messages.PATH,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/witness.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/witness.py
@@ -117,7 +117,7 @@
         self, peer: InstanceRecord, query: str, seconds: float
     ) -> messages.Sighting | None:
         try:
-            return await self._peers.ask(
+            return await self._peers.call_decoded(
                 peer,
                 'GET',
                 messages.SIGHTING_PATH + query,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/state.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/state.py
@@ -80,13 +80,13 @@
     # Assigns items of batch jobs to engines.
     placement: Placement = Placement.LOAD
     # From here to `quarantined_by_content`: written by the observer.
-    table: RouteTable | None = None
+    route_table: RouteTable | None = None
     targets: TargetList = dataclasses.field(default_factory=TargetList)
     instances_by_id: dict[InstanceId, InstanceRecord] = dataclasses.field(
         default_factory=dict
     )
     # Includes the last records of instances that are no longer listed.
-    known_instances_by_id: dict[InstanceId, InstanceRecord] = (
+    recent_instances_by_id: dict[InstanceId, InstanceRecord] = (
         dataclasses.field(default_factory=dict)
     )
     # Division of each service into parts; no entry while undecided.
@@ -161,19 +161,19 @@
         if self.division(service).is_by_items:
             return service
         count = self.division(service).parts
-        table = self.table
+        table = self.route_table
         known = None if table is None else table.services_by_name.get(service)
         engine = None if known is None else known.engine
         models = () if engine is None else engine.models
         return partitions.part_of_model(service, model, models, count)
 
-    def remembered_instances(self) -> list[InstanceRecord]:
+    def recent_instances(self) -> list[InstanceRecord]:
         """Return the serving instances, including recently delisted ones.
 
         After a store outage that outlasts the leases, no instance is listed
         until each has registered again.
         """
-        known = {**self.known_instances_by_id, **self.instances_by_id}
+        known = {**self.recent_instances_by_id, **self.instances_by_id}
         return [each for each in known.values() if not each.is_leaving]
 
     def serving_instances(self) -> list[InstanceRecord]:
@@ -184,7 +184,7 @@
             if not record.is_leaving
         ]
 
-    def centres_by_name(self) -> dict[str, DataCentreId]:
+    def data_centres_by_name(self) -> dict[str, DataCentreId]:
         """Return the data centres of the serving instances and this one."""
         centres = {
             record.instance: DataCentreId(record.data_centre)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/direct_path.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/direct_path.py
@@ -131,6 +131,6 @@
             return True
         # Readers of a watcher recover only after the watcher has recovered.
         names = watchers.watchers(
-            self._state.cores_by_name(), self._state.centres_by_name()
+            self._state.cores_by_name(), self._state.data_centres_by_name()
         )
         return self._state.settings.instance in names
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/feed.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/feed.py
@@ -231,7 +231,7 @@
 
     def _watcher_names(self) -> tuple[str, ...]:
         return watchers.watchers(
-            self._state.cores_by_name(), self._state.centres_by_name()
+            self._state.cores_by_name(), self._state.data_centres_by_name()
         )
 
     async def _poll(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/observer.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/observer.py
@@ -119,7 +119,7 @@
                 key=entry.key,
                 cause=fault,
             )
-        known = self._state.table
+        known = self._state.route_table
         # An older version after a newer one is a fault; applying it would
         # restore removed routes.
         if known is not None and decoded.table.version <= known.version:
@@ -128,7 +128,7 @@
         before = None if known is None else known.accounts
         if accounts is not None and before is not None:
             accounts.record_removed_keys(before)
-        self._state.table = decoded.table
+        self._state.route_table = decoded.table
         log.info(
             'Configuration applied.',
             version=decoded.table.version,
@@ -197,7 +197,9 @@
             if isinstance(change, store_module.Removal):
                 gone = state.instances_by_id.pop(instance, None)
                 if gone is not None:
-                    _remember_gone(state.known_instances_by_id, instance, gone)
+                    _remember_gone(
+                        state.recent_instances_by_id, instance, gone
+                    )
                 log.info('Instance no longer listed.', instance=instance)
                 return
             state.instances_by_id[instance] = msgspec.msgpack.decode(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/counter.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/counter.py
@@ -142,7 +142,7 @@
     ) -> messages.CountAnswer | None:
         sent_at = self._clock.seconds()
         try:
-            answer = await self._peers.ask(
+            answer = await self._peers.call_decoded(
                 peer,
                 'POST',
                 messages.PATH,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/parts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/parts.py
@@ -72,7 +72,9 @@
         self.reporter.start()
         self.counter.start()
 
-    def began(self, account: AccountName | None, at: Instant | None) -> None:
+    def record_start(
+        self, account: AccountName | None, at: Instant | None
+    ) -> None:
         """Count a request that began to run for a client account."""
         if account is not None and at is not None:
             self.counter.count_request(account, at)
@@ -86,5 +88,5 @@
         return await self.reporter.handle(request)
 
     def _has_accounts(self) -> bool:
-        table = self._state.table
+        table = self._state.route_table
         return table is not None and table.accounts is not None
--- a/packages/yuccarill-daemon/tests/gateway/crash_world.py
+++ b/packages/yuccarill-daemon/tests/gateway/crash_world.py
@@ -25,7 +25,7 @@
 from yuccarill.daemon.gateway.quarantine import reports
 from yuccarill.daemon.gateway.quarantine import target_ends
 from yuccarill.daemon.gateway.quarantine import watched_calls
-from yuccarill.daemon.gateway.requests import exchange
+from yuccarill.daemon.gateway.requests import hedged_request
 from yuccarill.daemon.gateway.requests import pools
 from yuccarill.daemon.gateway.requests import sender
 from yuccarill.daemon.gateway import state as state_module
@@ -305,7 +305,7 @@
             hedge_delay=HEDGE,
         )
         return await instance.sender.send(
-            SERVICE, self._target_call(body), plan, exchange.SendRecord()
+            SERVICE, self._target_call(body), plan, hedged_request.SendRecord()
         )
 
     def _target_call(self, body: bytes) -> calls.TargetCall:
--- a/packages/yuccarill-daemon/tests/gateway/runner_world.py
+++ b/packages/yuccarill-daemon/tests/gateway/runner_world.py
@@ -265,7 +265,7 @@
         duty = self.duty()
         duty.held_lease = mock.Mock(epoch=self.keys.revision)
         state = self.state(name)
-        state.table = self.table
+        state.route_table = self.table
         state.placement = self.placement
         for engine in self.engines.engines_by_id.values():
             state.targets.put(engine.target)
--- a/packages/yuccarill-daemon/tests/gateway/test_admission.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_admission.py
@@ -61,7 +61,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.known = self.state('a')
-        self.known.table = table(1, a='k1')
+        self.known.route_table = table(1, a='k1')
         self.config_store = CountingStore()
         self.admission = admission.AccountAdmission(
             self.known,
@@ -73,7 +73,7 @@
         )
 
     def learn(self, entry: routes.RouteTable) -> None:
-        self.known.table = entry
+        self.known.route_table = entry
 
     def admit(
         self, *values: str, is_open: bool = False
@@ -111,7 +111,7 @@
             self.assertEqual((('Accept', '*/*'),), found.headers)
 
     def test_without_accounts_no_key_is_checked_or_removed(self) -> None:
-        self.known.table = routes.RouteTable(
+        self.known.route_table = routes.RouteTable(
             1, [world.batch_route()], [], routes.ClientLimits()
         )
         found = self.admit(KEY).result
@@ -138,8 +138,8 @@
 
     def test_removed_key_is_refused_without_a_read(self) -> None:
         following = table(2, a='k3')
-        following.accounts.record_removed_keys(self.known.table.accounts)
-        self.known.table = following
+        following.accounts.record_removed_keys(self.known.route_table.accounts)
+        self.known.route_table = following
         self.refused_with(self.admit(KEY), errors.KeyUnknown)
         self.assertEqual(0, self.config_store.reads)
 
@@ -192,15 +192,15 @@
 
         Without a configuration, the reader must not count as anonymous.
         """
-        found, self.known.table = self.known.table, None
+        found, self.known.route_table = self.known.route_table, None
         waiting = self.job_call()
         self.run_for(0.3)
-        self.known.table = found
+        self.known.route_table = found
         self.run_for(0.1)
         self.assertEqual('a', waiting.result.account)
 
     def test_no_admission_without_a_configuration(self) -> None:
-        self.known.table = None
+        self.known.route_table = None
         waiting = self.job_call()
         self.run_for(admission.CONFIGURATION_SECONDS + 0.1)
         self.refused_with(waiting, errors.NoConfiguration)
--- a/packages/yuccarill-daemon/tests/gateway/test_capacity.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_capacity.py
@@ -20,7 +20,7 @@
 from yuccarill.core.ids import RequestId
 from yuccarill.daemon.adapters import http_exchange
 from yuccarill.daemon.adapters import small_server
-from yuccarill.daemon.gateway.capacity import broker_desk
+from yuccarill.daemon.gateway.capacity import broker_server
 from yuccarill.daemon.gateway.capacity import control
 from yuccarill.daemon.gateway.capacity import port
 from yuccarill.daemon.gateway import peer_call
@@ -100,7 +100,7 @@
 
         async def serve() -> None:
             try:
-                await capacity.enter(world.SERVICE, self.request())
+                await capacity.acquire(world.SERVICE, self.request())
             except errors.Overloaded as error:
                 found.append(error)
                 return
@@ -153,7 +153,7 @@
     def test_overview_shows_grants_and_demand(self) -> None:
         self.load(3.0, refused=8)
         request = small_server.SmallRequest(
-            method='GET', target=broker_desk.OVERVIEW_PATH
+            method='GET', target=broker_server.OVERVIEW_PATH
         )
         page = self.finish(self.controls[self.order[0]].handle(request))
         (shown,) = msgspec.json.decode(page.body, type=list[ServiceOverview])
@@ -190,7 +190,7 @@
         waiting = []
         for _ in range(30):
             entering = defer.ensureDeferred(
-                capacity.enter(world.SERVICE, self.request())
+                capacity.acquire(world.SERVICE, self.request())
             )
             entering.addErrback(lambda failure: None)
             waiting.append(entering)
--- a/packages/yuccarill-daemon/tests/gateway/test_intake.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_intake.py
@@ -46,7 +46,7 @@
 
     answer: TargetAnswer | None = None
 
-    def holder_of(self, part: str) -> None:
+    def holder_of_part(self, part: str) -> None:
         return None
 
     def peer(self) -> object | None:
--- a/packages/yuccarill-daemon/tests/gateway/test_runner.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_runner.py
@@ -159,7 +159,7 @@
         self.submit(groups=8)
         self.run_for(0.3)
         before = len(self.engines.runs)
-        runner._state.table = routes.RouteTable(
+        runner._state.route_table = routes.RouteTable(
             2, [], [], routes.ClientLimits()
         )
         self.run_for(8.0)
--- a/packages/yuccarill-daemon/tests/gateway/test_scaling.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_scaling.py
@@ -97,7 +97,7 @@
         service = routes.Service(
             name=world.SERVICE, engine=engine, scaling=bounds
         )
-        self.state.table = routes.RouteTable(
+        self.state.route_table = routes.RouteTable(
             1, [], [service], routes.ClientLimits()
         )
 
--- a/packages/yuccarill-daemon/tests/gateway/test_scoring.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_scoring.py
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         self.requests = 0
 
-    async def enter(self, service: ServiceName, request: object) -> None:
+    async def acquire(self, service: ServiceName, request: object) -> None:
         self.requests += 1
         raise errors.Overloaded('full', RETRY_SECONDS)
 
@@ -47,7 +47,9 @@
             timeout=1.5,
             objective=0.15,
         )
-        state.table = routes.RouteTable(1, [route], [], routes.ClientLimits())
+        state.route_table = routes.RouteTable(
+            1, [route], [], routes.ClientLimits()
+        )
         full = FullCapacity()
         sender = mock.Mock(capacity=full)
         scorer = scoring.Scorer(state, sender, self.clock)
@@ -89,7 +91,7 @@
         )
         for number in range(39):
             state.targets.put(world.engine(f'more{number}'))
-        state.table = routes.RouteTable(
+        state.route_table = routes.RouteTable(
             1, [world.batch_route()], [], routes.ClientLimits()
         )
         sender = Sender()
--- a/packages/yuccarill-daemon/tests/gateway/test_sender.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_sender.py
@@ -21,7 +21,7 @@
 from yuccarill.core.ids import TargetId
 from yuccarill.daemon.gateway.capacity import port
 from yuccarill.daemon.gateway.quarantine import guard
-from yuccarill.daemon.gateway.requests import exchange
+from yuccarill.daemon.gateway.requests import hedged_request
 from yuccarill.daemon.gateway.requests import pools
 from yuccarill.daemon.gateway.requests import sender
 from yuccarill.platform import calls
@@ -101,7 +101,7 @@
         self.targets = Targets(
             self.clock, {TargetId(n): r for n, r in replies.items()}
         )
-        self.record = exchange.SendRecord()
+        self.record = hedged_request.SendRecord()
         self.guard = guard.ContentGuard(state, self.clock)
         for target in self.crashed_targets:
             self.guard.target_ended(
@@ -277,7 +277,7 @@
             with self.assertRaises(errors.NotRun):
                 self.finish(
                     sending.send(
-                        world.SERVICE, CALL, plan, exchange.SendRecord()
+                        world.SERVICE, CALL, plan, hedged_request.SendRecord()
                     )
                 )
         self.assertLessEqual(len(targets.called), 3 + 6 * self.clock.seconds())
--- a/packages/yuccarill-daemon/tests/gateway/test_shared_jobs.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_shared_jobs.py
@@ -227,7 +227,7 @@
         state.divisions_by_service[world.SERVICE] = partitions.Division(
             parts=2, is_by_items=True
         )
-        state.table = runner_world.routes.RouteTable(
+        state.route_table = runner_world.routes.RouteTable(
             1,
             [world.batch_route()],
             [],
@@ -251,7 +251,7 @@
             job = JobId(f'j{number}')
             names = {
                 getattr(
-                    self.holder(f'n{n}').holder('t.example', job),
+                    self.holder(f'n{n}').holder_of_job('t.example', job),
                     'instance',
                     f'n{n}',
                 )
--- a/packages/yuccarill-daemon/tests/gateway/test_slow_readers.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_slow_readers.py
@@ -24,7 +24,7 @@
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import WeightVersion
 from yuccarill.core.jobs.text import StreamEvent
-from yuccarill.daemon.gateway.flow import desk
+from yuccarill.daemon.gateway.flow import buffers
 from yuccarill.daemon.gateway.quarantine import guard
 from yuccarill.daemon.gateway.requests import pools
 from yuccarill.daemon.gateway.requests import sender
@@ -192,7 +192,7 @@
             is_resumable=is_resumable,
             max_attempts=2,
         )
-        self.flow = desk.for_memory(memory)
+        self.flow = buffers.for_memory(memory)
         self.refusals: list[Exception] = []
 
         async def forward(
--- a/packages/yuccarill-daemon/tests/gateway/test_standby.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_standby.py
@@ -41,7 +41,7 @@
 
     def __init__(self, test: StandbyTest, name: str) -> None:
         self.state: state_module.GatewayState = test.state(name)
-        self.state.table = test.table
+        self.state.route_table = test.table
         for each in NAMES:
             world.list_instance(self.state, each)
         for engine in test.engines.engines_by_id.values():
@@ -189,7 +189,7 @@
             for name, peer in self.peers_by_name.items()
             if name not in (HOLDER, mine)
         )
-        state.known_instances_by_id = state.instances_by_id
+        state.recent_instances_by_id = state.instances_by_id
         state.instances_by_id = {}
         fetcher = text_fetch.TextFetcher(
             state, Links(self, str(state.settings.instance)), self.clock
--- a/packages/yuccarill-daemon/tests/gateway/test_trainers.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_trainers.py
@@ -55,7 +55,7 @@
     answer: TargetAnswer | None = None
     calls: int = 0
 
-    def holder(self, host: str, job: str) -> object:
+    def holder_of_job(self, host: str, job: str) -> object:
         return 'holder' if self.answer else None
 
     async def send(self, *_: object) -> TargetAnswer | None:
--- a/packages/yuccarill-daemon/tests/gateway/test_usage.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_usage.py
@@ -137,7 +137,7 @@
         store = self.store()
         state = self.state(name)
         state.is_current = False
-        state.table = routes.RouteTable(
+        state.route_table = routes.RouteTable(
             1, [], [], routes.ClientLimits(), directory.AccountDirectory(())
         )
         for each in NAMES:
@@ -219,7 +219,7 @@
         if not alive or not BORDER < offset < WINDOW - BORDER:
             return
         account = self.generator.choice('xyz')
-        self.generator.choice(alive).usage.began(
+        self.generator.choice(alive).usage.record_start(
             AccountName(account), Instant(self.clock.seconds())
         )
         window = int((START + self.clock.seconds()) // WINDOW)
