--- a/packages/yuccarill-core/tests/gateway/test_spared_targets.py
+++ b/packages/yuccarill-core/tests/gateway/test_last_target_guard.py
@@ -36,7 +36,7 @@
     )
 
 
-class SparedTargetsTest(unittest.TestCase):
+class LastTargetGuardTest(unittest.TestCase):
     def setUp(self) -> None:
         self.ledger = crash_ledger.CrashLedger()
         self.losses = unconfirmed_losses.UnconfirmedLosses()
--- a/packages/yuccarill-core/tests/weights/fleet.py
+++ b/packages/yuccarill-core/tests/weights/fleet.py
@@ -15,7 +15,7 @@
 from yuccarill.core.ids import TargetId
 from yuccarill.core.ids import WeightVersion
 from yuccarill.core.weights import capacity
-from yuccarill.core.weights import engine_orders
+from yuccarill.core.weights import engine_orders as engine_orders_module
 from yuccarill.core.weights.orders import Order
 from yuccarill.core.weights.orders import OrderKind
 from yuccarill.core.weights.orders import OrderOutcome
@@ -72,8 +72,8 @@
     # A holder without a lease has no epoch for its orders.
     has_lease: bool = True
     polled_at: float = -POLL_SECONDS
-    orders: engine_orders.EngineOrders = dataclasses.field(
-        default_factory=engine_orders.EngineOrders
+    orders: engine_orders_module.EngineOrders = dataclasses.field(
+        default_factory=engine_orders_module.EngineOrders
     )
 
 
@@ -189,7 +189,7 @@
         )
 
     def _take_over(self, holder: Holder) -> None:
-        holder.orders = engine_orders.EngineOrders()
+        holder.orders = engine_orders_module.EngineOrders()
         holder.epoch = Epoch(holder.epoch + 1)
         holder.is_up, holder.polled_at = True, -POLL_SECONDS
         self._query(holder)
@@ -277,7 +277,7 @@
         wait = max(LATENCY, engine.frozen_until - self.now)
         self.at(wait, lambda: self._arrive(engine, order, holder))
         self.at(
-            engine_orders.ORDER_SECONDS,
+            engine_orders_module.ORDER_SECONDS,
             lambda: self._end(engine, holder, order, OrderOutcome.SILENT),
         )
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/holder_calls.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/holder_calls.py
@@ -7,7 +7,7 @@
 
 from yuccarill.core.ids import InstanceId
 from yuccarill.core.ids import ServiceName
-from yuccarill.daemon.adapters.small_server import Page
+from yuccarill.daemon.adapters.small_server import SmallResponse
 from yuccarill.daemon.gateway import peer_call
 from yuccarill.daemon import logs
 
@@ -35,14 +35,16 @@
         self._state = state
         self._peers = peers
         # Called with the service whose duty another instance found free.
-        self.on_asked: Callable[[ServiceName], None] = lambda service: None
+        self.on_duty_free: Callable[[ServiceName], None] = lambda service: None
 
-    async def is_alive(self, holder: InstanceId, service: ServiceName) -> bool:
+    async def request_reclaim(
+        self, holder: InstanceId, service: ServiceName
+    ) -> bool:
         """Return whether the last holder is alive and reclaims the duty."""
         peer = self._state.instances_by_id.get(holder)
         if peer is None:
             # A live holder's session lease can expire in a store outage.
-            peer = self._state.known_instances_by_id.get(holder)
+            peer = self._state.recent_instances_by_id.get(holder)
         if peer is None:
             return False
         query = urllib.parse.urlencode({'service': service})
@@ -59,11 +61,11 @@
             return False
         return True
 
-    async def handle(self, request: SmallRequest) -> Page:
+    async def handle(self, request: SmallRequest) -> SmallResponse:
         """Answer whether this instance reclaims a duty; 409 if it does not."""
         query = urllib.parse.parse_qs(request.query)
         service = ServiceName(query.get('service', [''])[0])
         if self._state.is_leaving:
-            return Page(status=409)
-        self.on_asked(service)
-        return Page(status=200)
+            return SmallResponse(status=409)
+        self.on_duty_free(service)
+        return SmallResponse(status=200)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_runs.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_runs.py
@@ -210,7 +210,7 @@
 
     def _permission(self, run: job_queue.ItemRun) -> Permission:
         # An item must not reach a service that its route no longer names.
-        table = self._state.table
+        table = self._state.route_table
         path = run.item.path.partition('?')[0]
         route = table.find(run.job.host, path) if table else None
         if route is None:
@@ -237,13 +237,13 @@
         engine: engines_module.EngineState,
     ) -> None:
         now = self._now()
-        beside = engine.running - 1
-        estimate = self._fleet.estimate(engine, beside, now)
+        concurrent = engine.running - 1
+        estimate = self._fleet.estimate(engine, concurrent, now)
         log.info(
             'Run placed.',
             item=run.item.id,
             engine=engine.target.id,
-            beside=beside,
+            beside=concurrent,
             estimate=round(estimate.pace, 4),
             deviation=round(estimate.deviation, 3),
             spare=round(plan.slack(run, estimate.pace, now), 2),
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/peer_call.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/peer_call.py
@@ -66,14 +66,14 @@
             reply = await self._links.exchange(address, request, deadline)
         except (
             http_exchange.NotConnected,
-            http_exchange.ExchangeBroken,
+            http_exchange.ExchangeFailed,
         ) as error:
             raise PeerFailed(str(error)) from error
         if reply.head.status != 200:
             raise PeerFailed(f'status {reply.head.status}')
         return reply.body
 
-    async def ask(
+    async def call_decoded(
         self,
         peer: InstanceRecord,
         method: str,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/process.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/process.py
@@ -17,10 +17,10 @@
 from yuccarill.daemon.gateway.accounts import look
 from yuccarill.daemon.gateway.capacity import control
 from yuccarill.daemon.gateway.capacity import port
-from yuccarill.daemon.gateway.duty import departure
+from yuccarill.daemon.gateway.duty import graceful_shutdown
 from yuccarill.daemon.gateway.duty import holder_calls
 from yuccarill.daemon.gateway.duty import session
-from yuccarill.daemon.gateway.flow import desk as flow_desk
+from yuccarill.daemon.gateway.flow import buffers
 from yuccarill.daemon.gateway.jobs import generation
 from yuccarill.daemon.gateway.jobs import intake
 from yuccarill.daemon.gateway.jobs import job_store
@@ -41,13 +41,13 @@
 from yuccarill.daemon.gateway.requests import streams
 from yuccarill.daemon.gateway.requests import usage_sink
 from yuccarill.daemon.gateway.scaling import parts as scaling_parts
-from yuccarill.daemon.gateway.standby import desk
-from yuccarill.daemon.gateway.standby import unlisted_runs
+from yuccarill.daemon.gateway.standby import service as standby_service
+from yuccarill.daemon.gateway.standby import standby_runner
 from yuccarill.daemon.gateway.standby import witness
 from yuccarill.daemon.gateway import state as state_module
 from yuccarill.daemon.gateway.store import feed
 from yuccarill.daemon.gateway.store import observer
-from yuccarill.daemon.gateway.store import store_way
+from yuccarill.daemon.gateway.store import store_router
 from yuccarill.daemon.gateway.usage import parts as usage_parts
 from yuccarill.daemon import logs
 from yuccarill.platform import calls as calls_module
@@ -93,10 +93,15 @@
             settings, placement=options.placement
         )
         links = connections.Connections(clock, _count_connection)
-        self._way = store_way.StoreWay(self._state, links, clock)
-        self._store = store_module.Store(self._way, settings.store_address)
+        self._store_router = store_router.StoreRouter(
+            self._state, links, clock
+        )
+        self._store = store_module.Store(
+            self._store_router, settings.store_address
+        )
         background = store_module.Store(
-            store_way.BackgroundWay(self._way), settings.store_address
+            store_router.BackgroundStoreRouter(self._store_router),
+            settings.store_address,
         )
         self._quarantine = parts.QuarantineParts(
             self._state,
@@ -132,14 +137,14 @@
         self._text_depot = texts.TextDepot(clock)
         text_sender = texts.TextSender(self._state, links, clock)
         text_fetcher = text_fetch.TextFetcher(self._state, links, clock)
-        self._standbys = desk.StandbyDesk(
+        self._standbys = standby_service.StandbyService(
             self._state,
-            self._observer.least_age,
+            self._observer.min_age,
             self._text_depot,
-            witness.Witnesses(self._state, peers, self._observer.least_age),
+            witness.Witnesses(self._state, peers, self._observer.min_age),
             self._standby_runner,
-            self._holder_calls.is_alive,
-            self._way.expect_return,
+            self._holder_calls.request_reclaim,
+            self._store_router.probe_now,
             clock,
         )
         self._work = service_work.ServiceWork(
@@ -156,7 +161,7 @@
             self._standbys,
             peers,
             self._holder_calls,
-            scaling_parts.ScalingParts(
+            scaling_parts.ScalerFactory(
                 options.target_orders, self._state, links, clock
             ),
             clock,
@@ -184,7 +189,7 @@
             look.ConfigurationLook(
                 self._state,
                 self._store,
-                self._observer.learn_configuration,
+                self._observer.apply_configuration,
                 clock,
             ),
             self._observer.configuration_age,
@@ -213,9 +218,9 @@
             forwarder,
             trainer_desk,
             account_admission,
-            self._observer.age,
+            self._observer.max_age,
         )
-        self._departure = departure.Departure(
+        self._graceful_shutdown = graceful_shutdown.GracefulShutdown(
             self._session,
             self._work.duties_by_service,
             self._work.runners_by_service,
@@ -226,7 +231,7 @@
         )
         self._clients = server.ClientFactory(
             self._front,
-            flow_desk.for_memory(settings.memory),
+            buffers.for_memory(settings.memory),
             clock,
             self._now,
         )
@@ -257,32 +262,35 @@
             self._listen(str(address), pages)
         peers = small_server.SmallServer(self._clock, self._answer_peer)
         self._listen(settings.peer_address, peers)
-        self._observer.listen(self._update)
-        self._observer.listen(self._quarantine.records.update)
+        self._observer.add_listener(self._update)
+        self._observer.add_listener(self._quarantine.records.update)
         self._quarantine.start()
         self._standbys.start()
         if self._usage is not None:
             self._usage.start()
         # Connections to a restarted target would be reset.
-        self._observer.on_restart = self._calls.forget
+        self._observer.on_restart = self._calls.close_idle
         self._observer.on_start = self._quarantine.ends.started
-        self._session.lease.on_return = self._observer.refresh
-        self._way.on_lost = self._on_store_lost
-        self._holder_calls.on_asked = self._on_duty_query
-        for work in (*self._observer.following(), self._session.follow()):
+        self._session.lease.on_store_recovery = self._observer.refresh
+        self._store_router.on_direct_path_failed = self._on_store_lost
+        self._holder_calls.on_duty_free = self._on_duty_query
+        for work in (
+            *self._observer.follow_coroutines(),
+            self._session.keep_registered(),
+        ):
             background_task = defer.ensureDeferred(work)
             background_task.addErrback(self._log_crash)
             self._background_tasks.append(background_task)
 
     def _on_duty_query(self, _: ServiceName) -> None:
         # A peer that queries a duty can reach the store.
-        self._way.expect_return()
+        self._store_router.probe_now()
         self._update()
 
     def _standby_runner(
         self, service: ServiceName
-    ) -> unlisted_runs.StandbyRunner:
-        return unlisted_runs.StandbyRunner(
+    ) -> standby_runner.StandbyRunner:
+        return standby_runner.StandbyRunner(
             service,
             self._state,
             generation.Generator(self._calls, self._clock),
@@ -297,7 +305,7 @@
 
     async def _answer_peer(
         self, request: small_server.SmallRequest
-    ) -> small_server.Page:
+    ) -> small_server.SmallResponse:
         if request.path == feed.PATH:
             return await self._feed_server.handle(request)
         if request.path == texts.PATH:
@@ -312,7 +320,7 @@
             return await self._capacity.handle(request)
         if self._usage is not None and self._usage.handles(request.path):
             return await self._usage.handle(request)
-        return await self._way.pass_on(request)
+        return await self._store_router.forward(request)
 
     def reload(self) -> None:
         """Reload the settings file; keep the old settings if invalid."""
@@ -332,14 +340,18 @@
         end_at = self._now() + grace - END_BEFORE_KILL
         log.info('Stopping.', under_way=self._clients.requests_under_way)
         self._state.is_leaving = True
-        departing = defer.Deferred.fromCoroutine(self._departure.leave())
+        departing = defer.Deferred.fromCoroutine(
+            self._graceful_shutdown.leave()
+        )
         departing.addErrback(self._log_crash)
         while self._now() < close_at:
             await self._pause()
         if not departing.called:
             # Another instance takes the duty over when the lease expires.
             departing.cancel()
-            handover = defer.Deferred.fromCoroutine(self._departure.hand_on())
+            handover = defer.Deferred.fromCoroutine(
+                self._graceful_shutdown.hand_over_texts()
+            )
             handover.addErrback(self._log_crash)
         await defer.maybeDeferred(self._client_port.stopListening)
         self._clients.close_idle()
@@ -360,7 +372,9 @@
             log.warning('Lease was not revoked.', cause=str(error))
 
     def _update(self) -> None:
-        registering = defer.ensureDeferred(self._session.check())
+        registering = defer.ensureDeferred(
+            self._session.restore_registration()
+        )
         registering.addErrback(self._log_store_failure)
         if self._usage is not None:
             self._usage.duty.update()
@@ -389,7 +403,7 @@
 
 _STORE_FAILURES = (
     store_module.StoreRefused,
-    store_module.StoreUnclear,
+    store_module.StoreOutcomeUnknown,
     store_module.StoreConflict,
     store_module.LeaseEnded,
 )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/records.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/records.py
@@ -91,7 +91,7 @@
         # To limit conflicts, only the watchers write: they are the first to
         # see changes in the store.
         writers = watchers.watchers(
-            self._state.cores_by_name(), self._state.centres_by_name()
+            self._state.cores_by_name(), self._state.data_centres_by_name()
         )
         if self._state.settings.instance in writers:
             self.write(content)
@@ -99,7 +99,7 @@
     async def remove(self, content: ContentDigest) -> None:
         """Release a content from quarantine in all instances.
 
-        Raises StoreRefused, StoreUnclear or StoreConflict.
+        Raises StoreRefused, StoreOutcomeUnknown or StoreConflict.
         """
         self._guard.release(content)
         if content in self._state.quarantined_by_content:
@@ -136,7 +136,7 @@
                 return
             except (
                 store_module.StoreRefused,
-                store_module.StoreUnclear,
+                store_module.StoreOutcomeUnknown,
             ) as error:
                 log.info(
                     'Quarantine record not written.',
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/front.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/front.py
@@ -49,7 +49,7 @@
 
     def is_ready(self) -> bool:
         """Return whether this instance should get new connections."""
-        if self._state.is_leaving or self._state.table is None:
+        if self._state.is_leaving or self._state.route_table is None:
             return False
         return self._state.is_current
 
@@ -57,7 +57,7 @@
         return self._state.is_leaving
 
     def limits(self) -> ClientLimits:
-        table = self._state.table
+        table = self._state.route_table
         return ClientLimits() if table is None else table.limits
 
     def addresses(self, data_centre: DataCentreId) -> AddressList:
@@ -89,12 +89,12 @@
             validity=validity,
         )
 
-    async def judge(self, request: ClientRequest) -> None:
+    async def check_key(self, request: ClientRequest) -> None:
         """Check a request's credentials from its head, before its body.
 
         Raises KeyMissing, KeyUnknown, or NotRun if the key can't be checked.
         """
-        await self._forwarder.judge(request)
+        await self._forwarder.check_key(request)
 
     async def forward(
         self, request: ClientRequest, answerer: Answerer
@@ -109,9 +109,11 @@
         admitted = await self._admission.admit_job_call(request)
         return await self._trainers.serve(call, admitted)
 
-    def refused(self, request_id: str, error: errors.YuccarillError) -> None:
+    def report_refusal(
+        self, request_id: str, error: errors.YuccarillError
+    ) -> None:
         """Log why a request got no answer from a target."""
-        table = self._state.table
+        table = self._state.route_table
         log.info(
             'Request refused or failed.',
             request=request_id,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/streams.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/streams.py
@@ -24,7 +24,7 @@
     from yuccarill.core.jobs.text import StreamEvent
     from yuccarill.daemon.gateway.quarantine.watched_calls import WatchedCalls
     from yuccarill.daemon.gateway.requests.sender import Sender
-    from yuccarill.daemon.gateway.requests.tries import TargetSelector
+    from yuccarill.daemon.gateway.requests import target_selector
     from yuccarill.daemon.gateway.requests.usage_sink import UsageSink
     from yuccarill.daemon.gateway.state import GatewayState
     from yuccarill.platform.ports import Answerer
@@ -68,7 +68,7 @@
         if service is None:
             raise errors.NoTarget('The route has no service.', 1.0)
         deadline = requests.time_limit(route, request)
-        permit = await self._capacity.enter(
+        permit = await self._capacity.acquire(
             service, capacity_requests.from_client(route, request, deadline)
         )
         run = _StreamRun(request, answerer, permit, self._clock)
@@ -83,12 +83,12 @@
         except errors.RequestQuarantined as error:
             return run.refuse(error)
         finally:
-            self._usage.began(request.account, run.began_at)
+            self._usage.record_start(request.account, run.began_at)
 
     async def _run_attempts(
         self,
         run: _StreamRun,
-        selector: TargetSelector,
+        selector: target_selector.TargetSelector,
         route: Route,
         service: ServiceName,
         permit: port.SendPermit,
@@ -152,7 +152,7 @@
         # The client was slow to read during the current attempt.
         self.was_paused = False
         self._is_paused = False
-        self._reading: http_exchange.Reading | None = None
+        self._reading: http_exchange.ReadControl | None = None
         self._resumed: defer.Deferred[None] | None = None
         self._last = request.after_event
 
@@ -169,7 +169,7 @@
             account=self._request.account,
         )
 
-    def attach(self, reading: http_exchange.Reading) -> None:
+    def set_reading(self, reading: http_exchange.ReadControl) -> None:
         self._reading = reading
         self.was_paused = self._is_paused
         if self._is_paused:
@@ -215,7 +215,7 @@
     def event(self, event: StreamEvent) -> None:
         expected = (self._last or 0) + 1
         if event.number != expected:
-            raise http_exchange.SinkRefused(
+            raise http_exchange.ResponseRejected(
                 f'received event {event.number}, expected {expected}'
             )
         self._last = expected
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/scaling/scaler.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/scaling/scaler.py
@@ -83,7 +83,7 @@
         bounds = self._bounds()
         if bounds is None or self._sending is not None:
             return
-        if not self._duty.may_order():
+        if not self._duty.can_send_orders():
             return
         orders = self._scaling.orders(
             bounds,
@@ -98,7 +98,7 @@
             self._sending.addBoth(self._clear_sending)
 
     def _bounds(self) -> ScalingBounds | None:
-        table = self._state.table
+        table = self._state.route_table
         if table is None:
             return None
         service = table.services_by_name.get(self._duty.service)
@@ -119,13 +119,13 @@
 
     async def _send(self, orders: list[TargetOrder]) -> None:
         for order in orders:
-            tenure = self._duty.tenure
-            if tenure is None or not self._duty.may_order():
+            held_lease = self._duty.held_lease
+            if held_lease is None or not self._duty.can_send_orders():
                 return
             self._duty.record_order()
             self._scaling.record_sent(order, self._now())
             result = await self._orders.send(
-                order, self._state.settings.instance, tenure.epoch
+                order, self._state.settings.instance, held_lease.epoch
             )
             self._scaling.record_result(order, result, self._now())
             meters.TARGET_ORDERS.labels(result.value).inc()
@@ -137,7 +137,7 @@
                 count=order.count,
                 wanted=round(self._measure.demand, 1),
                 outcome=result.value,
-                epoch=tenure.epoch,
+                epoch=held_lease.epoch,
             )
 
     def _clear_sending(self, _: object) -> None:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/desk.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/service.py
@@ -12,7 +12,7 @@
 
 from yuccarill.core.ids import Instant
 from yuccarill.core.jobs.standby import StandbyWatch
-from yuccarill.daemon.adapters.small_server import Page
+from yuccarill.daemon.adapters.small_server import SmallResponse
 from yuccarill.daemon.gateway.standby import messages
 from yuccarill.daemon.gateway.standby import witness
 from yuccarill.daemon import logs
@@ -29,7 +29,7 @@
     from yuccarill.core.jobs.job import JobId
     from yuccarill.daemon.adapters.small_server import SmallRequest
     from yuccarill.daemon.gateway.jobs.texts import TextDepot
-    from yuccarill.daemon.gateway.standby.unlisted_runs import StandbyRunner
+    from yuccarill.daemon.gateway.standby.standby_runner import StandbyRunner
     from yuccarill.daemon.gateway.standby.witness import Witnesses
     from yuccarill.daemon.gateway.state import GatewayState
 
@@ -64,7 +64,7 @@
     next_retry_at: Instant = Instant(0.0)
 
 
-class StandbyDesk:
+class StandbyService:
     """Run the jobs of a holder that is lost during a store outage."""
 
     def __init__(
@@ -100,10 +100,10 @@
         self._ticker.start(TICK_SECONDS).addErrback(self._failed)
 
     def handles(self, path: str) -> bool:
-        """Return whether this desk serves a path of the peer port."""
+        """Return whether this service handles a path of the peer port."""
         return path.startswith(messages.PATH)
 
-    async def handle(self, request: SmallRequest) -> Page:
+    async def handle(self, request: SmallRequest) -> SmallResponse:
         """Store a holder's open jobs, or answer another standby's query."""
         if request.path == messages.SIGHTING_PATH:
             return await self._witnesses.handle(request)
@@ -113,9 +113,9 @@
             )
         except msgspec.MsgspecError as error:
             log.warning('Open jobs could not be decoded.', cause=str(error))
-            return Page(status=400)
+            return SmallResponse(status=400)
         missing = self._record_jobs(message)
-        return Page(
+        return SmallResponse(
             status=200,
             content_type='application/msgpack',
             body=msgspec.msgpack.encode(messages.Lacking(jobs=missing)),
@@ -192,7 +192,7 @@
 
     def _run(self, service: ServiceName, state: _HolderState) -> None:
         if state.runner is not None:
-            state.runner.survey()
+            state.runner.schedule_runs()
             return
         if self._state.is_leaving or not state.jobs_by_id:
             return
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/direct_way.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/direct_path.py
@@ -32,7 +32,7 @@
 PROBE_TIMEOUT_SECONDS = 0.5
 
 
-class DirectWay:
+class DirectPath:
     """Track whether direct calls to the store work; probe while they fail."""
 
     def __init__(
@@ -131,6 +131,6 @@
             return True
         # Readers of a watcher recover only after the watcher has recovered.
         names = watchers.watchers(
-            self._state.cores_by_name(), self._state.centres_by_name()
+            self._state.cores_by_name(), self._state.data_centres_by_name()
         )
         return self._state.settings.instance in names
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/feed.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/feed.py
@@ -13,7 +13,7 @@
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import Revision
 from yuccarill.daemon.adapters import http_exchange
-from yuccarill.daemon.adapters.small_server import Page as HttpPage
+from yuccarill.daemon.adapters.small_server import SmallResponse as HttpPage
 from yuccarill.daemon.gateway.store import peer_choice
 from yuccarill.daemon import logs
 from yuccarill.platform import store as store_module
@@ -190,7 +190,7 @@
     ) -> store_module.Page:
         try:
             page = await self._store.page(prefix, after, is_stale)
-        except (store_module.StoreRefused, store_module.StoreUnclear):
+        except (store_module.StoreRefused, store_module.StoreOutcomeUnknown):
             # End the exclusion of watchers: the store itself may be down.
             self._peers.clear()
             raise
@@ -231,7 +231,7 @@
 
     def _watcher_names(self) -> tuple[str, ...]:
         return watchers.watchers(
-            self._state.cores_by_name(), self._state.centres_by_name()
+            self._state.cores_by_name(), self._state.data_centres_by_name()
         )
 
     async def _poll(
@@ -255,7 +255,7 @@
             feed = _decode_feed(reply)
         except (
             http_exchange.NotConnected,
-            http_exchange.ExchangeBroken,
+            http_exchange.ExchangeFailed,
             WatcherUnusable,
         ) as error:
             elapsed = self._clock.seconds() - started_at
@@ -265,7 +265,7 @@
         self.answer_age = feed.age
         if not self._cursor_owner:
             # The watcher may have just regained the store; probe it here too.
-            self._store.expect_return()
+            self._store.probe_now()
         self._cursor = feed.cursor
         self._cursor_owner = watcher.instance
         return feed.page
@@ -284,7 +284,7 @@
             cause=str(error),
             seconds=seconds,
         )
-        self._peers.leave_out(watcher.instance, seconds)
+        self._peers.exclude(watcher.instance, seconds)
         self._cursor_owner = ''
 
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/observer.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/store/observer.py
@@ -70,15 +70,15 @@
             )
         }
 
-    def following(self) -> list[Awaitable[None]]:
+    def follow_coroutines(self) -> list[Awaitable[None]]:
         """Return the coroutines that follow the store until cancelled."""
         return [each.follow() for each in self.followers_by_prefix.values()]
 
-    def age(self) -> float:
+    def max_age(self) -> float:
         """Return the largest age of any prefix's copy in seconds."""
         return max(each.age() for each in self.followers_by_prefix.values())
 
-    def least_age(self) -> float:
+    def min_age(self) -> float:
         """Return the smallest age of any prefix's copy in seconds."""
         return min(each.age() for each in self.followers_by_prefix.values())
 
@@ -87,7 +87,7 @@
         for each in self.followers_by_prefix.values():
             each.refresh()
 
-    def learn_configuration(self, entry: Entry) -> None:
+    def apply_configuration(self, entry: Entry) -> None:
         """Apply a configuration entry that was read outside the follower."""
         self.followers_by_prefix[keys.CONFIGURATION].apply(entry)
 
@@ -95,7 +95,7 @@
         """Return the age of the configuration's copy in seconds."""
         return self.followers_by_prefix[keys.CONFIGURATION].age()
 
-    def listen(self, on_change: Callable[[], None]) -> None:
+    def add_listener(self, on_change: Callable[[], None]) -> None:
         """Call a function after each batch of changes."""
         self._listeners.append(on_change)
 
@@ -119,7 +119,7 @@
                 key=entry.key,
                 cause=fault,
             )
-        known = self._state.table
+        known = self._state.route_table
         # An older version after a newer one is a fault; applying it would
         # restore removed routes.
         if known is not None and decoded.table.version <= known.version:
@@ -128,7 +128,7 @@
         before = None if known is None else known.accounts
         if accounts is not None and before is not None:
             accounts.record_removed_keys(before)
-        self._state.table = decoded.table
+        self._state.route_table = decoded.table
         log.info(
             'Configuration applied.',
             version=decoded.table.version,
@@ -149,7 +149,7 @@
             # The previous entry was overwritten, so its address is no longer
             # reliable.
             self._state.targets.remove(target_id)
-            meters.ENTRIES_LEFT_OUT.inc()
+            meters.INVALID_ENTRIES.inc()
             log.error(
                 'Target with an invalid store entry removed.',
                 key=change.key,
@@ -197,7 +197,9 @@
             if isinstance(change, store_module.Removal):
                 gone = state.instances_by_id.pop(instance, None)
                 if gone is not None:
-                    _remember_gone(state.known_instances_by_id, instance, gone)
+                    _remember_gone(
+                        state.recent_instances_by_id, instance, gone
+                    )
                 log.info('Instance no longer listed.', instance=instance)
                 return
             state.instances_by_id[instance] = msgspec.msgpack.decode(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/parts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/parts.py
@@ -18,8 +18,8 @@
     from yuccarill.core.ids import AccountName
     from yuccarill.core.ids import Instant
     from yuccarill.daemon.adapters.connections import Connections
-    from yuccarill.daemon.adapters.small_server import Page
     from yuccarill.daemon.adapters.small_server import SmallRequest
+    from yuccarill.daemon.adapters.small_server import SmallResponse
     from yuccarill.daemon.gateway.duty.holder_calls import HolderCalls
     from yuccarill.daemon.gateway.state import GatewayState
     from yuccarill.platform.settings_file import UsageSettings
@@ -72,7 +72,9 @@
         self.reporter.start()
         self.counter.start()
 
-    def began(self, account: AccountName | None, at: Instant | None) -> None:
+    def record_start(
+        self, account: AccountName | None, at: Instant | None
+    ) -> None:
         """Count a request that began to run for a client account."""
         if account is not None and at is not None:
             self.counter.count_request(account, at)
@@ -81,10 +83,10 @@
         """Tell whether a path of the peer port belongs to usage."""
         return path == messages.PATH
 
-    async def handle(self, request: SmallRequest) -> Page:
+    async def handle(self, request: SmallRequest) -> SmallResponse:
         """Handle a request of a peer or an operator."""
         return await self.reporter.handle(request)
 
     def _has_accounts(self) -> bool:
-        table = self._state.table
+        table = self._state.route_table
         return table is not None and table.accounts is not None
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/reporter.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/reporter.py
@@ -13,7 +13,7 @@
 from yuccarill.core.ids import WindowNumber
 from yuccarill.core.usage import counts as counts_module
 from yuccarill.core.usage import reports
-from yuccarill.daemon.adapters.small_server import Page
+from yuccarill.daemon.adapters.small_server import SmallResponse
 from yuccarill.daemon.gateway import meters
 from yuccarill.daemon.gateway.usage import messages
 from yuccarill.daemon.gateway.usage import records as records_module
@@ -102,7 +102,7 @@
 
     def holder(self) -> InstanceId | None:
         """Return the instance to which counts are sent, if any."""
-        if self._duty.tenure is not None:
+        if self._duty.held_lease is not None:
             return self._state.settings.instance
         known = self._state.duties_by_service.get(DUTY)
         if known is None or known.instance == self._state.settings.instance:
@@ -129,21 +129,23 @@
             closed_through=WindowNumber(self._open_from - 1),
         )
 
-    async def handle(self, request: SmallRequest) -> Page:
+    async def handle(self, request: SmallRequest) -> SmallResponse:
         """Handle counts of a peer or a request of an operator."""
         if request.method == 'GET':
-            return Page(status=200, body=msgspec.json.encode(self.status()))
+            return SmallResponse(
+                status=200, body=msgspec.json.encode(self.status())
+            )
         try:
             message = msgspec.msgpack.decode(
                 request.body, type=messages.CountMessage
             )
         except msgspec.MsgspecError as error:
             log.warning('Invalid usage message rejected.', cause=str(error))
-            return Page(status=400)
+            return SmallResponse(status=400)
         answer = self.merge(message)
         if answer is None:
-            return Page(status=409)
-        return Page(
+            return SmallResponse(status=409)
+        return SmallResponse(
             status=200,
             content_type='application/msgpack',
             body=msgspec.msgpack.encode(answer),
@@ -192,8 +194,11 @@
                 await self._save(revision)
         except store_module.StoreConflict:
             log.warning('Usage not written: the reporting duty was lost.')
-            self._duty.give_up(revision)
-        except (store_module.StoreRefused, store_module.StoreUnclear) as error:
+            self._duty.drop_hold(revision)
+        except (
+            store_module.StoreRefused,
+            store_module.StoreOutcomeUnknown,
+        ) as error:
             # Retried at the next step.
             log.info('Usage not read or written.', cause=str(error))
 
@@ -231,7 +236,8 @@
 
     def _may_send(self) -> bool:
         return (
-            self._clock.seconds() >= self._send_at and self._duty.may_order()
+            self._clock.seconds() >= self._send_at
+            and self._duty.can_send_orders()
         )
 
     def _is_report_due(self) -> bool:
@@ -287,10 +293,10 @@
         )
 
     async def _send(self, window: WindowNumber) -> None:
-        tenure = self._duty.tenure
-        assert tenure is not None
+        held_lease = self._duty.held_lease
+        assert held_lease is not None
         report = self._reports_by_window[window]
-        epoch: Epoch = tenure.epoch
+        epoch: Epoch = held_lease.epoch
         self._duty.record_order()
         outcome = await self._billing.report(
             window, report.counts, self._state.settings.instance, epoch
--- a/packages/yuccarill-daemon/tests/gateway/crash_world.py
+++ b/packages/yuccarill-daemon/tests/gateway/crash_world.py
@@ -25,7 +25,7 @@
 from yuccarill.daemon.gateway.quarantine import reports
 from yuccarill.daemon.gateway.quarantine import target_ends
 from yuccarill.daemon.gateway.quarantine import watched_calls
-from yuccarill.daemon.gateway.requests import exchange
+from yuccarill.daemon.gateway.requests import hedged_request
 from yuccarill.daemon.gateway.requests import pools
 from yuccarill.daemon.gateway.requests import sender
 from yuccarill.daemon.gateway import state as state_module
@@ -273,7 +273,7 @@
             if not run.called:
                 run.errback(
                     calls.CallFailed(
-                        calls.CallEnd.BROKEN, 'lost', is_lost=True
+                        calls.CallEnd.BROKEN, 'lost', is_connection_lost=True
                     )
                 )
 
@@ -307,7 +307,7 @@
             hedge_delay=HEDGE_DELAY,
         )
         return await instance.sender.send(
-            SERVICE, self._target_call(body), plan, exchange.SendRecord()
+            SERVICE, self._target_call(body), plan, hedged_request.SendRecord()
         )
 
     def _target_call(self, body: bytes) -> calls.TargetCall:
@@ -331,7 +331,7 @@
     def is_connected(self, target: ListedTarget) -> bool:
         return False
 
-    async def has_ended(self, target: ListedTarget) -> bool:
+    async def is_target_down(self, target: ListedTarget) -> bool:
         await task.deferLater(self._clock, LATENCY_SECONDS)
         if self._world.has_supervisors:
             return False
--- a/packages/yuccarill-daemon/tests/gateway/runner_world.py
+++ b/packages/yuccarill-daemon/tests/gateway/runner_world.py
@@ -104,7 +104,7 @@
         if self.clock.seconds() < found.down_until:
             await self._sleep(0.001)
             raise calls.CallFailed(
-                calls.CallEnd.NOT_SENT, 'refused', is_refused=True
+                calls.CallEnd.NOT_SENT, 'refused', is_connection_refused=True
             )
         self.runs.append((call.id, first))
         if call.id in self.crashing:
@@ -126,7 +126,7 @@
         try:
             sink.begin(answer, found.version)
             await self._events(found, first, sink)
-        except http_exchange.SinkRefused as error:
+        except http_exchange.ResponseRejected as error:
             raise calls.CallFailed(calls.CallEnd.BROKEN, str(error)) from error
         return answer
 
@@ -146,7 +146,7 @@
             if engine.ends != ends:
                 raise _connection_lost()
             if engine.breaks_after and sent >= engine.breaks_after:
-                raise http_exchange.SinkRefused('broke off')
+                raise http_exchange.ResponseRejected('broke off')
             changed = engine.version != version
             version = engine.version
             sink.event(
@@ -158,7 +158,7 @@
             )
             sent += 1
 
-    async def has_ended(self, engine: ListedTarget) -> bool:
+    async def is_target_down(self, engine: ListedTarget) -> bool:
         down_until = self.engines_by_id[engine.id].down_until
         await self._sleep(0.001)
         return self.clock.seconds() < down_until
@@ -198,7 +198,9 @@
 
 
 def _connection_lost() -> calls.CallFailed:
-    return calls.CallFailed(calls.CallEnd.BROKEN, 'lost', is_lost=True)
+    return calls.CallFailed(
+        calls.CallEnd.BROKEN, 'lost', is_connection_lost=True
+    )
 
 
 class Scorer:
@@ -211,12 +213,12 @@
 class HeldDuty(test_listing.HeldDuty):
     """Simulate a held duty that permits version orders."""
 
-    tenure: Any = None
+    held_lease: Any = None
 
     def is_held(self) -> bool:
         return self.revision is not None
 
-    def may_order(self) -> bool:
+    def can_send_orders(self) -> bool:
         return self.revision is not None
 
     def record_order(self) -> None:
@@ -261,9 +263,9 @@
         self.holds += 1
         self.keys.put(keys.duty(self.part), b'%d' % self.holds)
         duty = self.duty()
-        duty.tenure = mock.Mock(epoch=self.keys.revision)
+        duty.held_lease = mock.Mock(epoch=self.keys.revision)
         state = self.state(name)
-        state.table = self.table
+        state.route_table = self.table
         state.placement = self.placement
         for engine in self.engines.engines_by_id.values():
             state.targets.put(engine.target)
--- a/packages/yuccarill-daemon/tests/gateway/test_texts.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_texts.py
@@ -18,7 +18,7 @@
 from yuccarill.core.speeds.estimate import SpeedRecord
 from yuccarill.daemon.adapters import http_exchange
 from yuccarill.daemon.adapters import small_server
-from yuccarill.daemon.gateway.duty import departure
+from yuccarill.daemon.gateway.duty import graceful_shutdown
 from yuccarill.daemon.gateway.duty import session as session_module
 from yuccarill.daemon.gateway.jobs import runner as runner_module
 from yuccarill.daemon.gateway.jobs import text_copier
@@ -91,7 +91,7 @@
         if depot is None:
             left = deadline - self.clock.seconds()
             await task.deferLater(self.clock, left)
-            raise http_exchange.ExchangeBroken('no whole answer in time')
+            raise http_exchange.ExchangeFailed('no whole answer in time')
         page = await depot.handle(
             small_server.SmallRequest(
                 method=request.method,
@@ -101,7 +101,7 @@
         )
         await task.deferLater(self.clock, len(page.body) / self.rate)
         if self.clock.seconds() > deadline:
-            raise http_exchange.ExchangeBroken('no whole answer in time')
+            raise http_exchange.ExchangeFailed('no whole answer in time')
         head = http_exchange.ReplyHead(status=page.status, headers=())
         body = b'spoiled' if self.is_corrupt else page.body
         return http_exchange.Reply(head=head, body=body)
@@ -328,7 +328,7 @@
                 )
             )
         )
-        self.leaving = departure.Departure(
+        self.leaving = graceful_shutdown.GracefulShutdown(
             session,
             {world.SERVICE: self},
             {},
@@ -347,8 +347,8 @@
         The store is unavailable when the instance is told to stop.
         """
         self.own_state.is_leaving = True
-        self.own.refuses = True
-        self.clock.callLater(1.0, setattr, self.own, 'refuses', False)
+        self.own.rejects_calls = True
+        self.clock.callLater(1.0, setattr, self.own, 'rejects_calls', False)
         self.finish(self.leaving.leave())
         self.assertEqual(1, len(self.released))
         self.assertLess(self.released[0], 1.5)
--- a/packages/yuccarill-daemon/tests/gateway/test_usage.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_usage.py
@@ -75,11 +75,11 @@
         if self.is_silent:
             left = max(0.0, deadline - self.clock.seconds())
             await task.deferLater(self.clock, left)
-            raise http_exchange.ExchangeBroken('silent')
+            raise http_exchange.ExchangeFailed('silent')
         if self.status == 200:
             self._accept(request)
         if self.loses_answers:
-            raise http_exchange.ExchangeBroken('lost')
+            raise http_exchange.ExchangeFailed('lost')
         head = http_exchange.ReplyHead(status=self.status, headers=())
         return http_exchange.Reply(head=head, body=b'')
 
@@ -137,7 +137,7 @@
         store = self.store()
         state = self.state(name)
         state.is_current = False
-        state.table = routes.RouteTable(
+        state.route_table = routes.RouteTable(
             1, [], [], routes.ClientLimits(), directory.AccountDirectory(())
         )
         for each in NAMES:
@@ -162,8 +162,10 @@
                 ),
                 self.clock,
             )
-        watching.listen(usage.duty.update)
-        following = [defer.ensureDeferred(w) for w in watching.following()]
+        watching.add_listener(usage.duty.update)
+        following = [
+            defer.ensureDeferred(w) for w in watching.follow_coroutines()
+        ]
         for each in following:
             each.addErrback(lambda failure: failure.trap(Exception))
             self.addCleanup(each.cancel)
@@ -179,7 +181,7 @@
         """Stop all activity of a process."""
         instance = self.instances_by_name[name]
         instance.is_dead = True
-        instance.store.is_silent = True
+        instance.store.drops_calls = True
         instance.usage.counter.stop()
         instance.usage.reporter.stop()
         for each in instance.following:
@@ -217,7 +219,7 @@
         if not alive or not BORDER < offset < WINDOW - BORDER:
             return
         account = self.generator.choice('xyz')
-        self.generator.choice(alive).usage.began(
+        self.generator.choice(alive).usage.record_start(
             AccountName(account), Instant(self.clock.seconds())
         )
         window = int((START + self.clock.seconds()) // WINDOW)
@@ -285,7 +287,7 @@
         asked = small_server.SmallRequest(
             method=request.method, target=request.target, body=request.body
         )
-        page = small_server.Page(status=200)
+        page = small_server.SmallResponse(status=200)
         if not asked.path == holder_calls.PATH:
             page = await peer.usage.handle(asked)
         head = http_exchange.ReplyHead(status=page.status, headers=())
@@ -414,7 +416,7 @@
                 for name, value in fault.items():
                     setattr(each.store, name, value)
 
-    @params('refuses', 'is_silent', 'loses_replies')
+    @params('rejects_calls', 'drops_calls', 'loses_replies')
     def test_a_fault_of_several_seconds(self, fault: str) -> None:
         self.pass_time(14.0)
         self.set_store_faults(**{fault: True})
@@ -423,7 +425,7 @@
         self.pass_time(40.0)
         self.assert_reported()
 
-    @params('refuses', 'is_silent')
+    @params('rejects_calls', 'drops_calls')
     def test_a_holder_lost_while_the_store_is_unavailable(
         self, fault: str
     ) -> None:
