--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/admission.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/admission.py
@@ -25,7 +25,7 @@
     from yuccarill.core.gateway.routes import Route
     from yuccarill.core.gateway.routes import RouteTable
     from yuccarill.core.ids import KeyDigest
-    from yuccarill.daemon.gateway.accounts.look import ConfigurationLook
+    from yuccarill.daemon.gateway.accounts.lookup import ConfigurationLookup
     from yuccarill.daemon.gateway.state import GatewayState
 
 # Retry-After, in seconds, until a key can be verified or a configuration read.
@@ -42,12 +42,12 @@
     def __init__(
         self,
         state: GatewayState,
-        look: ConfigurationLook,
+        lookup: ConfigurationLookup,
         age: Callable[[], float],
         clock: Any,
     ) -> None:
         self._state = state
-        self._lookup = look
+        self._lookup = lookup
         # Seconds since the configuration was last confirmed current.
         self._configuration_age = age
         self._clock = clock
@@ -117,7 +117,7 @@
                 meters.KEYS.labels(verdict.name.lower()).inc()
             match verdict:
                 case KeyVerdict.LOOK_UP:
-                    lookup = await self._lookup.look()
+                    lookup = await self._lookup.look_up()
                     directory = self._directory() or directory
                 case KeyVerdict.ADMIT if account is not None:
                     return account
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/look.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/accounts/lookup.py
@@ -31,7 +31,7 @@
 MAX_WAITING = 256
 
 
-class ConfigurationLook:
+class ConfigurationLookup:
     """Share each read of the configuration among the waiting requests."""
 
     def __init__(
@@ -48,7 +48,7 @@
         self._next_at = 0.0
         self._waiters: list[defer.Deferred[LookupResult]] = []
 
-    async def look(self) -> LookupResult:
+    async def look_up(self) -> LookupResult:
         """Return the result of a read that starts after this call."""
         if len(self._waiters) >= MAX_WAITING:
             log.warning('Key lookup refused: too many lookups are waiting.')
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/control.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/capacity/control.py
@@ -81,7 +81,7 @@
     def record_abandoned(self, service: ServiceName) -> None:
         self._gate(service).record_abandoned(self._now())
 
-    def handles(self, path: str) -> bool:
+    def handles_path(self, path: str) -> bool:
         """Return whether this class serves a path of the peer port."""
         return path in broker_server.PATHS
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_holds.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_holds.py
@@ -40,7 +40,10 @@
         """
         if not run.text.events and self._has_unsettled_run(run):
             return True
-        if self._guard.ledger.is_clear and self._guard.doubts.is_empty:
+        if (
+            self._guard.ledger.is_clear
+            and self._guard.unconfirmed_losses.is_empty
+        ):
             return False
         content = _ensure_content(run)
         if self._guard.is_admitted(content, self._service):
@@ -76,7 +79,9 @@
             return assigner.choose(run.job)
         content = _ensure_content(run)
         return assigner.choose(
-            run.job, self._guard.others(content), self._guard.barred(content)
+            run.job,
+            self._guard.suspicious_counts_by_target(content),
+            self._guard.forbidden_targets(content),
         )
 
     def is_suspect(self, run: ItemRun) -> bool:
@@ -93,7 +98,7 @@
 
     def _has_unsettled_run(self, run: ItemRun) -> bool:
         # Another engine could crash before the last crash is confirmed.
-        return run.content is not None and self._guard.is_unsettled(
+        return run.content is not None and self._guard.has_unresolved_failures(
             run.content
         )
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/runner.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/runner.py
@@ -144,7 +144,10 @@
         # Before the jobs: only items that do not run yet get these texts.
         self._queue.keep_partial_texts(await self._handed_texts)
         self._restore_speeds()
-        for work in (self._follower.follow(), *self._requests.following()):
+        for work in (
+            self._follower.follow(),
+            *self._requests.follow_coroutines(),
+        ):
             following = defer.ensureDeferred(work)
             following.addErrback(self._log_failure)
             self._background_tasks.append(following)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/meters.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/meters.py
@@ -37,7 +37,7 @@
     'Requests of accounts that no report tells of',
     registry=REGISTRY,
 )
-USAGE_NOT_TOLD = prometheus_client.Counter(
+USAGE_NOT_SENT = prometheus_client.Counter(
     'yuccarill_usage_not_told',
     'Messages of counts that the holder of the duty did not take',
     registry=REGISTRY,
@@ -61,7 +61,7 @@
     buckets=_BUCKETS,
     registry=REGISTRY,
 )
-LOSSES = prometheus_client.Counter(
+LOST_CONNECTIONS = prometheus_client.Counter(
     'yuccarill_losses',
     'Lost connections of calls, one a target and moment, by whether it ended',
     ('service', 'has_ended'),
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/process.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/process.py
@@ -14,7 +14,7 @@
 from yuccarill.daemon.adapters import connections
 from yuccarill.daemon.adapters import small_server
 from yuccarill.daemon.gateway.accounts import admission
-from yuccarill.daemon.gateway.accounts import look
+from yuccarill.daemon.gateway.accounts import lookup
 from yuccarill.daemon.gateway.capacity import control
 from yuccarill.daemon.gateway.capacity import port
 from yuccarill.daemon.gateway.duty import graceful_shutdown
@@ -186,7 +186,7 @@
         usage_counter = self._usage or usage_sink.NoUsage()
         account_admission = admission.AccountAdmission(
             self._state,
-            look.ConfigurationLook(
+            lookup.ConfigurationLookup(
                 self._state,
                 self._store,
                 self._observer.apply_configuration,
@@ -270,7 +270,9 @@
             self._usage.start()
         # Connections to a restarted target would be reset.
         self._observer.on_restart = self._calls.close_idle
-        self._observer.on_start = self._quarantine.ends.started
+        self._observer.on_start = (
+            self._quarantine.crash_detector.handle_started_target
+        )
         self._session.lease.on_store_recovery = self._observer.refresh
         self._store_router.on_direct_path_failed = self._on_store_lost
         self._holder_calls.on_duty_free = self._on_duty_query
@@ -312,13 +314,13 @@
             return await self._text_depot.handle(request)
         if request.path == holder_calls.PATH:
             return await self._holder_calls.handle(request)
-        if self._standbys.handles(request.path):
+        if self._standbys.handles_path(request.path):
             return await self._standbys.handle(request)
-        if self._quarantine.handles(request.path):
+        if self._quarantine.handles_path(request.path):
             return await self._quarantine.handle(request)
-        if self._capacity and self._capacity.handles(request.path):
+        if self._capacity and self._capacity.handles_path(request.path):
             return await self._capacity.handle(request)
-        if self._usage is not None and self._usage.handles(request.path):
+        if self._usage is not None and self._usage.handles_path(request.path):
             return await self._usage.handle(request)
         return await self._store_router.forward(request)
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/target_ends.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/crash_detector.py
@@ -41,7 +41,7 @@
 CHECK_SECONDS = 1.5
 
 
-class TargetEnds:
+class CrashDetector:
     """Tell crashed target processes from connections cut by the network.
 
     A crashed process refuses the next connection, unless a supervisor or proxy
@@ -125,7 +125,7 @@
             target=target,
             contents=tuple(abandoned),
         )
-        self._guard.target_ended(
+        self._guard.record_crash(
             CrashReport(
                 target=target,
                 contents=tuple(abandoned),
@@ -148,7 +148,7 @@
             if content not in loss.requests_by_content
         }
         contents = tuple(loss.requests_by_content)
-        meters.LOSSES.labels(target.service, has_ended).inc()
+        meters.LOST_CONNECTIONS.labels(target.service, has_ended).inc()
         log.info(
             'Target exited.' if has_ended else 'Target connection lost.',
             target=target.id,
@@ -156,7 +156,7 @@
             contents=contents,
         )
         if has_ended:
-            self._guard.target_ended(
+            self._guard.record_crash(
                 CrashReport(
                     target=target.id,
                     contents=contents,
@@ -174,7 +174,7 @@
     ) -> None:
         """Record lost calls of a target whose port is still open."""
         now = self._now()
-        doubts = self._guard.doubts
+        losses = self._guard.unconfirmed_losses
         completed = self._guard.ledger.known_completed(
             requests_by_content, now
         )
@@ -183,9 +183,9 @@
             for content, request in requests_by_content.items()
             if content not in completed
         }
-        doubts.add(target, lost, now)
+        losses.add(target, lost, now)
         for content in lost:
-            reports = doubts.reports(content, now)
+            reports = losses.reports(content, now)
             if len(reports) >= last_target_guard.LOST_TARGETS:
                 log.info(
                     'Calls lost at several targets; none answered since.',
@@ -194,10 +194,10 @@
                 )
                 self._guard.on_lost_calls(reports)
 
-    def started(self, target: ListedTarget) -> None:
+    def handle_started_target(self, target: ListedTarget) -> None:
         """Report losses that a newly listed process confirms as crashes."""
         now = self._now()
-        for loss in self._guard.doubts.pop_confirmed(target, now):
+        for loss in self._guard.unconfirmed_losses.pop_confirmed(target, now):
             self._report_confirmed(loss, now)
 
     def _report_confirmed(self, loss: UnconfirmedLoss, now: Instant) -> None:
@@ -208,7 +208,7 @@
             service=loss.target.service,
             contents=contents,
         )
-        self._guard.target_ended(
+        self._guard.record_crash(
             CrashReport(
                 target=loss.target.id,
                 contents=contents,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/reports.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/crash_exchange.py
@@ -55,7 +55,7 @@
     is_sending: bool = False
 
 
-class EndReports:
+class CrashReportExchange:
     """Exchange the data of the crash guard with the other instances.
 
     Each instance is called directly: reports have to arrive before a client's
@@ -105,7 +105,7 @@
                 sending.addErrback(self._log_failure)
                 sending.addBoth(self._remove_outbox, name)
 
-    def tell_quarantined(self, content: ContentDigest) -> None:
+    def send_quarantine(self, content: ContentDigest) -> None:
         """Send a new quarantine to every other instance."""
         now = self._clock.seconds()
         left = self._guard.ledger.seconds_left(content, now)
@@ -157,8 +157,8 @@
     def _send_crash(self, report: CrashReport) -> None:
         self.send(EndMessage(ends=(report,)))
 
-    def _send_losses(self, doubts: tuple[CrashReport, ...]) -> None:
-        self.send(EndMessage(doubts=doubts))
+    def _send_losses(self, losses: tuple[CrashReport, ...]) -> None:
+        self.send(EndMessage(doubts=losses))
 
     def _send_completion(self, content: ContentDigest) -> None:
         self.send(EndMessage(completed=(content,)))
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/guard.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/guard.py
@@ -16,7 +16,7 @@
 from yuccarill.core.gateway import last_target_guard
 from yuccarill.core.gateway import suspect_runs
 from yuccarill.core.gateway.suspicion import Verdict
-from yuccarill.core.gateway import unconfirmed_losses
+from yuccarill.core.gateway import unconfirmed_losses as losses_module
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import RequestId
 from yuccarill.daemon.gateway import meters
@@ -70,9 +70,9 @@
         # Active runs, by this instance, of contents that are not clear.
         self._runs = suspect_runs.SuspectRuns()
         self.abandoned = abandoned.AbandonedRuns()
-        self.doubts = unconfirmed_losses.UnconfirmedLosses()
+        self.unconfirmed_losses = losses_module.UnconfirmedLosses()
         self._last_target_guard = last_target_guard.LastTargetGuard(
-            self.ledger, self.doubts
+            self.ledger, self.unconfirmed_losses
         )
         # Times until which suspects that peers have sent are held back.
         self._held_until_by_content: dict[ContentDigest, Instant] = {}
@@ -104,26 +104,30 @@
             return False
         if verdict is Verdict.SUSPECT and not self._may_start_trial(content):
             return False
-        if verdict is Verdict.CLEAR and self.doubts.is_empty:
+        if verdict is Verdict.CLEAR and self.unconfirmed_losses.is_empty:
             return True
         ready = self._state.targets.ready(service).keys()
         return not self._last_target_guard.must_hold(
             content, ready, self.now()
         )
 
-    def elsewhere(self, content: ContentDigest) -> frozenset[TargetId]:
+    def targets_to_avoid(self, content: ContentDigest) -> frozenset[TargetId]:
         """Return the targets that a content avoids where others are free.
 
         Contents that run together at each crash are equally suspect.
         """
-        return frozenset(self.others(content))
+        return frozenset(self.suspicious_counts_by_target(content))
 
-    def may_run_twice(self, content: ContentDigest) -> bool:
+    def may_run_concurrently(self, content: ContentDigest) -> bool:
         """Tell whether two targets may run a content concurrently."""
         is_clear = self.ledger.verdict(content) is Verdict.CLEAR
-        return is_clear and not self.doubts.losses_of(content, self.now())
+        return is_clear and not self.unconfirmed_losses.losses_of(
+            content, self.now()
+        )
 
-    def others(self, content: ContentDigest) -> Mapping[TargetId, int]:
+    def suspicious_counts_by_target(
+        self, content: ContentDigest
+    ) -> Mapping[TargetId, int]:
         """Count the other suspicious contents that run at each target."""
         return (
             {}
@@ -131,7 +135,7 @@
             else self._runs.other_counts_by_target(content)
         )
 
-    def barred(self, content: ContentDigest) -> frozenset[TargetId]:
+    def forbidden_targets(self, content: ContentDigest) -> frozenset[TargetId]:
         """Return the targets that a content must not run at.
 
         A crash under two suspects does not show which one caused it.
@@ -140,7 +144,7 @@
             return frozenset()
         return self._runs.targets_with(self.ledger.suspects() - {content})
 
-    def begin(self, target: TargetId, content: ContentDigest) -> bool:
+    def begin_run(self, target: TargetId, content: ContentDigest) -> bool:
         """Record a run and return True, unless its content is clear."""
         verdict = self.ledger.verdict(content)
         if verdict is Verdict.CLEAR:
@@ -150,8 +154,8 @@
         self._runs.begin(target, content)
         return True
 
-    def finish(self, target: TargetId, content: ContentDigest) -> None:
-        """Record the end of a run that `begin` recorded."""
+    def finish_run(self, target: TargetId, content: ContentDigest) -> None:
+        """Record the end of a run that `begin_run` recorded."""
         self._runs.finish(target, content)
 
     def record_abandoned_run(
@@ -174,9 +178,11 @@
             target = self._state.targets.targets_by_id.get(report.target)
             if target is not None:
                 lost = dict.fromkeys(report.contents, RequestId(''))
-                self.doubts.add(target, lost, Instant(now - report.age))
+                self.unconfirmed_losses.add(
+                    target, lost, Instant(now - report.age)
+                )
 
-    def is_unsettled(self, content: ContentDigest) -> bool:
+    def has_unresolved_failures(self, content: ContentDigest) -> bool:
         """Tell whether targets may still crash under failed runs."""
         count = self.abandoned.failed_run_count(content, self.now())
         is_clear = self.ledger.verdict(content) is Verdict.CLEAR
@@ -189,7 +195,7 @@
 
     def record_completion(self, content: ContentDigest) -> None:
         """Record that a target completed a run of a content."""
-        self.doubts.completed(content)
+        self.unconfirmed_losses.completed(content)
         if self.ledger.completed(content, self.now()):
             log.info('Content cleared by a completed run.', content=content)
             self.on_completed(content)
@@ -197,7 +203,7 @@
 
     def record_peer_completion(self, content: ContentDigest) -> None:
         """Record a completed run that a peer reports."""
-        self.doubts.completed(content)
+        self.unconfirmed_losses.completed(content)
         self.ledger.completed(content, self.now())
         self._handle_peer_quarantines()
 
@@ -211,7 +217,7 @@
         """Return host and path of a content, or an empty string."""
         return self._names_by_content.get(content, '')
 
-    def target_ended(self, report: CrashReport) -> None:
+    def record_crash(self, report: CrashReport) -> None:
         """Record a crash that this instance detected and tell its peers."""
         completed = self.ledger.known_completed(report.contents, self.now())
         suspected = tuple(c for c in report.contents if c not in completed)
@@ -256,7 +262,9 @@
         self._update_gauge()
 
     def _may_start_trial(self, content: ContentDigest) -> bool:
-        if self._runs.is_running(content) or self.is_unsettled(content):
+        if self._runs.is_running(content) or self.has_unresolved_failures(
+            content
+        ):
             # One run at a time limits the targets that a suspect crashes.
             return False
         now = self.now()
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/desk.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/operator_api.py
@@ -17,9 +17,9 @@
 
 if TYPE_CHECKING:
     from yuccarill.daemon.adapters.small_server import SmallRequest
+    from yuccarill.daemon.gateway.quarantine import crash_exchange
     from yuccarill.daemon.gateway.quarantine.guard import ContentGuard
     from yuccarill.daemon.gateway.quarantine.records import QuarantineRecords
-    from yuccarill.daemon.gateway.quarantine.reports import EndReports
 
 log = logs.for_part('quarantine')
 
@@ -33,7 +33,7 @@
         self,
         guard: ContentGuard,
         records: QuarantineRecords,
-        reports: EndReports,
+        reports: crash_exchange.CrashReportExchange,
         clock: Any,
     ) -> None:
         self._guard = guard
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/parts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/parts.py
@@ -7,11 +7,11 @@
 
 from yuccarill.daemon.adapters.small_server import SmallResponse
 from yuccarill.daemon.gateway import peer_call
-from yuccarill.daemon.gateway.quarantine import desk
+from yuccarill.daemon.gateway.quarantine import crash_detector
+from yuccarill.daemon.gateway.quarantine import crash_exchange
 from yuccarill.daemon.gateway.quarantine import guard
+from yuccarill.daemon.gateway.quarantine import operator_api
 from yuccarill.daemon.gateway.quarantine import records
-from yuccarill.daemon.gateway.quarantine import reports
-from yuccarill.daemon.gateway.quarantine import target_ends
 from yuccarill.daemon.gateway.quarantine import watched_calls
 
 if TYPE_CHECKING:
@@ -35,16 +35,20 @@
         clock: Any,
     ) -> None:
         self.guard = guard.ContentGuard(state, clock)
-        self.ends = target_ends.TargetEnds(calls, self.guard, clock)
+        self.crash_detector = crash_detector.CrashDetector(
+            calls, self.guard, clock
+        )
         # All other components send their calls through this object.
-        self.calls = watched_calls.WatchedCalls(calls, self.ends, self.guard)
+        self.calls = watched_calls.WatchedCalls(
+            calls, self.crash_detector, self.guard
+        )
         self.records = records.QuarantineRecords(
             state, self.guard, store, clock
         )
-        self._reports = reports.EndReports(
+        self._reports = crash_exchange.CrashReportExchange(
             state, self.guard, peer_call.PeerCalls(connections, clock), clock
         )
-        self._operator_api = desk.QuarantineApi(
+        self._operator_api = operator_api.QuarantineApi(
             self.guard, self.records, self._reports, clock
         )
 
@@ -54,18 +58,18 @@
         self.guard.on_peer_verdict = self.records.write_later
         self._reports.start()
 
-    def handles(self, path: str) -> bool:
+    def handles_path(self, path: str) -> bool:
         """Tell whether a path of the peer port belongs to the quarantine."""
-        return path.startswith(reports.PATH)
+        return path.startswith(crash_exchange.PATH)
 
     async def handle(self, request: SmallRequest) -> SmallResponse:
         """Handle a request of a peer or an operator."""
-        if request.path == reports.PATH:
+        if request.path == crash_exchange.PATH:
             return await self._reports.handle(request)
         return await self._operator_api.handle(request)
 
     def _publish_quarantine(self, content: ContentDigest) -> None:
         # Sent to peers as well as stored: the store can be unavailable, and a
         # peer can have missed a crash report.
-        self._reports.tell_quarantined(content)
+        self._reports.send_quarantine(content)
         self.records.write(content)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/watched_calls.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/watched_calls.py
@@ -15,8 +15,8 @@
     from yuccarill.core.gateway.requests import TargetAnswer
     from yuccarill.core.gateway.targets import ListedTarget
     from yuccarill.core.ids import Instant
+    from yuccarill.daemon.gateway.quarantine import crash_detector
     from yuccarill.daemon.gateway.quarantine.guard import ContentGuard
-    from yuccarill.daemon.gateway.quarantine.target_ends import TargetEnds
     from yuccarill.platform.calls import Calls
     from yuccarill.platform.calls import GenerationSink
     from yuccarill.platform.calls import TargetCall
@@ -26,10 +26,13 @@
     """Send calls and report lost connections to the crash guard."""
 
     def __init__(
-        self, calls: Calls, ends: TargetEnds, guard: ContentGuard
+        self,
+        calls: Calls,
+        detector: crash_detector.CrashDetector,
+        guard: ContentGuard,
     ) -> None:
         self._calls = calls
-        self._ends = ends
+        self._crash_detector = detector
         self._guard = guard
 
     def is_connected(self, target: ListedTarget) -> bool:
@@ -106,18 +109,18 @@
         if self._guard.ledger.is_clear:
             yield
             return
-        is_tracked = self._guard.begin(target.id, call.content)
+        is_tracked = self._guard.begin_run(target.id, call.content)
         try:
             yield
         finally:
             if is_tracked:
-                self._guard.finish(target.id, call.content)
+                self._guard.finish_run(target.id, call.content)
 
     def _record_answer(
         self, target: ListedTarget, call: TargetCall, answer: TargetAnswer
     ) -> None:
         if not answer.is_from_other_process:
-            self._guard.doubts.record_response(target.id)
+            self._guard.unconfirmed_losses.record_response(target.id)
         # Server errors do not clear a content: a 500 can come from a target
         # that fails on every request, a 504 from a run stopped early.
         if not answer.not_run and not answer.is_server_error:
@@ -131,7 +134,7 @@
         started_at: Instant,
     ) -> None:
         if error.is_connection_refused:
-            self._ends.record_refused_connection(target.id)
+            self._crash_detector.record_refused_connection(target.id)
         if error.end is calls_module.CallEnd.NOT_SENT:
             return
         self._guard.set_name(call.content, call.name)
@@ -139,6 +142,6 @@
             self._guard.record_abandoned_run(
                 target.id, call.content, call.id, True, started_at
             )
-            self._ends.schedule_check(target)
+            self._crash_detector.schedule_check(target)
             return
-        await self._ends.confirm_loss(target, call.content, call.id)
+        await self._crash_detector.confirm_loss(target, call.content, call.id)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/attempts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/attempts.py
@@ -51,7 +51,7 @@
 
     def may_hedge(self, call: TargetCall) -> bool:
         """Return whether two targets may run the request concurrently."""
-        return self.guard.may_run_twice(call.content)
+        return self.guard.may_run_concurrently(call.content)
 
     def choose(
         self,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/target_selector.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/target_selector.py
@@ -48,7 +48,7 @@
         target = self._attempting.choose(
             self._service,
             frozenset(self._tried),
-            self._guard.elsewhere(self._content),
+            self._guard.targets_to_avoid(self._content),
         )
         if target is None or target.id in self._unreached:
             return None
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/service.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/service.py
@@ -99,7 +99,7 @@
         """Start to monitor holders."""
         self._ticker.start(TICK_SECONDS).addErrback(self._failed)
 
-    def handles(self, path: str) -> bool:
+    def handles_path(self, path: str) -> bool:
         """Return whether this service handles a path of the peer port."""
         return path.startswith(messages.PATH)
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/state.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/state.py
@@ -144,7 +144,7 @@
             cores_by_name = self.cores_by_name()
         return candidates.ordered_for_part(cores_by_name, names, part)
 
-    def follows(self, part: ServiceName, model: ModelName) -> bool:
+    def loads_model(self, part: ServiceName, model: ModelName) -> bool:
         """Return whether a part's engines load a model's versions."""
         service = partitions.service_of_part(part)
         if self.division(service).is_by_items:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/counter.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/counter.py
@@ -151,7 +151,7 @@
                 message,
             )
         except peer_call.PeerFailed as error:
-            meters.USAGE_NOT_TOLD.inc()
+            meters.USAGE_NOT_SENT.inc()
             log.debug('Usage not sent.', peer=peer.instance, cause=str(error))
             return None
         self._fleet_clock.adopt(answer.now, self._clock.seconds() - sent_at)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/parts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/usage/parts.py
@@ -79,7 +79,7 @@
         if account is not None and at is not None:
             self.counter.count_request(account, at)
 
-    def handles(self, path: str) -> bool:
+    def handles_path(self, path: str) -> bool:
         """Tell whether a path of the peer port belongs to usage."""
         return path == messages.PATH
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/engine_requests.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/engine_requests.py
@@ -47,7 +47,7 @@
             )
         ]
 
-    def following(self) -> list[Awaitable[None]]:
+    def follow_coroutines(self) -> list[Awaitable[None]]:
         """Return the coroutines that run until the duty is lost."""
         return [each.follow() for each in self._followers]
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/weight_switcher.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/weights/weight_switcher.py
@@ -109,7 +109,7 @@
             running.cancel()
 
     def _is_served(self, model: ModelName) -> bool:
-        if not self._state.follows(self._duty.service, model):
+        if not self._state.loads_model(self._duty.service, model):
             # The engines of another duty holder load this model.
             return False
         return any(
--- a/packages/yuccarill-daemon/tests/gateway/crash_world.py
+++ b/packages/yuccarill-daemon/tests/gateway/crash_world.py
@@ -21,9 +21,9 @@
 from yuccarill.core.ids import TargetId
 from yuccarill.daemon.adapters.small_server import SmallRequest
 from yuccarill.daemon.gateway import peer_call
+from yuccarill.daemon.gateway.quarantine import crash_detector
+from yuccarill.daemon.gateway.quarantine import crash_exchange
 from yuccarill.daemon.gateway.quarantine import guard
-from yuccarill.daemon.gateway.quarantine import reports
-from yuccarill.daemon.gateway.quarantine import target_ends
 from yuccarill.daemon.gateway.quarantine import watched_calls
 from yuccarill.daemon.gateway.requests import hedged_request
 from yuccarill.daemon.gateway.requests import pools
@@ -78,8 +78,8 @@
     state: state_module.GatewayState
     guard: guard.ContentGuard
     sender: sender.Sender
-    reports: reports.EndReports
-    ends: target_ends.TargetEnds
+    reports: crash_exchange.CrashReportExchange
+    detector: crash_detector.CrashDetector
     # When clients start to use the instance.
     listed_at: float
 
@@ -95,7 +95,7 @@
 class NaiveGuard(guard.ContentGuard):
     """Ignore crashes, and so quarantine nothing."""
 
-    def target_ended(self, report: CrashReport) -> None:
+    def record_crash(self, report: CrashReport) -> None:
         pass
 
 
@@ -145,8 +145,10 @@
             state.targets.put(target.listed)
         plain = SimulatedCalls(self)
         content_guard = self._guard_class(state, self.clock)
-        ends = target_ends.TargetEnds(plain, content_guard, self.clock)
-        watched = watched_calls.WatchedCalls(plain, ends, content_guard)
+        detector = crash_detector.CrashDetector(
+            plain, content_guard, self.clock
+        )
+        watched = watched_calls.WatchedCalls(plain, detector, content_guard)
         found = Instance(
             name=name,
             state=state,
@@ -154,13 +156,13 @@
             sender=sender.Sender(
                 pools.Pools(state), watched, content_guard, self.clock
             ),
-            ends=ends,
-            reports=reports.EndReports(
+            detector=detector,
+            reports=crash_exchange.CrashReportExchange(
                 state, content_guard, SimulatedPeers(self), self.clock
             ),
             listed_at=self.clock.seconds() + READY,
         )
-        content_guard.on_quarantined = found.reports.tell_quarantined
+        content_guard.on_quarantined = found.reports.send_quarantine
         self.instances_by_name[name] = found
         for each in self.instances_by_name.values():
             world.list_instance(each.state, name)
@@ -296,7 +298,7 @@
     def _list(self, listed: ListedTarget) -> None:
         for each in self.instances_by_name.values():
             each.state.targets.put(listed)
-            each.ends.started(listed)
+            each.detector.handle_started_target(listed)
 
     async def _send(self, instance: Instance, body: bytes) -> TargetAnswer:
         plan = attempts.AttemptPlan(
--- a/packages/yuccarill-daemon/tests/gateway/runner_world.py
+++ b/packages/yuccarill-daemon/tests/gateway/runner_world.py
@@ -30,8 +30,8 @@
 from yuccarill.daemon.gateway.jobs import generation
 from yuccarill.daemon.gateway.jobs import job_store
 from yuccarill.daemon.gateway.jobs import runner as runner_module
+from yuccarill.daemon.gateway.quarantine import crash_detector
 from yuccarill.daemon.gateway.quarantine import guard
-from yuccarill.daemon.gateway.quarantine import target_ends
 from yuccarill.daemon.gateway.quarantine import watched_calls
 from yuccarill.platform import calls
 from yuccarill.platform import engines as wire_engines
@@ -273,7 +273,9 @@
         content_guard = guard.ContentGuard(state, self.clock)
         watched = watched_calls.WatchedCalls(
             self.engines,
-            target_ends.TargetEnds(self.engines, content_guard, self.clock),
+            crash_detector.CrashDetector(
+                self.engines, content_guard, self.clock
+            ),
             content_guard,
         )
         memory = self.store()
--- a/packages/yuccarill-daemon/tests/gateway/test_admission.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_admission.py
@@ -16,7 +16,7 @@
 from yuccarill.core.ids import RequestId
 from yuccarill.daemon.adapters import http_exchange
 from yuccarill.daemon.gateway.accounts import admission
-from yuccarill.daemon.gateway.accounts import look
+from yuccarill.daemon.gateway.accounts import lookup
 from yuccarill.daemon.gateway.requests import relay
 from yuccarill.platform import keys
 from yuccarill.platform import store as store_module
@@ -65,7 +65,7 @@
         self.config_store = CountingStore()
         self.admission = admission.AccountAdmission(
             self.known,
-            look.ConfigurationLook(
+            lookup.ConfigurationLookup(
                 self.known, self.config_store, self.learn, self.clock
             ),
             lambda: 0.5,
--- a/packages/yuccarill-daemon/tests/gateway/test_target_ends.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_crash_detector.py
@@ -13,8 +13,8 @@
 from yuccarill.core.gateway.targets import ListedTarget
 from yuccarill.core.ids import ContentDigest
 from yuccarill.core.ids import RequestId
+from yuccarill.daemon.gateway.quarantine import crash_detector
 from yuccarill.daemon.gateway.quarantine import guard
-from yuccarill.daemon.gateway.quarantine import target_ends
 
 from . import world
 
@@ -36,20 +36,22 @@
         return not self.has_listener
 
 
-class TargetEndsTest(world.WorldTest):
-    def ends(self, checks: Checks) -> target_ends.TargetEnds:
+class CrashDetectorTest(world.WorldTest):
+    def detector(self, checks: Checks) -> crash_detector.CrashDetector:
         self.guard = guard.ContentGuard(self.state('a'), self.clock)
-        return target_ends.TargetEnds(checks, self.guard, self.clock)
+        return crash_detector.CrashDetector(checks, self.guard, self.clock)
 
     @params((True, False), (False, True))
     def test_one_check_covers_calls_lost_together(
         self, has_listener: bool, has_ended: bool
     ) -> None:
         checks = Checks(self.clock, has_listener)
-        ends = self.ends(checks)
+        detector = self.detector(checks)
         lost = [
             defer.Deferred.fromCoroutine(
-                ends.confirm_loss(TARGET, ContentDigest(name), RequestId('r'))
+                detector.confirm_loss(
+                    TARGET, ContentDigest(name), RequestId('r')
+                )
             )
             for name in 'abc'
         ]
@@ -60,10 +62,12 @@
 
     def test_a_later_loss_is_checked_again(self) -> None:
         checks = Checks(self.clock, has_listener=True)
-        ends = self.ends(checks)
+        detector = self.detector(checks)
         for _ in range(2):
             self.finish(
-                ends.confirm_loss(TARGET, ContentDigest('a'), RequestId('r'))
+                detector.confirm_loss(
+                    TARGET, ContentDigest('a'), RequestId('r')
+                )
             )
         self.assertEqual(2, checks.count)
 
@@ -73,19 +77,19 @@
         self, has_listener: bool, expected: Verdict
     ) -> None:
         """Guard against missing crashes of targets whose call timed out."""
-        ends = self.ends(Checks(self.clock, has_listener))
+        detector = self.detector(Checks(self.clock, has_listener))
         now = self.guard.now()
         self.guard.record_abandoned_run(
             TARGET.id, X, RequestId('r'), True, now
         )
-        ends.schedule_check(TARGET)
-        self.run_for(target_ends.CHECK_SECONDS + 0.05)
+        detector.schedule_check(TARGET)
+        self.run_for(crash_detector.CHECK_SECONDS + 0.05)
         self.assertEqual(expected, self.guard.ledger.verdict(X))
 
     def test_a_crash_seen_by_a_peer_counts_for_calls_given_up_here(
         self,
     ) -> None:
-        self.ends(Checks(self.clock, has_listener=False))
+        self.detector(Checks(self.clock, has_listener=False))
         now = self.guard.now()
         self.guard.record_abandoned_run(
             TARGET.id, X, RequestId('r'), False, now
--- a/packages/yuccarill-daemon/tests/gateway/test_quarantine.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_quarantine.py
@@ -18,10 +18,10 @@
 from yuccarill.core.ids import WallTime
 from yuccarill.daemon.adapters.small_server import SmallRequest
 from yuccarill.daemon.gateway import peer_call
-from yuccarill.daemon.gateway.quarantine import desk
+from yuccarill.daemon.gateway.quarantine import crash_exchange
 from yuccarill.daemon.gateway.quarantine import guard
+from yuccarill.daemon.gateway.quarantine import operator_api
 from yuccarill.daemon.gateway.quarantine import records
-from yuccarill.daemon.gateway.quarantine import reports
 from yuccarill.daemon.gateway import state as state_module
 from yuccarill.daemon.gateway.store import observer
 from yuccarill.platform import keys
@@ -50,7 +50,7 @@
 
     def test_a_content_that_crashed_three_targets_is_refused(self) -> None:
         for number in range(3):
-            self.guard.target_ended(report(number))
+            self.guard.record_crash(report(number))
         with self.assertRaises(errors.RequestQuarantined) as caught:
             self.guard.admit(X, SERVICE)
         self.assertEqual(503, caught.exception.http_status)
@@ -75,7 +75,7 @@
         self.guard._state.targets.remove(TargetId('e1'))
         self.list_targets(targets)
         for number in range(2):
-            self.guard.target_ended(report(number))
+            self.guard.record_crash(report(number))
         self.run_for(seconds)
         self.assertEqual(is_tried, self.guard.is_admitted(X, SERVICE))
 
@@ -84,11 +84,11 @@
         callback = mock.Mock()
         self.guard.on_trial = callback
         for number in range(2):
-            self.guard.target_ended(report(number))
-        self.assertTrue(self.guard.begin(TargetId('t3'), X))
+            self.guard.record_crash(report(number))
+        self.assertTrue(self.guard.begin_run(TargetId('t3'), X))
         callback.assert_called_once_with(X)
         self.assertFalse(self.guard.is_admitted(X, SERVICE))
-        self.guard.finish(TargetId('t3'), X)
+        self.guard.finish_run(TargetId('t3'), X)
         self.assertTrue(self.guard.is_admitted(X, SERVICE))
         self.guard.record_peer_trial(X)
         self.assertFalse(self.guard.is_admitted(X, SERVICE))
@@ -97,24 +97,26 @@
 
     def test_contents_of_one_crash_go_to_separate_targets(self) -> None:
         """Guard against blaming a request that runs beside the cause twice."""
-        self.guard.target_ended(report(0, 'x', 'a'))
-        self.guard.begin(TargetId('t1'), X)
+        self.guard.record_crash(report(0, 'x', 'a'))
+        self.guard.begin_run(TargetId('t1'), X)
         other = ContentDigest('a')
-        self.assertEqual({'t1'}, self.guard.elsewhere(other))
-        self.assertEqual(frozenset(), self.guard.elsewhere(X))
-        self.guard.finish(TargetId('t1'), X)
-        self.assertEqual(frozenset(), self.guard.elsewhere(other))
+        self.assertEqual({'t1'}, self.guard.targets_to_avoid(other))
+        self.assertEqual(frozenset(), self.guard.targets_to_avoid(X))
+        self.guard.finish_run(TargetId('t1'), X)
+        self.assertEqual(frozenset(), self.guard.targets_to_avoid(other))
 
     def test_suspects_do_not_share_a_target(self) -> None:
         for number in range(2):
-            self.guard.target_ended(report(number, 'x', 'a'))
-        self.guard.begin(TargetId('t1'), X)
+            self.guard.record_crash(report(number, 'x', 'a'))
+        self.guard.begin_run(TargetId('t1'), X)
         other = ContentDigest('a')
-        self.assertEqual({'t1'}, self.guard.barred(other))
-        self.assertEqual(frozenset(), self.guard.barred(X))
+        self.assertEqual({'t1'}, self.guard.forbidden_targets(other))
+        self.assertEqual(frozenset(), self.guard.forbidden_targets(X))
         clear = ContentDigest('c')
-        self.assertEqual(frozenset(), self.guard.barred(clear))
-        self.assertEqual({'t1': 1}, self.guard.others(clear))
+        self.assertEqual(frozenset(), self.guard.forbidden_targets(clear))
+        self.assertEqual(
+            {'t1': 1}, self.guard.suspicious_counts_by_target(clear)
+        )
 
     def test_a_completed_run_identifies_the_cause(self) -> None:
         """Guard against a quarantine that waits for another crash.
@@ -124,7 +126,7 @@
         callback = mock.Mock()
         self.guard.on_quarantined = callback
         for number in range(3):
-            self.guard.target_ended(report(number, 'x', 'a'))
+            self.guard.record_crash(report(number, 'x', 'a'))
         callback.assert_not_called()
         self.guard.record_completion(ContentDigest('a'))
         callback.assert_called_once_with(X)
@@ -137,20 +139,20 @@
     ) -> None:
         """Guard against retries at all targets while the first one crashes."""
         for number in range(ends):
-            self.guard.target_ended(report(number))
+            self.guard.record_crash(report(number))
         for number in range(runs):
             target = TargetId(f'u{number}')
             now = self.guard.now()
             self.guard.record_abandoned_run(
                 target, X, RequestId('r'), True, now
             )
-        self.assertEqual(waits, self.guard.is_unsettled(X))
+        self.assertEqual(waits, self.guard.has_unresolved_failures(X))
 
     def test_a_completed_content_is_not_reported(self) -> None:
         callback = mock.Mock()
         self.guard.on_crash = callback
         self.guard.record_completion(X)
-        self.guard.target_ended(report(0, 'x', 'a'))
+        self.guard.record_crash(report(0, 'x', 'a'))
         (sent,), _ = callback.call_args
         self.assertEqual(('a',), sent.contents)
 
@@ -162,7 +164,7 @@
         self.clock = clock
         # Instances that let each call time out.
         self.silent: set[str] = set()
-        self.parts_by_name: dict[str, reports.EndReports] = {}
+        self.parts_by_name: dict[str, crash_exchange.CrashReportExchange] = {}
         self.away: set[str] = set()
 
     async def call(
@@ -199,8 +201,10 @@
             world.list_instance(state, known)
         found = guard.ContentGuard(state, self.clock)
         self.guards_by_name[name] = found
-        exchange = reports.EndReports(state, found, self.peers, self.clock)
-        found.on_quarantined = exchange.tell_quarantined
+        exchange = crash_exchange.CrashReportExchange(
+            state, found, self.peers, self.clock
+        )
+        found.on_quarantined = exchange.send_quarantine
         self.peers.parts_by_name[name] = exchange
         exchange.start()
         return found
@@ -211,7 +215,7 @@
 
     def test_crashes_seen_by_several_instances_count_together(self) -> None:
         for number, name in enumerate('abc'):
-            self.guards_by_name[name].target_ended(report(number))
+            self.guards_by_name[name].record_crash(report(number))
         self.assertEqual({Verdict.QUARANTINED}, self.verdicts())
 
     def test_an_unavailable_peer_gets_reports_later(self) -> None:
@@ -219,7 +223,7 @@
         self.run_for(0.5)
         self.peers.away = {'c'}
         for number in range(3):
-            self.guards_by_name['a'].target_ended(report(number))
+            self.guards_by_name['a'].record_crash(report(number))
         self.run_for(2.0)
         self.peers.away = set()
         self.run_for(1.0)
@@ -237,7 +241,7 @@
             known = self.guards_by_name['a']._state.instances_by_id
             known[name] = known.pop(name)
         for number in range(3):
-            self.guards_by_name['a'].target_ended(report(number))
+            self.guards_by_name['a'].record_crash(report(number))
         self.run_for(3.0)
         self.assertEqual({Verdict.QUARANTINED}, self.verdicts())
 
@@ -247,7 +251,7 @@
         The reply queues a message in the outbox that is being sent.
         """
         self.guards_by_name['b'].record_completion(X)
-        self.guards_by_name['a'].target_ended(report(0, 'x', 'y'))
+        self.guards_by_name['a'].record_crash(report(0, 'x', 'y'))
         self.run_for(1.0)
         self.assertEqual({Verdict.CLEAR}, self.verdicts())
         other = ContentDigest('y')
@@ -258,7 +262,7 @@
 
     def test_a_new_instance_fetches_reports_from_a_peer(self) -> None:
         for number in range(3):
-            self.guards_by_name['a'].target_ended(report(number))
+            self.guards_by_name['a'].record_crash(report(number))
         added = self.add('d')
         self.assertEqual(Verdict.CLEAR, added.ledger.verdict(X))
         self.run_for(0.5)
@@ -267,12 +271,12 @@
     def test_a_peer_clears_a_content_that_completed_there(self) -> None:
         """Guard against suspecting a request that completed at a peer."""
         self.guards_by_name['b'].record_completion(X)
-        self.guards_by_name['a'].target_ended(report(0))
+        self.guards_by_name['a'].record_crash(report(0))
         self.assertEqual({Verdict.CLEAR}, self.verdicts())
 
     def test_an_invalid_message_is_rejected(self) -> None:
         request = SmallRequest(
-            method='POST', target=reports.PATH, body=b'\xc1'
+            method='POST', target=crash_exchange.PATH, body=b'\xc1'
         )
         page = self.finish(self.peers.parts_by_name['a'].handle(request))
         self.assertEqual(400, page.status)
@@ -299,7 +303,7 @@
 
     def end_targets(self) -> None:
         for number in range(3):
-            self.guard.target_ended(report(number))
+            self.guard.record_crash(report(number))
 
     def test_a_quarantine_is_recorded_once(self) -> None:
         self.guard.set_name(X, 'h/p')
@@ -372,7 +376,9 @@
 
     def test_an_operator_lists_and_releases(self) -> None:
         peers = mock.Mock()
-        api = desk.QuarantineApi(self.guard, self.records, peers, self.clock)
+        api = operator_api.QuarantineApi(
+            self.guard, self.records, peers, self.clock
+        )
 
         def call(method: str, path: str) -> tuple[int, list]:
             request = SmallRequest(method=method, target=path)
@@ -383,17 +389,23 @@
         self.end_targets()
         self.run_for(0.5)
         self.known.quarantined_by_content[X] = self.record(1060.0)
-        status, contents = call('GET', desk.PATH)
+        status, contents = call('GET', operator_api.PATH)
         self.assertEqual((200, 'h/p'), (status, contents[0]['request']))
         self.assertEqual(['t0', 't1', 't2'], contents[0]['targets'])
         for method, path, code in (
-            ('DELETE', f'{desk.PATH}/none', errors.ResultCode.UNKNOWN_PATH),
-            ('POST', f'{desk.PATH}/x', errors.ResultCode.WRONG_METHOD),
+            (
+                'DELETE',
+                f'{operator_api.PATH}/none',
+                errors.ResultCode.UNKNOWN_PATH,
+            ),
+            ('POST', f'{operator_api.PATH}/x', errors.ResultCode.WRONG_METHOD),
         ):
             status, refused = call(method, path)
             self.assertEqual(code, refused['code'])
             self.assertIn(status, (404, 405))
-        self.assertEqual((200, []), call('DELETE', f'{desk.PATH}/x'))
-        peers.send.assert_called_once_with(reports.EndMessage(released=(X,)))
+        self.assertEqual((200, []), call('DELETE', f'{operator_api.PATH}/x'))
+        peers.send.assert_called_once_with(
+            crash_exchange.EndMessage(released=(X,))
+        )
         self.assertEqual(Verdict.CLEAR, self.guard.ledger.verdict(X))
         self.assertNotIn(keys.quarantine(X), self.keys.entries_by_key)
--- a/packages/yuccarill-daemon/tests/gateway/test_sender.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_sender.py
@@ -104,7 +104,7 @@
         self.record = hedged_request.SendRecord()
         self.guard = guard.ContentGuard(state, self.clock)
         for target in self.crashed_targets:
-            self.guard.target_ended(
+            self.guard.record_crash(
                 CrashReport(target=TargetId(target), contents=(CALL.content,))
             )
         sending = sender.Sender(
--- a/packages/yuccarill-daemon/tests/gateway/test_shared_jobs.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_shared_jobs.py
@@ -274,7 +274,9 @@
                 parts=3, is_by_items=is_by_items
             )
             follow = [
-                part for part in parts if state.follows(part, ModelName('m'))
+                part
+                for part in parts
+                if state.loads_model(part, ModelName('m'))
             ]
             self.assertEqual(3 if is_by_items else 1, len(follow))
 
--- a/packages/yuccarill-daemon/tests/gateway/test_standby.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_standby.py
@@ -17,8 +17,8 @@
 from yuccarill.daemon.gateway.jobs import text_fetch
 from yuccarill.daemon.gateway.jobs import texts
 from yuccarill.daemon.gateway import peer_call
+from yuccarill.daemon.gateway.quarantine import crash_detector
 from yuccarill.daemon.gateway.quarantine import guard
-from yuccarill.daemon.gateway.quarantine import target_ends
 from yuccarill.daemon.gateway.quarantine import watched_calls
 from yuccarill.daemon.gateway.standby import copier
 from yuccarill.daemon.gateway.standby import service as standby_service
@@ -52,7 +52,7 @@
         guarding = guard.ContentGuard(self.state, test.clock)
         self.calls = watched_calls.WatchedCalls(
             test.engines,
-            target_ends.TargetEnds(test.engines, guarding, test.clock),
+            crash_detector.CrashDetector(test.engines, guarding, test.clock),
             guarding,
         )
         self.standby_service = standby_service.StandbyService(
@@ -78,7 +78,7 @@
     async def handle(
         self, request: small_server.SmallRequest
     ) -> small_server.SmallResponse:
-        if self.standby_service.handles(request.path):
+        if self.standby_service.handles_path(request.path):
             return await self.standby_service.handle(request)
         return await self.depot.handle(request)
 
--- a/packages/yuccarill-daemon/tests/gateway/test_watched_calls.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_watched_calls.py
@@ -13,8 +13,8 @@
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import RequestId
 from yuccarill.core.ids import TargetId
+from yuccarill.daemon.gateway.quarantine import crash_detector
 from yuccarill.daemon.gateway.quarantine import guard
-from yuccarill.daemon.gateway.quarantine import target_ends
 from yuccarill.daemon.gateway.quarantine import watched_calls
 from yuccarill.platform import calls
 
@@ -49,13 +49,13 @@
     def send(self, end: TargetAnswer | calls.CallFailed) -> Verdict:
         """Return the verdict on a content with one earlier crash."""
         content_guard = guard.ContentGuard(self.state('a'), self.clock)
-        content_guard.target_ended(
+        content_guard.record_crash(
             CrashReport(target=TargetId('t0'), contents=(CALL.content,))
         )
         plain = Calls(end)
         watched = watched_calls.WatchedCalls(
             plain,
-            target_ends.TargetEnds(plain, content_guard, self.clock),
+            crash_detector.CrashDetector(plain, content_guard, self.clock),
             content_guard,
         )
         try:
@@ -64,7 +64,7 @@
             pass
         self.assertEqual(
             frozenset(),
-            content_guard.elsewhere(RequestId('another')),
+            content_guard.targets_to_avoid(RequestId('another')),
             'it runs',
         )
         return content_guard.ledger.verdict(CALL.content)
