--- a/packages/yuccarill-core/src/yuccarill/core/jobs/job_queue.py
+++ b/packages/yuccarill-core/src/yuccarill/core/jobs/job_queue.py
@@ -317,11 +317,11 @@
         Published results are left out; the other instance reads them itself.
         """
         return [
-            *self.unlisted(listed),
+            *self.unlisted_texts(listed),
             *reversed(self._partial_texts_by_id.values()),
         ]
 
-    def unlisted(
+    def unlisted_texts(
         self, listed: Container[ItemId]
     ) -> list[partial_text_module.PartialText]:
         """Return the texts of open jobs whose results are unpublished."""
--- a/packages/yuccarill-core/src/yuccarill/core/rollouts/work.py
+++ b/packages/yuccarill-core/src/yuccarill/core/rollouts/work.py
@@ -46,7 +46,7 @@
         self.manifest: Manifest | None = None
         self.body: bytes | None = None
         # Reason for waiting that is reported to the trainer.
-        self.waits_for = 'its samples'
+        self.pending_reason = 'its samples'
 
     @property
     def step(self) -> StepNumber:
@@ -82,7 +82,7 @@
             and place.group not in self._failed_groups
         ]
 
-    def give_up(self, group: GroupNumber) -> bool:
+    def abandon_group(self, group: GroupNumber) -> bool:
         """Drop a group; return whether the step can still be complete."""
         self._failed_groups.add(group)
         return (
--- a/packages/yuccarill-core/src/yuccarill/core/weights/engine_orders.py
+++ b/packages/yuccarill-core/src/yuccarill/core/weights/engine_orders.py
@@ -96,7 +96,7 @@
         """Return the held targets."""
         return self._entries_by_id.keys()
 
-    def is_read(self, target: TargetId) -> bool:
+    def has_state(self, target: TargetId) -> bool:
         """Return whether a target has answered under the current epoch."""
         entry = self._entries_by_id.get(target)
         return entry is not None and entry.state is not None
--- a/packages/yuccarill-core/tests/rollouts/test_work.py
+++ b/packages/yuccarill-core/tests/rollouts/test_work.py
@@ -67,12 +67,12 @@
     def test_spare_group_may_be_left_out(self) -> None:
         # One of two groups fails; the step delivers the other one alone.
         work = self._spare_work()
-        self.assertTrue(work.give_up(GroupNumber(0)))
+        self.assertTrue(work.abandon_group(GroupNumber(0)))
         for place in work.missing():
             work.add_sample(_finished(work, place, 1))
         self.assertTrue(work.is_whole)
         self.assertEqual(2, len(work.in_order()))
-        self.assertFalse(work.give_up(GroupNumber(1)))
+        self.assertFalse(work.abandon_group(GroupNumber(1)))
 
     def test_dropped_sample_makes_its_group_incomplete(self) -> None:
         work = self._spare_work()
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/once.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/at_most_once.py
@@ -46,7 +46,7 @@
     answer: Answer | None = None
 
 
-class OnceController:
+class AtMostOnceController:
     """Run each request at most once and share its answer among retries."""
 
     def __init__(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/attempts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/attempts.py
@@ -19,7 +19,7 @@
 from yuccarill.core.ids import ServiceName
 from yuccarill.core.ids import TargetId
 from yuccarill.daemon.adapters.target import TargetRequest
-from yuccarill.daemon.controllers import lines
+from yuccarill.daemon.controllers import call_queues
 from yuccarill.daemon import metrics
 
 if TYPE_CHECKING:
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        queues: lines.CallQueues,
+        queues: call_queues.CallQueues,
         targets: TargetAdapter,
         now: Callable[[], Instant],
         clock: Any,
@@ -72,7 +72,7 @@
         """
         queue = self._queues.for_service(call.service)
         caller = self._queues.caller(call.caller)
-        entry = lines.Entry(caller=caller, deadline=call.deadline)
+        entry = call_queues.Entry(caller=caller, deadline=call.deadline)
         if self._now() >= call.deadline:
             raise errors.DeadlinePassed(
                 'The deadline passed before the call was sent.',
@@ -99,8 +99,8 @@
     def __init__(
         self,
         targets: TargetAdapter,
-        queue: lines.CallQueue,
-        entry: lines.Entry,
+        queue: call_queues.CallQueue,
+        entry: call_queues.Entry,
         call: Call,
         is_repeatable: bool,
         now: Callable[[], Instant],
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/calls.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/calls.py
@@ -12,12 +12,12 @@
 from yuccarill.core.calls import ledger
 from yuccarill.core.calls import paths
 from yuccarill.core import errors
+from yuccarill.daemon.controllers import at_most_once
 from yuccarill.daemon.controllers import attempts
 from yuccarill.daemon.controllers.attempts import Call
+from yuccarill.daemon.controllers import call_queues
 from yuccarill.daemon.controllers import generations
-from yuccarill.daemon.controllers import homes
-from yuccarill.daemon.controllers import lines
-from yuccarill.daemon.controllers import once
+from yuccarill.daemon.controllers import ticket_routing
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -34,7 +34,7 @@
     from yuccarill.daemon.adapters.engine import Chunk
     from yuccarill.daemon.adapters.engine import EngineAdapter
     from yuccarill.daemon.adapters.target import TargetAdapter
-    from yuccarill.daemon.controllers.once import Outcome
+    from yuccarill.daemon.controllers.at_most_once import Outcome
     from yuccarill.daemon.peers.peers import Peers
     from yuccarill.wire import messages
 
@@ -56,11 +56,11 @@
         clock: Any = reactor,
     ) -> None:
         self._blackboard = blackboard
-        self._queues = lines.CallQueues(blackboard, now, clock, policy)
+        self._queues = call_queues.CallQueues(blackboard, now, clock, policy)
         self._attempts = attempts.AttemptController(
             self._queues, targets, now, clock
         )
-        self._once = once.OnceController(
+        self._once = at_most_once.AtMostOnceController(
             blackboard,
             incarnation,
             self._attempts,
@@ -69,7 +69,9 @@
             clock,
             limits,
         )
-        self._homes = homes.HomeController(blackboard, self._once, peers, now)
+        self._ticket_router = ticket_routing.TicketRouter(
+            blackboard, self._once, peers, now
+        )
         self._generations = generations.GenerationController(
             self._queues, engines, now
         )
@@ -95,7 +97,7 @@
             if call.ticket is not None:
                 # A ticket requires at-most-once execution, even if an outdated
                 # configuration lists the path as repeatable.
-                return await self._homes.run(call)
+                return await self._ticket_router.run(call)
             service = self._service(call.service)
             if not paths.is_repeatable(call.path, service.not_repeatable):
                 raise errors.RequestError(
@@ -108,13 +110,13 @@
 
     async def outcome(self, ticket: str, request_id: RequestId) -> Outcome:
         """Return the outcome of a non-repeatable request."""
-        return await self._homes.outcome(ticket, request_id)
+        return await self._ticket_router.outcome(ticket, request_id)
 
     async def handle(
         self, body: messages.CallRequest | messages.OutcomeQuery
     ) -> messages.Body:
         """Answer a peer's message about calls."""
-        return await self._homes.handle(body)
+        return await self._ticket_router.handle(body)
 
     async def generate(
         self,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/disk_store.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/disk_store.py
@@ -151,11 +151,11 @@
         self._clock = clock
         self._disks_by_id: dict[InstanceId, Disk] = {}
 
-    def known(self) -> list[Disk]:
+    def disks(self) -> list[Disk]:
         """Return the disks of the last refresh."""
         return list(self._disks_by_id.values())
 
-    def usable(self) -> set[InstanceId]:
+    def usable_instances(self) -> set[InstanceId]:
         """Return the instances that can store new samples."""
         return {instance.id for instance in self._membership.live()}
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/generations.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/generations.py
@@ -11,7 +11,7 @@
 from yuccarill.core import errors
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import TargetId
-from yuccarill.daemon.controllers import lines
+from yuccarill.daemon.controllers import call_queues
 from yuccarill.daemon import metrics
 
 if TYPE_CHECKING:
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        queues: lines.CallQueues,
+        queues: call_queues.CallQueues,
         engines: EngineAdapter,
         now: Callable[[], Instant],
     ) -> None:
@@ -55,7 +55,7 @@
         NoTarget if none starts it.
         """
         queue = self._queues.for_model(model)
-        entry = lines.Entry(
+        entry = call_queues.Entry(
             caller=self._queues.caller(caller),
             deadline=Instant(self._now() + seconds),
         )
@@ -75,8 +75,8 @@
     def __init__(
         self,
         engines: EngineAdapter,
-        queue: lines.CallQueue,
-        entry: lines.Entry,
+        queue: call_queues.CallQueue,
+        entry: call_queues.Entry,
         request: dict[str, Any],
         on_chunk: Callable[[Chunk], None],
         now: Callable[[], Instant],
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/rollouts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/rollouts.py
@@ -11,7 +11,7 @@
 from yuccarill.core.leases import shards
 from yuccarill.core.rollouts import records
 from yuccarill.core.rollouts import work as work_module
-from yuccarill.daemon.controllers import fresh_samples
+from yuccarill.daemon.controllers import staleness
 from yuccarill.daemon.controllers import step_decider
 from yuccarill.daemon.controllers import step_delivery
 from yuccarill.daemon import logs
@@ -57,7 +57,7 @@
         self._ledger = ledger
         self._maker = maker
         self._store = store
-        self._fresh_samples = fresh_samples.FreshSamples(blackboard, maker)
+        self._fresh_samples = staleness.FreshSamples(blackboard, maker)
         self._decider = step_decider.StepDecider(
             blackboard,
             incarnation,
@@ -91,7 +91,7 @@
             # Samples can be generated but not delivered without the store. The
             # next fetch retries the claim.
             log.warning('Step claim delayed.', cause=error.message)
-            work.waits_for = 'the key-value service, to be claimed'
+            work.pending_reason = 'the key-value service, to be claimed'
         except errors.RolloutError as error:
             self._forget(work, error)
             raise
@@ -198,7 +198,7 @@
             work.add_sample(finished)
         newest = self._fresh_samples.newest(trainer.id)
         work.drop_stale(newest, trainer.staleness_bound)
-        self._maker.make(trainer, work, self._handle_change)
+        self._maker.start_step(trainer, work, self._handle_change)
 
     async def _register(self, work: StepWork, request: StepRequest) -> None:
         if work.is_open and not self._decider.is_claimed(work):
@@ -236,7 +236,7 @@
         self, work: StepWork, reason: errors.YuccarillError | None
     ) -> None:
         work.error = reason
-        self._maker.end(work)
+        self._maker.cancel_step(work)
         key = (work.trainer, work.step)
         if self._work_by_key.get(key) is work:
             del self._work_by_key[key]
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/finishing.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/sample_finisher.py
@@ -68,7 +68,9 @@
                 return False
             stages_by_place[place] = SampleStage.SCORED
             finished = sample_module.finish(scored)
-            disks = await self._store.keep(work.trainer, work.step, finished)
+            disks = await self._store.store_samples(
+                work.trainer, work.step, finished
+            )
             work.add_sample(finished, disks)
             return True
         finally:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/sample_store.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/sample_store.py
@@ -49,7 +49,7 @@
         self._clock = clock
         self._batches_by_step: dict[StepKey, _Batch] = {}
 
-    async def keep(
+    async def store_samples(
         self, trainer: TrainerId, step: StepNumber, finished: Finished
     ) -> tuple[Disk, ...]:
         """Store a sample; return the disks that confirmed it.
@@ -72,10 +72,13 @@
         kept: tuple[Disk, ...] = await done
         return kept
 
-    def is_kept(self, disks: Iterable[Disk]) -> bool:
+    def has_all_copies(self, disks: Iterable[Disk]) -> bool:
         """Return whether no usable disk can add a missing copy."""
         return not replicas.choose(
-            'any', self._registry.known(), self._registry.usable(), disks
+            'any',
+            self._registry.disks(),
+            self._registry.usable_instances(),
+            disks,
         )
 
     async def load(self, manifest: Manifest) -> dict[SampleId, bytes]:
@@ -114,8 +117,8 @@
                 log.info('Samples not deleted from disk.', cause=error.message)
 
     def _usable(self) -> list[Disk]:
-        usable = self._registry.usable()
-        return [d for d in self._registry.known() if d.instance in usable]
+        usable = self._registry.usable_instances()
+        return [d for d in self._registry.disks() if d.instance in usable]
 
     async def _read(
         self, disk: InstanceId, key: StepKey, ids: list[SampleId]
@@ -160,8 +163,8 @@
         while True:
             chosen = replicas.choose(
                 f'samples/{key[0]}/{key[1]}',
-                self._registry.known(),
-                self._registry.usable() - failed,
+                self._registry.disks(),
+                self._registry.usable_instances() - failed,
                 kept,
             )
             if not chosen:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/sampling.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/sampling.py
@@ -16,7 +16,7 @@
 from yuccarill.core.rollouts import sample as sample_module
 from yuccarill.core.rollouts import scheduler
 from yuccarill.core.rollouts import stages
-from yuccarill.daemon.controllers import finishing
+from yuccarill.daemon.controllers import sample_finisher
 from yuccarill.daemon import logs
 
 if TYPE_CHECKING:
@@ -68,7 +68,7 @@
         self._incarnation = incarnation
         self._engines = engines
         self._clock = clock
-        self._finisher = finishing.SampleFinisher(
+        self._finisher = sample_finisher.SampleFinisher(
             blackboard, scorer, store, clock
         )
         self._scheduler = scheduler.Scheduler()
@@ -90,7 +90,7 @@
             self.pump()
             await task.deferLater(self._clock, PUMP_SECONDS, lambda: None)
 
-    def make(
+    def start_step(
         self,
         trainer: Trainer,
         work: StepWork,
@@ -106,7 +106,7 @@
         self._scheduler.requeue_places(work, places)
         self.pump()
 
-    def end(self, work: StepWork) -> None:
+    def cancel_step(self, work: StepWork) -> None:
         """Cancel the attempts of a step that needs no more samples."""
         self._on_change_by_work.pop(work, None)
         self._finisher.forget(work)
@@ -247,7 +247,7 @@
         self._report(work)
 
     def _give_up(self, work: StepWork, group: GroupNumber, cause: str) -> None:
-        if not work.is_open or work.give_up(group):
+        if not work.is_open or work.abandon_group(group):
             return
         work.error = errors.GroupFailed(
             f'Group {group} of step {work.step} can not be completed '
@@ -255,7 +255,7 @@
         )
         log.error('Step failed.', trainer=work.trainer, cause=cause)
         self._report(work)
-        self.end(work)
+        self.cancel_step(work)
 
     def _handle_error(self, failure: Any, work: StepWork) -> None:
         if failure.check(defer.CancelledError):
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_decider.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_decider.py
@@ -22,8 +22,8 @@
     from yuccarill.core.rollouts.replicas import Disk
     from yuccarill.core.rollouts.sample import Place
     from yuccarill.core.rollouts.work import StepWork
-    from yuccarill.daemon.controllers.fresh_samples import FreshSamples
     from yuccarill.daemon.controllers.sample_store import SampleStore
+    from yuccarill.daemon.controllers.staleness import FreshSamples
 
 # Each announcement and each claim of another holder replaces the claim.
 MAX_DECIDE_ATTEMPTS = 3
@@ -87,7 +87,7 @@
                 is_whole = await self._try_to_decide(work)
             except errors.ClaimLost:
                 self.forget(work)
-                work.waits_for = 'its claim'
+                work.pending_reason = 'its claim'
                 continue
             if not is_whole:
                 return
@@ -130,7 +130,7 @@
         places = [
             place
             for place in work.finished_by_place
-            if not self._store.is_kept(work.disks_by_place[place])
+            if not self._store.has_all_copies(work.disks_by_place[place])
         ]
         kept = await defer.gatherResults(
             [self._store_sample(work, place) for place in places]
@@ -144,7 +144,7 @@
     ) -> defer.Deferred[tuple[Disk, ...]]:
         finished = work.finished_by_place[place]
         return defer.ensureDeferred(
-            self._store.keep(work.trainer, work.step, finished)
+            self._store.store_samples(work.trainer, work.step, finished)
         )
 
     def _manifest(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_delivery.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_delivery.py
@@ -99,7 +99,7 @@
         try:
             await self._decider.decide(work)
         except errors.StoreUnavailable as error:
-            work.waits_for = 'the key-value service, to be decided'
+            work.pending_reason = 'the key-value service, to be decided'
             raise self._pending_error(work) from error
         if work.manifest is None:
             raise self._pending_error(work)
@@ -125,7 +125,7 @@
         )
 
     def _pending_error(self, work: StepWork) -> errors.StepPending:
-        waits_for = work.waits_for
+        waits_for = work.pending_reason
         if not work.is_whole:
             counted = stages.describe(self._maker.stages(work))
             waits_for = f'its samples ({counted})'
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_routing.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/step_routing.py
@@ -110,7 +110,7 @@
         self._blackboard = blackboard
         self._peers = peers
 
-    async def ask(
+    async def fetch(
         self, holder: InstanceId, trainer: TrainerId, step: StepNumber
     ) -> bytes:
         """Return the bytes of a decided step.
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/targets.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/targets.py
@@ -149,7 +149,7 @@
         engine = self._engine(order.target)
         if engine is None:
             return
-        if not self._orders.is_read(order.target):
+        if not self._orders.has_state(order.target):
             # Reads the state first: an order must not downgrade the engine.
             self._record(
                 order.target, await self._engines.read(engine.address)
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/homes.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/controllers/ticket_routing.py
@@ -8,8 +8,8 @@
 from yuccarill.core.calls import ticket as ticket_module
 from yuccarill.core import errors
 from yuccarill.core.ids import Instant
+from yuccarill.daemon.controllers import at_most_once
 from yuccarill.daemon.controllers.attempts import Call
-from yuccarill.daemon.controllers import once
 from yuccarill.wire import messages
 
 if TYPE_CHECKING:
@@ -18,7 +18,7 @@
     from yuccarill.core.blackboard import Blackboard
     from yuccarill.core.ids import InstanceId
     from yuccarill.core.ids import RequestId
-    from yuccarill.daemon.controllers.once import OnceController
+    from yuccarill.daemon.controllers.at_most_once import AtMostOnceController
     from yuccarill.daemon.peers.peers import Peers
 
 # Subtracted from the forwarded deadline, so that the reply of the home arrives
@@ -27,13 +27,13 @@
 QUERY_SECONDS = 2.0
 
 
-class HomeController:
+class TicketRouter:
     """Forward calls to their home, the only instance that may run them."""
 
     def __init__(
         self,
         blackboard: Blackboard,
-        local: OnceController,
+        local: AtMostOnceController,
         peers: Peers,
         now: Callable[[], Instant],
     ) -> None:
@@ -66,7 +66,7 @@
 
     async def outcome(
         self, ticket: str, request_id: RequestId
-    ) -> once.Outcome:
+    ) -> at_most_once.Outcome:
         """Return the outcome of a request, as known to its home."""
         home = ticket_module.parse(ticket).home
         if home == self._blackboard.own_instance.id:
@@ -79,7 +79,7 @@
         answer = stored and Answer(
             stored.status, stored.content_type, stored.body
         )
-        return once.Outcome(reply.outcome, answer)
+        return at_most_once.Outcome(reply.outcome, answer)
 
     async def handle(
         self, body: messages.CallRequest | messages.OutcomeQuery
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/graceful_shutdown.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/duty/graceful_shutdown.py
@@ -19,7 +19,7 @@
     from yuccarill.daemon.gateway.duty.duties import Duty
     from yuccarill.daemon.gateway.duty.session import Session
     from yuccarill.daemon.gateway.jobs.runner import Runner
-    from yuccarill.daemon.gateway.jobs.texts import TextDepot
+    from yuccarill.daemon.gateway.jobs.texts import TextCopyStore
     from yuccarill.daemon.gateway.jobs.texts import TextSender
 
 log = logs.for_part('departure')
@@ -36,7 +36,7 @@
         session: Session,
         duties_by_service: Mapping[ServiceName, Duty],
         runners_by_service: Mapping[ServiceName, Runner],
-        depot: TextDepot,
+        depot: TextCopyStore,
         sender: TextSender,
         clock: Any,
         other_duties: Sequence[Duty] = (),
@@ -75,10 +75,10 @@
         for service in list(self._duties_by_service):
             runner = self._runners_by_service.get(service)
             if runner is None:
-                texts = self._depot.take(service)
+                texts = self._depot.remove_texts(service)
             else:
-                texts = runner.left_texts()
-            await self._sender.hand_on(service, texts)
+                texts = runner.unlisted_texts()
+            await self._sender.hand_over(service, texts)
 
     async def _announce(self) -> None:
         while True:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/intake.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/intake.py
@@ -169,7 +169,7 @@
         for job in jobs:
             runner = self._runners_by_service.get(job.service)
             if runner is not None:
-                runner.offer(job)
+                runner.add_job(job)
 
     async def read_results(
         self, query: ResultsQuery, account: AccountName | None = None
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_runs.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/item_runs.py
@@ -62,7 +62,9 @@
         ...
 
 
-def speed_book(placement: Placement) -> pace_estimator.PaceEstimator | None:
+def create_pace_estimator(
+    placement: Placement,
+) -> pace_estimator.PaceEstimator | None:
     """Return an estimator of engine paces if the placement uses one."""
     return (
         pace_estimator.PaceEstimator()
@@ -108,7 +110,7 @@
         self._plan: planning.FinishPlan | None = None
         if fleet.speeds is not None:
             self._plan = planning.FinishPlan(queue, fleet)
-        self.moves = run_moves.RunMoves(queue, fleet, self._plan, clock)
+        self.run_mover = run_moves.RunMoves(queue, fleet, self._plan, clock)
         self._is_stopped = False
         self._is_pumping = False
         self._is_pump_requested = False
@@ -134,11 +136,13 @@
         pause = self._pump_seconds / PUMP_TIME_FRACTION
         remaining = self._pumped_at + pause - self._clock.seconds()
         if remaining <= MIN_PUMP_PAUSE_SECONDS:
-            self.pump()
+            self.start_waiting_items()
         else:
-            self._next_pump = self._clock.callLater(remaining, self.pump)
+            self._next_pump = self._clock.callLater(
+                remaining, self.start_waiting_items
+            )
 
-    def pump(self) -> None:
+    def start_waiting_items(self) -> None:
         """Start the waiting items for which an engine has a free slot."""
         if self._is_stopped or self._is_pumping:
             # A run that ends during a pump requests another pump.
@@ -261,7 +265,7 @@
         active_run.work = defer.Deferred.fromCoroutine(
             self._generator.run(run, engine, active_run.record_event)
         )
-        self.moves.active_runs_by_item[run] = active_run
+        self.run_mover.active_runs_by_item[run] = active_run
         try:
             outcome = await active_run.work
         except defer.CancelledError:
@@ -269,7 +273,7 @@
                 raise
             outcome = generation.Outcome.BROKEN
         finally:
-            del self.moves.active_runs_by_item[run]
+            del self.run_mover.active_runs_by_item[run]
             engine.runs_by_model[run.job.model] -= 1
             active_run.work.cancel()
         match outcome:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/run_moves.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/run_moves.py
@@ -81,7 +81,7 @@
             if model is not None and self._queue.is_urgent(run, pace, now):
                 active_run.engine.urgent_models.add(model)
 
-    def move(self) -> None:
+    def move_runs(self) -> None:
         """Cancel the runs that are better off at another engine."""
         now = self._now()
         # Free slots go to waiting items first, and a run moves only into a
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/runner.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/runner.py
@@ -16,12 +16,12 @@
 from yuccarill.core.jobs import job_queue
 from yuccarill.daemon.gateway.jobs import cleaner
 from yuccarill.daemon.gateway.jobs import item_runs
+from yuccarill.daemon.gateway.jobs import job_cache as job_cache_module
 from yuccarill.daemon.gateway.jobs import job_reader
 from yuccarill.daemon.gateway.jobs import job_store as job_store_module
 from yuccarill.daemon.gateway.jobs import listing
 from yuccarill.daemon.gateway.jobs import paced_work
 from yuccarill.daemon.gateway.jobs import shared_results
-from yuccarill.daemon.gateway.jobs import shelf
 from yuccarill.daemon.gateway import meters
 from yuccarill.daemon.gateway.store import follower
 from yuccarill.daemon.gateway.weights import engine_requests
@@ -86,11 +86,11 @@
         self._reader = job_reader.JobReader(jobs, clock)
         self._clock = clock
         self._queue = job_queue.JobQueue()
-        self._speeds = item_runs.speed_book(state.placement)
+        self._speeds = item_runs.create_pace_estimator(state.placement)
         self._fleet = engines_module.EngineFleet(self._speeds)
         self._paced_survey = paced_work.PacedWork(self._run_survey, clock)
         self._requests = engine_requests.EngineRequests(
-            store, self.survey, clock
+            store, self.request_update, clock
         )
         self._switcher = weight_switcher.WeightSwitcher(
             state,
@@ -99,12 +99,12 @@
             self._fleet,
             engines,
             self._requests,
-            self.survey,
+            self.request_update,
             clock,
         )
         self._listings_by_job: dict[JobId, listing.Listing] = {}
         self._tasks_by_job: dict[JobId, set[defer.Deferred[None]]] = {}
-        self.job_cache = shelf.JobCache(duty, clock)
+        self.job_cache = job_cache_module.JobCache(duty, clock)
         self._runs = item_runs.ItemRuns(
             duty.service,
             state,
@@ -184,19 +184,19 @@
         """Read jobs and requests again after a gap in the watches."""
         self._follower.refresh()
         self._requests.refresh()
-        self.survey()
+        self.request_update()
 
-    def work(self) -> tuple[int, int]:
+    def count_load(self) -> tuple[int, int]:
         """Return the number of used slots and of waiting items."""
         return self._fleet.running, self._queue.count_waiting()
 
-    def left_texts(self) -> list[PartialText]:
+    def unlisted_texts(self) -> list[PartialText]:
         """Return the unlisted texts that another instance can continue."""
         return self._queue.partial_texts(self._listed_items())
 
     def open_texts(self) -> list[PartialText]:
         """Return the unlisted texts of open jobs."""
-        return self._queue.unlisted(self._listed_items())
+        return self._queue.unlisted_texts(self._listed_items())
 
     def open_jobs(self) -> list[tuple[Job, frozenset[ItemId]]]:
         """Return the open jobs, each with the ids of its listed items."""
@@ -214,7 +214,7 @@
             for result in found.results
         }
 
-    def knows(self, job: JobId) -> bool:
+    def has_job(self, job: JobId) -> bool:
         """Return whether this runner has or had a job."""
         return job in self.job_cache
 
@@ -222,13 +222,13 @@
     def service(self) -> ServiceName:
         return self._duty.service
 
-    def offer(self, job: Job) -> None:
+    def add_job(self, job: Job) -> None:
         """Run a job that this instance accepted, unless it is known."""
         if job.id not in self._tasks_by_job and job.id not in self.job_cache:
             self._tasks_by_job[job.id] = set()
             self.track(job.id, self._add_job(job, []))
 
-    def survey(self) -> None:
+    def request_update(self) -> None:
         """Check engines, weights and runs soon, and start waiting items.
 
         Each check reads all runs and engines, so calls are combined.
@@ -239,13 +239,13 @@
         if self._is_stopped:
             return
         self._fleet.update(self._state.engines(self._duty.service))
-        self._runs.moves.mark_urgent_models()
+        self._runs.run_mover.mark_urgent_models()
         self._switcher.update()
-        self._runs.moves.move()
-        self._runs.pump()
+        self._runs.run_mover.move_runs()
+        self._runs.start_waiting_items()
 
     def _tick(self) -> None:
-        self.survey()
+        self.request_update()
         for run in self._queue.expired(self._now()):
             self.finish(run, run.failed_result(), 'its job expired')
         self._cleaner.update()
@@ -315,7 +315,7 @@
         )
         for run in reused:
             self.track(job.id, self._runs.score(run))
-        self._runs.pump()
+        self._runs.start_waiting_items()
 
     def _end_job(self, job: JobId) -> None:
         if self._queue.remove(job) is not None:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/service_work.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/service_work.py
@@ -25,7 +25,7 @@
     from yuccarill.daemon.gateway.duty.holder_calls import HolderCalls
     from yuccarill.daemon.gateway.jobs.job_store import JobStore
     from yuccarill.daemon.gateway.jobs.text_fetch import TextFetcher
-    from yuccarill.daemon.gateway.jobs.texts import TextDepot
+    from yuccarill.daemon.gateway.jobs.texts import TextCopyStore
     from yuccarill.daemon.gateway.jobs.texts import TextSender
     from yuccarill.daemon.gateway.peer_call import PeerCalls
     from yuccarill.daemon.gateway.quarantine.guard import ContentGuard
@@ -39,7 +39,7 @@
     from yuccarill.platform.store import Store
 
 
-class ServiceWork:
+class ServiceRunners:
     """Manage duties, runners and copies for the services of engines."""
 
     def __init__(
@@ -51,7 +51,7 @@
         guard: ContentGuard,
         sender: Sender,
         engines: Engines,
-        depot: TextDepot,
+        depot: TextCopyStore,
         text_sender: TextSender,
         text_fetcher: TextFetcher,
         standbys: StandbyService,
@@ -80,7 +80,7 @@
         self.duties_by_service: dict[ServiceName, duties.Duty] = {}
         self.runners_by_service: dict[ServiceName, runner.Runner] = {}
         self._text_copies_by_service: dict[
-            ServiceName, text_copier.StandbyCopy
+            ServiceName, text_copier.TextCopier
         ] = {}
         self._job_copiers_by_service: dict[ServiceName, copier.JobCopier] = {}
         self._writers_by_service: dict[
@@ -108,7 +108,7 @@
             if self.duties_by_service[name].is_held_elsewhere:
                 self._stop_runner(name)
             else:
-                running.survey()
+                running.request_update()
 
     def resume(self) -> None:
         """Let all runners read again after a gap in the watches."""
@@ -159,7 +159,7 @@
         )
         self.runners_by_service[service] = new_runner
         new_runner.start()
-        text_copy = text_copier.StandbyCopy(
+        text_copy = text_copier.TextCopier(
             service, new_runner.open_texts, self._text_sender, self._clock
         )
         self._text_copies_by_service[service] = text_copy
@@ -184,7 +184,7 @@
         )
         self._writers_by_service[service] = writer
         writer.start()
-        scaler = self._scaling.scaler(duty, new_runner.work)
+        scaler = self._scaling.scaler(duty, new_runner.count_load)
         if scaler is not None:
             self._scalers_by_service[service] = scaler
             scaler.start()
@@ -196,7 +196,7 @@
     async def _previous_texts(
         self, duty: duties.Duty, records: progress.ProgressStore
     ) -> list[PartialText]:
-        found = self._depot.take(duty.service)
+        found = self._depot.remove_texts(duty.service)
         if found:
             return found
         return await self._text_fetcher.newest(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/text_copier.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/text_copier.py
@@ -26,7 +26,7 @@
 COPY_SECONDS = 0.5
 
 
-class StandbyCopy:
+class TextCopier:
     """Periodically send the changes of a runner's texts to the next candidate.
 
     Copies are best effort: without a copy, texts are generated again.
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/texts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/texts.py
@@ -95,13 +95,13 @@
     at: Instant
 
 
-class TextDepot:
+class TextCopyStore:
     """Store the texts that other instances hand over to this one."""
 
     def __init__(self, clock: Any) -> None:
         self._clock = clock
         # Called before a service's texts are returned to a peer.
-        self.on_show: Callable[[ServiceName], None] = lambda service: None
+        self.on_read: Callable[[ServiceName], None] = lambda service: None
         self._texts_by_service: dict[ServiceName, dict[ItemId, _TextCopy]] = {}
         self._speeds_by_service: dict[ServiceName, _StoredSpeeds] = {}
 
@@ -118,7 +118,7 @@
         max_bytes = query.get('bytes', [str(PART_BYTES)])[0]
         if not first.isdecimal() or not max_bytes.isdecimal():
             return SmallResponse(status=400)
-        self.on_show(service)
+        self.on_read(service)
         part = self._part(service, int(first), int(max_bytes))
         body = msgspec.msgpack.encode(part)
         return SmallResponse(
@@ -185,7 +185,7 @@
         )
         return True
 
-    def take(self, service: ServiceName) -> list[PartialText]:
+    def remove_texts(self, service: ServiceName) -> list[PartialText]:
         """Remove and return a service's texts."""
         now = self._clock.seconds()
         stored = self._texts_by_service.pop(service, {})
@@ -205,13 +205,15 @@
             for record in stored.records
         ]
 
-    def kept(self, service: ServiceName) -> list[PartialText]:
+    def texts(self, service: ServiceName) -> list[PartialText]:
         """Return a service's texts without removing them."""
         now = self._clock.seconds()
         stored = self._texts_by_service.get(service, {})
         return [each.text for each in stored.values() if now < each.until]
 
-    def put(self, service: ServiceName, texts: Iterable[PartialText]) -> None:
+    def store_texts(
+        self, service: ServiceName, texts: Iterable[PartialText]
+    ) -> None:
         """Store texts generated here, replacing older copies."""
         until = Instant(self._clock.seconds() + RETENTION_SECONDS)
         stored = self._texts_by_service.setdefault(service, {})
@@ -220,7 +222,9 @@
             stored[text.item] = _TextCopy(text, '', 0, until)
         self._clock.callLater(RETENTION_SECONDS, self._drop_expired)
 
-    def drop(self, service: ServiceName, items: Iterable[ItemId]) -> None:
+    def remove_items(
+        self, service: ServiceName, items: Iterable[ItemId]
+    ) -> None:
         """Remove the texts of items whose results are listed."""
         stored = self._texts_by_service.get(service, {})
         for item in items:
@@ -250,7 +254,7 @@
         self.speeds_of = lambda service: ()
         self._speeds_at: dict[tuple[str, ServiceName], float] = {}
 
-    async def hand_on(
+    async def hand_over(
         self, service: ServiceName, texts: Iterable[PartialText]
     ) -> None:
         """Send texts to the likely next holders of a service's duty."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/trainers.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/jobs/trainers.py
@@ -24,7 +24,7 @@
 _JSON = (('Content-Type', 'application/json'),)
 
 
-class TrainerDesk:
+class TrainerCallHandler:
     """Answer a call from the job's holder, a local runner or the store."""
 
     def __init__(
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/process.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/process.py
@@ -134,7 +134,7 @@
         )
         jobs = job_store.JobStore(self._store, clock)
         self._holder_calls = holder_calls.HolderCalls(self._state, peers)
-        self._text_depot = texts.TextDepot(clock)
+        self._text_depot = texts.TextCopyStore(clock)
         text_sender = texts.TextSender(self._state, links, clock)
         text_fetcher = text_fetch.TextFetcher(self._state, links, clock)
         self._standbys = standby_service.StandbyService(
@@ -147,7 +147,7 @@
             self._store_router.probe_now,
             clock,
         )
-        self._work = service_work.ServiceWork(
+        self._work = service_work.ServiceRunners(
             self._state,
             self._store,
             jobs,
@@ -170,7 +170,7 @@
         job_intake = intake.Intake(
             self._state, jobs, call_relay, self._work.runners_by_service, clock
         )
-        trainer_desk = trainers.TrainerDesk(
+        trainer_call_handler = trainers.TrainerCallHandler(
             job_intake, call_relay, self._work.runners_by_service.values
         )
         self._usage: usage_parts.UsageParts | None = None
@@ -216,7 +216,7 @@
         self._front = front.Front(
             self._state,
             forwarder,
-            trainer_desk,
+            trainer_call_handler,
             account_admission,
             self._observer.max_age,
         )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/front.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/front.py
@@ -17,7 +17,7 @@
     from yuccarill.core.gateway.requests import ClientRequest
     from yuccarill.core.gateway.requests import TargetAnswer
     from yuccarill.daemon.gateway.accounts.admission import AccountAdmission
-    from yuccarill.daemon.gateway.jobs.trainers import TrainerDesk
+    from yuccarill.daemon.gateway.jobs.trainers import TrainerCallHandler
     from yuccarill.daemon.gateway.requests.forwarding import Forwarder
     from yuccarill.daemon.gateway.state import GatewayState
     from yuccarill.platform.ports import Answerer
@@ -37,7 +37,7 @@
         self,
         state: GatewayState,
         forwarder: Forwarder,
-        trainers: TrainerDesk,
+        trainers: TrainerCallHandler,
         admission: AccountAdmission,
         store_age: Callable[[], float],
     ) -> None:
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/service.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/service.py
@@ -28,7 +28,7 @@
     from yuccarill.core.jobs.job import Job
     from yuccarill.core.jobs.job import JobId
     from yuccarill.daemon.adapters.small_server import SmallRequest
-    from yuccarill.daemon.gateway.jobs.texts import TextDepot
+    from yuccarill.daemon.gateway.jobs.texts import TextCopyStore
     from yuccarill.daemon.gateway.standby.standby_runner import StandbyRunner
     from yuccarill.daemon.gateway.standby.witness import Witnesses
     from yuccarill.daemon.gateway.state import GatewayState
@@ -71,7 +71,7 @@
         self,
         state: GatewayState,
         store_age: Callable[[], float],
-        depot: TextDepot,
+        depot: TextCopyStore,
         witnesses: Witnesses,
         make_runner: Callable[[ServiceName], StandbyRunner],
         notify_holder: Callable[
@@ -93,7 +93,7 @@
         self._holders_by_service: dict[ServiceName, _HolderState] = {}
         self._ticker = task.LoopingCall(self._tick)
         self._ticker.clock = clock
-        depot.on_show = self._hand_over
+        depot.on_read = self._hand_over
 
     def start(self) -> None:
         """Start to monitor holders."""
@@ -142,7 +142,7 @@
             jobs_by_id[open_job.id] = job
             ended = set() if open_job.job else state.ended_by_job[open_job.id]
             ended_by_job[open_job.id] = ended | set(open_job.ended)
-            self._depot.drop(message.service, open_job.ended)
+            self._depot.remove_items(message.service, open_job.ended)
         state.jobs_by_id, state.ended_by_job = jobs_by_id, ended_by_job
         return tuple(missing)
 
@@ -163,7 +163,7 @@
         state.runner.stop()
         texts = state.runner.texts()
         state.runner = None
-        self._depot.put(service, texts)
+        self._depot.store_texts(service, texts)
         log.info('Standby runs stopped.', service=service, texts=len(texts))
 
     def _tick(self) -> None:
@@ -198,7 +198,7 @@
             return
         state.is_notified = False
         state.runner = self._make_runner(service)
-        texts = self._depot.kept(service)
+        texts = self._depot.texts(service)
         log.warning(
             'Standby resumes the jobs of a holder.',
             service=service,
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/standby_runner.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/standby/standby_runner.py
@@ -53,7 +53,7 @@
         self._clock = clock
         self._queue = queue_module.JobQueue()
         self._fleet = engines_module.EngineFleet(
-            item_runs.speed_book(state.placement)
+            item_runs.create_pace_estimator(state.placement)
         )
         self._tasks: set[defer.Deferred[None]] = set()
         self._runs = item_runs.ItemRuns(
@@ -96,8 +96,8 @@
     def schedule_runs(self) -> None:
         """Update the engines, move runs and start those that fit."""
         self._fleet.update(self._state.engines(self._service))
-        self._runs.moves.move()
-        self._runs.pump()
+        self._runs.run_mover.move_runs()
+        self._runs.start_waiting_items()
 
     def stop(self) -> None:
         """Cancel all runs and keep their texts."""
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/rollout_parts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/rollout_parts.py
@@ -66,7 +66,7 @@
             ledger,
             self._maker,
             store,
-            step_routing.HolderClient(blackboard, peers).ask,
+            step_routing.HolderClient(blackboard, peers).fetch,
             leases.epoch_for,
         )
         self.active_duties = controller.active_duties
--- a/packages/yuccarill-daemon/tests/controllers/memory_fleet.py
+++ b/packages/yuccarill-daemon/tests/controllers/memory_fleet.py
@@ -90,7 +90,7 @@
         self, size: int, seed: int = 1, centres: int = 3, clock=None
     ) -> None:
         self.clock = clock or task.Clock()
-        self.chance = random.Random(seed)
+        self.random_source = random.Random(seed)
         self.processes_by_id: dict[str, Process] = {}
         self.listed_by_id: dict[str, Instance] = {}
         # Pairs of source and target whose messages are dropped.
@@ -121,10 +121,10 @@
         process = Process(self, me, self._starts)
         self.processes_by_id[name] = process
         self.listed_by_id[name] = me
-        self.begin(process)
+        self.start_controller(process)
         return process
 
-    def begin(self, process: Process) -> None:
+    def start_controller(self, process: Process) -> None:
         defer.ensureDeferred(process.controller.follow())
 
     def restart(self, name: str) -> Process:
@@ -211,10 +211,15 @@
         self._later(answer)
 
     def _is_lost(self, name: str, target: str) -> bool:
-        return (name, target) in self.cut or self.chance.random() < self.loss
+        return (
+            name,
+            target,
+        ) in self.cut or self.random_source.random() < self.loss
 
     def _later(self, function) -> None:
-        spread = self.chance.uniform(0.5, 20.0 if self.is_doubling else 1.5)
+        spread = self.random_source.uniform(
+            0.5, 20.0 if self.is_doubling else 1.5
+        )
         self.clock.callLater(LATENCY_SECONDS * spread, function)
 
     def _count(self, body) -> None:
--- a/packages/yuccarill-daemon/tests/controllers/test_rollouts.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_rollouts.py
@@ -13,7 +13,7 @@
 from yuccarill.core.ids import StepNumber
 from yuccarill.core.ids import WeightVersion
 from yuccarill.core.rollouts import records
-from yuccarill.daemon.controllers import lines
+from yuccarill.daemon.controllers import call_queues
 
 from controllers import rollout_world
 from controllers.rollout_world import request
@@ -219,7 +219,7 @@
     def test_callers_go_before_samples(self) -> None:
         # Guards against latency-sensitive calls waiting behind samples.
         self.world.run(self.holder.submit(TRAINER, request()))
-        of_callers = lines._PRIORITIES.values()
+        of_callers = call_queues._PRIORITIES.values()
         self.assertGreater(min(self.world.fleet.priorities), max(of_callers))
 
     def test_busy_engines_get_fewer_samples(self) -> None:
--- a/packages/yuccarill-daemon/tests/controllers/test_step_routing.py
+++ b/packages/yuccarill-daemon/tests/controllers/test_step_routing.py
@@ -59,7 +59,7 @@
         blackboard = mock.Mock(instances_by_id={'b': 'b'}, spec=[])
         client = step_routing.HolderClient(blackboard, peers)
         outcome: list[Any] = []
-        reply = client.ask(InstanceId('b'), TRAINER, STEP)
+        reply = client.fetch(InstanceId('b'), TRAINER, STEP)
         defer.ensureDeferred(reply).addBoth(outcome.append)
         return outcome[0]
 
--- a/packages/yuccarill-daemon/tests/gateway/test_intake.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_intake.py
@@ -165,7 +165,7 @@
     def test_a_job_stored_earlier_is_not_offered_as_new(self) -> None:
         """Guard against losing listed results when a job is resubmitted."""
         offered: list[JobId] = []
-        runner = mock.Mock(offer=lambda job: offered.append(job.id))
+        runner = mock.Mock(add_job=lambda job: offered.append(job.id))
         self.intake = intake.Intake(
             self.state('a'),
             job_store.JobStore(self.memory, self.clock),
@@ -190,7 +190,7 @@
         self.memory.loses_replies = True
         self.clock.callLater(0.5, setattr, self.memory, 'loses_replies', False)
         self.assertEqual(202, self.submit().status)
-        runner.offer.assert_not_called()
+        runner.add_job.assert_not_called()
 
     def test_a_refused_write_is_reported_as_not_run(self) -> None:
         self.memory.rejects_calls = True
--- a/packages/yuccarill-daemon/tests/gateway/test_runner.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_runner.py
@@ -147,7 +147,7 @@
         self.finish(jobs.end(world.SERVICE, job.id))
         self.run_for(0.5)
         self.engines.runs.clear()
-        runner.offer(replace(job, JobId('k')))
+        runner.add_job(replace(job, JobId('k')))
         self.run_for(3.0)
         self.assertEqual({'j-0-0', 'j-0-1', 'j-1-0', 'j-1-1'}, set(ids(self)))
         self.assertTrue(all(first > 0 for _, first in self.engines.runs))
@@ -292,7 +292,7 @@
         self.assertLess(len(before), 24)
         first.stop()
         second = self.hold('b')
-        second.offer(job)
+        second.add_job(job)
         self.run_for(6.0)
         found = self.results()
         self.assertEqual(24, len(found))
@@ -420,7 +420,7 @@
         self.run_for(2.0)
         body = runner.job_cache.read_item(job.id, job.items[0].id)
         self.assertEqual(b'prompt', body)
-        self.assertTrue(runner.knows(job.id))
+        self.assertTrue(runner.has_job(job.id))
 
     def test_no_answer_from_memory_during_a_hanging_write(
         self,
--- a/packages/yuccarill-daemon/tests/gateway/test_standby.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_standby.py
@@ -47,7 +47,7 @@
         for engine in test.engines.engines_by_id.values():
             self.state.targets.put(engine.target)
         self.store_age = 0.0
-        self.depot = texts.TextDepot(test.clock)
+        self.depot = texts.TextCopyStore(test.clock)
         self.peers = peer_call.PeerCalls(Links(test, name), test.clock)
         guarding = guard.ContentGuard(self.state, test.clock)
         self.calls = watched_calls.WatchedCalls(
@@ -102,7 +102,7 @@
         sender = texts.TextSender(
             holder.state, Links(self, HOLDER), self.clock
         )
-        self.text_copy = text_copier.StandbyCopy(
+        self.text_copy = text_copier.TextCopier(
             world.SERVICE, self.running.open_texts, sender, self.clock
         )
         self.job_copier = copier.JobCopier(
@@ -137,8 +137,8 @@
 
     def standby_event_count(self) -> int:
         """Return the number of events in all texts of the standby."""
-        self.standby.depot.on_show(world.SERVICE)
-        kept = self.standby.depot.kept(world.SERVICE)
+        self.standby.depot.on_read(world.SERVICE)
+        kept = self.standby.depot.texts(world.SERVICE)
         return sum(len(text.parts) for text in kept)
 
     def test_standby_completes_texts_during_store_outage(self) -> None:
@@ -156,7 +156,7 @@
         self.run_for(2.0)
         self.assertEqual(4 * runner_world.EVENTS, self.standby_event_count())
         runs = len(self.engines.runs)
-        handed = self.standby.depot.take(world.SERVICE)
+        handed = self.standby.depot.remove_texts(world.SERVICE)
         self.hold('b', handed)
         self.run_for(1.5)
         results = self.results()
@@ -277,10 +277,10 @@
             engine.gap = 0.1
         self.submit()
         self.run_for(1.2)
-        self.assertEqual(4, len(self.standby.depot.kept(world.SERVICE)))
+        self.assertEqual(4, len(self.standby.depot.texts(world.SERVICE)))
         self.run_for(5.0)
         self.assertEqual(4, len(self.results()))
-        self.assertEqual([], self.standby.depot.kept(world.SERVICE))
+        self.assertEqual([], self.standby.depot.texts(world.SERVICE))
 
     def test_an_ended_job_is_not_resumed(self) -> None:
         self.submit()
--- a/packages/yuccarill-daemon/tests/gateway/test_texts.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_texts.py
@@ -70,7 +70,7 @@
     """Simulate links to the depots of peers; other addresses time out."""
 
     clock: task.Clock
-    depots_by_address: dict[str, texts.TextDepot]
+    depots_by_address: dict[str, texts.TextCopyStore]
     sent: list[str] = dataclasses.field(default_factory=list)
     bodies: list[bytes] = dataclasses.field(default_factory=list)
     is_corrupt: bool = False
@@ -110,7 +110,7 @@
 class DepotTest(world.WorldTest):
     def setUp(self) -> None:
         super().setUp()
-        self.depot = texts.TextDepot(self.clock)
+        self.depot = texts.TextCopyStore(self.clock)
 
     def receive(
         self,
@@ -127,19 +127,25 @@
 
     def test_texts_are_taken_once(self) -> None:
         self.assertEqual(200, self.receive(text('a', 3)))
-        self.assertEqual([text('a', 3)], self.depot.take(world.SERVICE))
-        self.assertEqual([], self.depot.take(world.SERVICE))
+        self.assertEqual(
+            [text('a', 3)], self.depot.remove_texts(world.SERVICE)
+        )
+        self.assertEqual([], self.depot.remove_texts(world.SERVICE))
 
     def test_new_events_are_appended(self) -> None:
         self.receive(text('a', 3))
         self.assertEqual(200, self.receive(text('a', 2), first=3, number=2))
-        self.assertEqual([text('a', 5)], self.depot.take(world.SERVICE))
+        self.assertEqual(
+            [text('a', 5)], self.depot.remove_texts(world.SERVICE)
+        )
 
     def test_events_after_a_gap_are_refused(self) -> None:
         self.assertEqual(409, self.receive(text('a', 2), first=3))
         self.receive(text('a', 1))
         self.assertEqual(409, self.receive(text('a', 2), first=3, number=2))
-        self.assertEqual([text('a', 1)], self.depot.take(world.SERVICE))
+        self.assertEqual(
+            [text('a', 1)], self.depot.remove_texts(world.SERVICE)
+        )
 
     def test_events_of_two_holders_are_not_mixed(self) -> None:
         """Guard against a text joined from the events of two holders."""
@@ -147,7 +153,7 @@
         self.receive(text('a', 4, size=9), source='new')
         status = self.receive(text('a', 1), first=4, source='old', number=2)
         self.assertEqual(409, status)
-        found = self.depot.take(world.SERVICE)
+        found = self.depot.remove_texts(world.SERVICE)
         self.assertEqual([text('a', 4, size=9)], found)
 
     def test_a_reordered_message_is_refused(self) -> None:
@@ -156,24 +162,24 @@
         self.receive(text('a', 5, size=9), number=3)
         status = self.receive(text('a', 1), first=3, number=2)
         self.assertEqual(409, status)
-        found = self.depot.take(world.SERVICE)
+        found = self.depot.remove_texts(world.SERVICE)
         self.assertEqual([text('a', 5, size=9)], found)
 
     def test_a_restarted_text_replaces_the_old_one(self) -> None:
         self.receive(text('a', 6))
         self.receive(text('a', 2, size=9), number=2)
-        found = self.depot.take(world.SERVICE)
+        found = self.depot.remove_texts(world.SERVICE)
         self.assertEqual([text('a', 2, size=9)], found)
 
     def test_expired_texts_are_dropped(self) -> None:
         self.receive(text('a', 3))
         self.run_for(texts.RETENTION_SECONDS + 0.1, step=0.1)
-        self.assertEqual([], self.depot.take(world.SERVICE))
+        self.assertEqual([], self.depot.remove_texts(world.SERVICE))
 
     def test_the_number_of_texts_is_limited(self) -> None:
         names = [f'i{n}' for n in range(texts.MAX_TEXTS + 20)]
         self.receive(*(text(name, 1) for name in names))
-        found = self.depot.take(world.SERVICE)
+        found = self.depot.remove_texts(world.SERVICE)
         self.assertEqual(texts.MAX_TEXTS, len(found))
 
     def test_speeds_age_until_they_are_taken(self) -> None:
@@ -211,7 +217,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.depots = {
-            f'{name}:2': texts.TextDepot(self.clock) for name in 'bcd'
+            f'{name}:2': texts.TextCopyStore(self.clock) for name in 'bcd'
         }
         self.links = Links(self.clock, dict(self.depots))
         self.own_state = self.state('a')
@@ -219,21 +225,21 @@
             world.list_instance(self.own_state, name)
         self.sender = texts.TextSender(self.own_state, self.links, self.clock)
 
-    def hand_on(self, *found: PartialText) -> None:
-        self.finish(self.sender.hand_on(world.SERVICE, found))
+    def hand_over(self, *found: PartialText) -> None:
+        self.finish(self.sender.hand_over(world.SERVICE, found))
 
     def test_the_next_two_candidates_get_the_texts(self) -> None:
-        self.hand_on(text('a', 3))
+        self.hand_over(text('a', 3))
         self.assertEqual(2, len(self.links.sent))
         for address in self.links.sent:
-            found = self.depots[address].take(world.SERVICE)
+            found = self.depots[address].remove_texts(world.SERVICE)
             self.assertEqual([text('a', 3)], found)
 
     def test_speeds_are_sent_at_an_interval(self) -> None:
         """Guard against losing known engine speeds with their holder."""
         self.sender.speeds_of = lambda service: [speed()]
-        self.hand_on(text('a', 3))
-        self.hand_on(text('a', 4))
+        self.hand_over(text('a', 3))
+        self.hand_over(text('a', 4))
         speed_counts = [
             len(msgspec.msgpack.decode(body, type=texts.HandedTexts).speeds)
             for body in self.links.bodies
@@ -248,20 +254,20 @@
         self.own_state.instances_by_id['b'] = msgspec.structs.replace(
             record, is_leaving=True
         )
-        self.hand_on(text('a', 3))
+        self.hand_over(text('a', 3))
         self.assertEqual({'c:2', 'd:2'}, set(self.links.sent))
 
     def test_a_dead_receiver_does_not_delay_the_stop(self) -> None:
         self.links.depots_by_address.clear()
         started_at = self.clock.seconds()
-        self.hand_on(text('a', 3))
+        self.hand_over(text('a', 3))
         seconds = self.clock.seconds() - started_at
         self.assertLess(seconds, texts.ANSWER_SECONDS + 0.1)
 
     def test_the_first_texts_are_sent_if_all_exceed_the_limit(self) -> None:
         size = texts.MAX_BYTES // 10
-        self.hand_on(*(text(f'i{n}', 1, size) for n in range(12)))
-        found = self.depots[self.links.sent[0]].take(world.SERVICE)
+        self.hand_over(*(text(f'i{n}', 1, size) for n in range(12)))
+        found = self.depots[self.links.sent[0]].remove_texts(world.SERVICE)
         self.assertEqual([f'i{n}' for n in range(10)], [t.item for t in found])
 
 
@@ -276,7 +282,7 @@
         self.submit()
         self.run_for(1.1)
         run_count = len(self.engines.runs)
-        left = first.left_texts()
+        left = first.unlisted_texts()
         first.stop()
         second = self.hold('b', left)
         self.run_for(4.0)
@@ -290,12 +296,12 @@
         # The holder stops after generating a text, before listing its result.
         first = self.hold('a')
         self.submit()
-        while not first.left_texts() or not all(
-            found.is_whole for found in first.left_texts()
+        while not first.unlisted_texts() or not all(
+            found.is_whole for found in first.unlisted_texts()
         ):
             self.run_for(0.01)
         run_count = len(self.engines.runs)
-        left = first.left_texts()
+        left = first.unlisted_texts()
         first.stop()
         self.hold('b', left)
         self.run_for(2.0)
@@ -308,7 +314,9 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.links = Links(self.clock, {'b:2': texts.TextDepot(self.clock)})
+        self.links = Links(
+            self.clock, {'b:2': texts.TextCopyStore(self.clock)}
+        )
         self.own_state = self.state('a')
         for name in 'ab':
             world.list_instance(self.own_state, name)
@@ -318,7 +326,7 @@
         )
         self.finish(session.lease.open())
         self.released: list[float] = []
-        depot = texts.TextDepot(self.clock)
+        depot = texts.TextCopyStore(self.clock)
         self.finish(
             depot.handle(
                 small_server.SmallRequest(
@@ -356,7 +364,7 @@
     def test_texts_of_another_holder_are_handed_over(self) -> None:
         """Guard against losing texts when two instances stop in a row."""
         self.finish(self.leaving.leave())
-        found = self.links.depots_by_address['b:2'].take(world.SERVICE)
+        found = self.links.depots_by_address['b:2'].remove_texts(world.SERVICE)
         self.assertEqual([text('x', 2)], found)
 
 
@@ -367,7 +375,7 @@
         super().setUp()
         for engine in self.engines.engines_by_id.values():
             engine.gap = 0.2
-        self.depot = texts.TextDepot(self.clock)
+        self.depot = texts.TextCopyStore(self.clock)
         self.links = Links(self.clock, {'b:2': self.depot})
         self.own_state = self.state('a')
         for name in 'ab':
@@ -379,8 +387,8 @@
 
     def copy_from(
         self, runner: runner_module.Runner
-    ) -> text_copier.StandbyCopy:
-        found = text_copier.StandbyCopy(
+    ) -> text_copier.TextCopier:
+        found = text_copier.TextCopier(
             world.SERVICE, runner.open_texts, self.sender, self.clock
         )
         found.start()
@@ -397,7 +405,7 @@
         first.stop()
         text_copy.stop()
         self.run_for(2.5)
-        self.hold('b', self.depot.take(world.SERVICE))
+        self.hold('b', self.depot.remove_texts(world.SERVICE))
         self.run_for(4.0)
         self.assertEqual(4, len(self.results()))
         for result in self.results():
@@ -425,9 +433,9 @@
         self.copy_from(first)
         self.submit()
         self.run_for(0.8)
-        self.depot.take(world.SERVICE)
+        self.depot.remove_texts(world.SERVICE)
         self.run_for(1.0)
-        found = self.depot.take(world.SERVICE)
+        found = self.depot.remove_texts(world.SERVICE)
         self.assertEqual(4, len(found))
         self.assertGreater(min(len(each.parts) for each in found), 2)
 
@@ -453,8 +461,8 @@
     def test_a_large_copy_is_fetched_in_parts(self) -> None:
         """Guard against losing a copy that exceeds the first deadline."""
         copied = [text(f'i{each}', 100, size=100) for each in range(300)]
-        self.finish(self.sender.hand_on(world.SERVICE, copied[:150]))
-        self.finish(self.sender.hand_on(world.SERVICE, copied[150:]))
+        self.finish(self.sender.hand_over(world.SERVICE, copied[:150]))
+        self.finish(self.sender.hand_over(world.SERVICE, copied[150:]))
         self.links.rate = 7_500_000.0
         found = self.finish(self.fetcher.fetch(world.SERVICE))
         self.assertEqual(300, len(found.texts))
@@ -462,8 +470,8 @@
     def test_a_copy_from_another_region_needs_few_requests(self) -> None:
         """Guard against many round trips over a link with a high latency."""
         copied = [text(f'i{each}', 75, size=100) for each in range(268)]
-        self.finish(self.sender.hand_on(world.SERVICE, copied[:134]))
-        self.finish(self.sender.hand_on(world.SERVICE, copied[134:]))
+        self.finish(self.sender.hand_over(world.SERVICE, copied[:134]))
+        self.finish(self.sender.hand_over(world.SERVICE, copied[134:]))
         self.links.rate, self.links.latency = 7_500_000.0, 0.1
         started_at = self.clock.seconds()
         found = self.finish(self.fetcher.fetch(world.SERVICE))
@@ -473,7 +481,7 @@
 
     def test_the_store_is_read_only_without_a_standby_copy(self) -> None:
         """Guard against reading megabytes from the store needlessly."""
-        self.finish(self.sender.hand_on(world.SERVICE, [text('a', 3)]))
+        self.finish(self.sender.hand_over(world.SERVICE, [text('a', 3)]))
         standby_address = self.links.sent[0]
         reads: list[None] = []
 
--- a/packages/yuccarill-daemon/tests/gateway/test_trainers.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_trainers.py
@@ -70,13 +70,15 @@
         return b'store'
 
 
-class TrainerDeskTest(world.WorldTest):
+class TrainerCallHandlerTest(world.WorldTest):
     def test_runners_can_change_while_a_reader_waits(self) -> None:
         """Guard against a failed read when this instance gets a new duty."""
         first = Runner(None)
         runners = {'a': first}
-        desk = trainers.TrainerDesk(Intake(), Peers(), runners.values)
-        reading = defer.Deferred.fromCoroutine(desk.serve(QUERY, request()))
+        handler = trainers.TrainerCallHandler(
+            Intake(), Peers(), runners.values
+        )
+        reading = defer.Deferred.fromCoroutine(handler.serve(QUERY, request()))
         runners['b'] = Runner(b'other')
         first.waiting.callback(None)
         self.assertEqual(b'store', reading.result.body)
@@ -85,8 +87,10 @@
         answer = TargetAnswer(
             status=200, headers=(), body=b'h', signature=None
         )
-        desk = trainers.TrainerDesk(Intake(), Peers(answer), dict().values)
-        found = self.finish(desk.serve(QUERY, request()))
+        handler = trainers.TrainerCallHandler(
+            Intake(), Peers(answer), dict().values
+        )
+        found = self.finish(handler.serve(QUERY, request()))
         self.assertEqual(b'h', found.body)
 
     def test_a_relayed_call_is_not_relayed_again(self) -> None:
@@ -94,12 +98,14 @@
             status=200, headers=(), body=b'h', signature=None
         )
         peers = Peers(answer)
-        desk = trainers.TrainerDesk(Intake(), peers, dict().values)
-        found = self.finish(desk.serve(QUERY, request((relay.HEADER, '1'))))
+        handler = trainers.TrainerCallHandler(Intake(), peers, dict().values)
+        found = self.finish(handler.serve(QUERY, request((relay.HEADER, '1'))))
         self.assertEqual((b'store', 0), (found.body, peers.calls))
 
     def test_the_store_answers_if_the_holder_fails(self) -> None:
         answer = TargetAnswer(status=503, headers=(), body=b'', signature=None)
-        desk = trainers.TrainerDesk(Intake(), Peers(answer), dict().values)
-        found = self.finish(desk.serve(QUERY, request()))
+        handler = trainers.TrainerCallHandler(
+            Intake(), Peers(answer), dict().values
+        )
+        found = self.finish(handler.serve(QUERY, request()))
         self.assertEqual(b'store', found.body)
--- a/tools/measure_membership.py
+++ b/tools/measure_membership.py
@@ -104,9 +104,9 @@
 class NaiveFleet(memory_fleet.Fleet):
     """Start naive processes instead of the real ones."""
 
-    def begin(self, process: memory_fleet.Process) -> None:
+    def start_controller(self, process: memory_fleet.Process) -> None:
         naive = NaiveProcess(self, process)
-        self.clock.callLater(self.chance.random(), naive.tick)
+        self.clock.callLater(self.random_source.random(), naive.tick)
 
 
 class MessageCounter:
