--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/process.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/process.py
@@ -14,7 +14,7 @@
 from yuccarill.daemon.adapters import connections
 from yuccarill.daemon.adapters import small_server
 from yuccarill.daemon.gateway.accounts import admission
-from yuccarill.daemon.gateway.accounts import look
+from yuccarill.daemon.gateway.accounts import lookup
 from yuccarill.daemon.gateway.capacity import control
 from yuccarill.daemon.gateway.capacity import port
 from yuccarill.daemon.gateway.duty import graceful_shutdown
@@ -134,7 +134,7 @@
         )
         jobs = job_store.JobStore(self._store, clock)
         self._holder_calls = holder_calls.HolderCalls(self._state, peers)
-        self._text_depot = texts.TextDepot(clock)
+        self._text_depot = texts.TextCopyStore(clock)
         text_sender = texts.TextSender(self._state, links, clock)
         text_fetcher = text_fetch.TextFetcher(self._state, links, clock)
         self._standbys = standby_service.StandbyService(
@@ -147,7 +147,7 @@
             self._store_router.probe_now,
             clock,
         )
-        self._work = service_work.ServiceWork(
+        self._work = service_work.ServiceRunners(
             self._state,
             self._store,
             jobs,
@@ -170,7 +170,7 @@
         job_intake = intake.Intake(
             self._state, jobs, call_relay, self._work.runners_by_service, clock
         )
-        trainer_desk = trainers.TrainerDesk(
+        trainer_call_handler = trainers.TrainerCallHandler(
             job_intake, call_relay, self._work.runners_by_service.values
         )
         self._usage: usage_parts.UsageParts | None = None
@@ -186,7 +186,7 @@
         usage_counter = self._usage or usage_sink.NoUsage()
         account_admission = admission.AccountAdmission(
             self._state,
-            look.ConfigurationLook(
+            lookup.ConfigurationLookup(
                 self._state,
                 self._store,
                 self._observer.apply_configuration,
@@ -216,7 +216,7 @@
         self._front = front.Front(
             self._state,
             forwarder,
-            trainer_desk,
+            trainer_call_handler,
             account_admission,
             self._observer.max_age,
         )
@@ -270,7 +270,9 @@
             self._usage.start()
         # Connections to a restarted target would be reset.
         self._observer.on_restart = self._calls.close_idle
-        self._observer.on_start = self._quarantine.ends.started
+        self._observer.on_start = (
+            self._quarantine.crash_detector.handle_started_target
+        )
         self._session.lease.on_store_recovery = self._observer.refresh
         self._store_router.on_direct_path_failed = self._on_store_lost
         self._holder_calls.on_duty_free = self._on_duty_query
@@ -312,13 +314,13 @@
             return await self._text_depot.handle(request)
         if request.path == holder_calls.PATH:
             return await self._holder_calls.handle(request)
-        if self._standbys.handles(request.path):
+        if self._standbys.handles_path(request.path):
             return await self._standbys.handle(request)
-        if self._quarantine.handles(request.path):
+        if self._quarantine.handles_path(request.path):
             return await self._quarantine.handle(request)
-        if self._capacity and self._capacity.handles(request.path):
+        if self._capacity and self._capacity.handles_path(request.path):
             return await self._capacity.handle(request)
-        if self._usage is not None and self._usage.handles(request.path):
+        if self._usage is not None and self._usage.handles_path(request.path):
             return await self._usage.handle(request)
         return await self._store_router.forward(request)
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/streams.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/streams.py
@@ -24,7 +24,9 @@
     from yuccarill.core.jobs.text import StreamEvent
     from yuccarill.daemon.gateway.quarantine.watched_calls import WatchedCalls
     from yuccarill.daemon.gateway.requests.sender import Sender
-    from yuccarill.daemon.gateway.requests import target_selector
+    from yuccarill.daemon.gateway.requests.target_selector import (
+        TargetSelector,
+    )
     from yuccarill.daemon.gateway.requests.usage_sink import UsageSink
     from yuccarill.daemon.gateway.state import GatewayState
     from yuccarill.platform.ports import Answerer
@@ -88,7 +90,7 @@
     async def _run_attempts(
         self,
         run: _StreamRun,
-        selector: target_selector.TargetSelector,
+        selector: TargetSelector,
         route: Route,
         service: ServiceName,
         permit: port.SendPermit,
