--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/crash_exchange.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/exchange.py
@@ -55,7 +55,7 @@
     is_sending: bool = False
 
 
-class CrashReportExchange:
+class CrashExchange:
     """Exchange the data of the crash guard with the other instances.
 
     Each instance is called directly: reports have to arrive before a client's
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/operator_api.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/operator_api.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from yuccarill.daemon.adapters.small_server import SmallRequest
-    from yuccarill.daemon.gateway.quarantine import crash_exchange
+    from yuccarill.daemon.gateway.quarantine.exchange import CrashExchange
     from yuccarill.daemon.gateway.quarantine.guard import ContentGuard
     from yuccarill.daemon.gateway.quarantine.records import QuarantineRecords
 
@@ -33,7 +33,7 @@
         self,
         guard: ContentGuard,
         records: QuarantineRecords,
-        reports: crash_exchange.CrashReportExchange,
+        reports: CrashExchange,
         clock: Any,
     ) -> None:
         self._guard = guard
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/parts.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/parts.py
@@ -7,8 +7,8 @@
 
 from yuccarill.daemon.adapters.small_server import SmallResponse
 from yuccarill.daemon.gateway import peer_call
-from yuccarill.daemon.gateway.quarantine import crash_detector
-from yuccarill.daemon.gateway.quarantine import crash_exchange
+from yuccarill.daemon.gateway.quarantine import detector
+from yuccarill.daemon.gateway.quarantine import exchange
 from yuccarill.daemon.gateway.quarantine import guard
 from yuccarill.daemon.gateway.quarantine import operator_api
 from yuccarill.daemon.gateway.quarantine import records
@@ -35,9 +35,7 @@
         clock: Any,
     ) -> None:
         self.guard = guard.ContentGuard(state, clock)
-        self.crash_detector = crash_detector.CrashDetector(
-            calls, self.guard, clock
-        )
+        self.crash_detector = detector.CrashDetector(calls, self.guard, clock)
         # All other components send their calls through this object.
         self.calls = watched_calls.WatchedCalls(
             calls, self.crash_detector, self.guard
@@ -45,7 +43,7 @@
         self.records = records.QuarantineRecords(
             state, self.guard, store, clock
         )
-        self._reports = crash_exchange.CrashReportExchange(
+        self._reports = exchange.CrashExchange(
             state, self.guard, peer_call.PeerCalls(connections, clock), clock
         )
         self._operator_api = operator_api.QuarantineApi(
@@ -60,11 +58,11 @@
 
     def handles_path(self, path: str) -> bool:
         """Tell whether a path of the peer port belongs to the quarantine."""
-        return path.startswith(crash_exchange.PATH)
+        return path.startswith(exchange.PATH)
 
     async def handle(self, request: SmallRequest) -> SmallResponse:
         """Handle a request of a peer or an operator."""
-        if request.path == crash_exchange.PATH:
+        if request.path == exchange.PATH:
             return await self._reports.handle(request)
         return await self._operator_api.handle(request)
 
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/watched_calls.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/quarantine/watched_calls.py
@@ -15,7 +15,7 @@
     from yuccarill.core.gateway.requests import TargetAnswer
     from yuccarill.core.gateway.targets import ListedTarget
     from yuccarill.core.ids import Instant
-    from yuccarill.daemon.gateway.quarantine import crash_detector
+    from yuccarill.daemon.gateway.quarantine.detector import CrashDetector
     from yuccarill.daemon.gateway.quarantine.guard import ContentGuard
     from yuccarill.platform.calls import Calls
     from yuccarill.platform.calls import GenerationSink
@@ -28,7 +28,7 @@
     def __init__(
         self,
         calls: Calls,
-        detector: crash_detector.CrashDetector,
+        detector: CrashDetector,
         guard: ContentGuard,
     ) -> None:
         self._calls = calls
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/hedged_request.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/hedged_request.py
@@ -12,7 +12,7 @@
 from yuccarill.core.gateway import attempts
 from yuccarill.core.ids import Instant
 from yuccarill.daemon.gateway.capacity import port
-from yuccarill.daemon.gateway.requests import target_selector
+from yuccarill.daemon.gateway.requests import selector
 from yuccarill.platform import calls as calls_module
 
 if TYPE_CHECKING:
@@ -67,7 +67,7 @@
         # Cleared when there is no capacity for a hedge.
         self._may_hedge = True
         # Unlimited here: the plan limits the attempts.
-        self._selector = target_selector.TargetSelector(
+        self._selector = selector.TargetSelector(
             attempting, service, call.content, sys.maxsize
         )
         self._quarantine_error: errors.RequestQuarantined | None = None
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/sender.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/sender.py
@@ -8,7 +8,7 @@
 from yuccarill.daemon.gateway.capacity import port
 from yuccarill.daemon.gateway.requests import attempts
 from yuccarill.daemon.gateway.requests import hedged_request
-from yuccarill.daemon.gateway.requests import target_selector
+from yuccarill.daemon.gateway.requests import selector
 
 if TYPE_CHECKING:
     from yuccarill.core.gateway.attempts import AttemptPlan
@@ -63,8 +63,8 @@
         call: TargetCall,
         limit: int,
         permit: port.SendPermit = port.UNLIMITED,
-    ) -> target_selector.TargetSelector:
+    ) -> selector.TargetSelector:
         """Return a target selector for one request."""
-        return target_selector.TargetSelector(
+        return selector.TargetSelector(
             self._attempts, service, call.content, limit, permit
         )
--- a/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/streams.py
+++ b/packages/yuccarill-daemon/src/yuccarill/daemon/gateway/requests/streams.py
@@ -23,10 +23,8 @@
     from yuccarill.core.ids import ServiceName
     from yuccarill.core.jobs.text import StreamEvent
     from yuccarill.daemon.gateway.quarantine.watched_calls import WatchedCalls
+    from yuccarill.daemon.gateway.requests.selector import TargetSelector
     from yuccarill.daemon.gateway.requests.sender import Sender
-    from yuccarill.daemon.gateway.requests.target_selector import (
-        TargetSelector,
-    )
     from yuccarill.daemon.gateway.requests.usage_sink import UsageSink
     from yuccarill.daemon.gateway.state import GatewayState
     from yuccarill.platform.ports import Answerer
--- a/packages/yuccarill-daemon/tests/gateway/crash_world.py
+++ b/packages/yuccarill-daemon/tests/gateway/crash_world.py
@@ -21,8 +21,8 @@
 from yuccarill.core.ids import TargetId
 from yuccarill.daemon.adapters.small_server import SmallRequest
 from yuccarill.daemon.gateway import peer_call
-from yuccarill.daemon.gateway.quarantine import crash_detector
-from yuccarill.daemon.gateway.quarantine import crash_exchange
+from yuccarill.daemon.gateway.quarantine import detector
+from yuccarill.daemon.gateway.quarantine import exchange
 from yuccarill.daemon.gateway.quarantine import guard
 from yuccarill.daemon.gateway.quarantine import watched_calls
 from yuccarill.daemon.gateway.requests import hedged_request
@@ -78,8 +78,8 @@
     state: state_module.GatewayState
     guard: guard.ContentGuard
     sender: sender.Sender
-    reports: crash_exchange.CrashReportExchange
-    detector: crash_detector.CrashDetector
+    reports: exchange.CrashExchange
+    crash_detector: detector.CrashDetector
     # When clients start to use the instance.
     listed_at: float
 
@@ -145,10 +145,12 @@
             state.targets.put(target.listed)
         plain = SimulatedCalls(self)
         content_guard = self._guard_class(state, self.clock)
-        detector = crash_detector.CrashDetector(
+        crash_detector = detector.CrashDetector(
             plain, content_guard, self.clock
         )
-        watched = watched_calls.WatchedCalls(plain, detector, content_guard)
+        watched = watched_calls.WatchedCalls(
+            plain, crash_detector, content_guard
+        )
         found = Instance(
             name=name,
             state=state,
@@ -156,8 +158,8 @@
             sender=sender.Sender(
                 pools.Pools(state), watched, content_guard, self.clock
             ),
-            detector=detector,
-            reports=crash_exchange.CrashReportExchange(
+            crash_detector=crash_detector,
+            reports=exchange.CrashExchange(
                 state, content_guard, SimulatedPeers(self), self.clock
             ),
             listed_at=self.clock.seconds() + READY_SECONDS,
@@ -300,7 +302,7 @@
     def _list(self, listed: ListedTarget) -> None:
         for each in self.instances_by_name.values():
             each.state.targets.put(listed)
-            each.detector.handle_started_target(listed)
+            each.crash_detector.handle_started_target(listed)
 
     async def _send(self, instance: Instance, body: bytes) -> TargetAnswer:
         plan = attempts.AttemptPlan(
--- a/packages/yuccarill-daemon/tests/gateway/runner_world.py
+++ b/packages/yuccarill-daemon/tests/gateway/runner_world.py
@@ -30,7 +30,7 @@
 from yuccarill.daemon.gateway.jobs import generation
 from yuccarill.daemon.gateway.jobs import job_store
 from yuccarill.daemon.gateway.jobs import runner as runner_module
-from yuccarill.daemon.gateway.quarantine import crash_detector
+from yuccarill.daemon.gateway.quarantine import detector
 from yuccarill.daemon.gateway.quarantine import guard
 from yuccarill.daemon.gateway.quarantine import watched_calls
 from yuccarill.platform import calls
@@ -273,9 +273,7 @@
         content_guard = guard.ContentGuard(state, self.clock)
         watched = watched_calls.WatchedCalls(
             self.engines,
-            crash_detector.CrashDetector(
-                self.engines, content_guard, self.clock
-            ),
+            detector.CrashDetector(self.engines, content_guard, self.clock),
             content_guard,
         )
         memory = self.store()
--- a/packages/yuccarill-daemon/tests/gateway/test_crash_detector.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_detector.py
@@ -13,7 +13,7 @@
 from yuccarill.core.gateway.targets import ListedTarget
 from yuccarill.core.ids import ContentDigest
 from yuccarill.core.ids import RequestId
-from yuccarill.daemon.gateway.quarantine import crash_detector
+from yuccarill.daemon.gateway.quarantine import detector
 from yuccarill.daemon.gateway.quarantine import guard
 
 from . import world
@@ -37,19 +37,19 @@
 
 
 class CrashDetectorTest(world.WorldTest):
-    def detector(self, checks: Checks) -> crash_detector.CrashDetector:
+    def crash_detector(self, checks: Checks) -> detector.CrashDetector:
         self.guard = guard.ContentGuard(self.state('a'), self.clock)
-        return crash_detector.CrashDetector(checks, self.guard, self.clock)
+        return detector.CrashDetector(checks, self.guard, self.clock)
 
     @params((True, False), (False, True))
     def test_one_check_covers_calls_lost_together(
         self, has_listener: bool, has_ended: bool
     ) -> None:
         checks = Checks(self.clock, has_listener)
-        detector = self.detector(checks)
+        crash_detector = self.crash_detector(checks)
         lost = [
             defer.Deferred.fromCoroutine(
-                detector.confirm_loss(
+                crash_detector.confirm_loss(
                     TARGET, ContentDigest(name), RequestId('r')
                 )
             )
@@ -62,10 +62,10 @@
 
     def test_a_later_loss_is_checked_again(self) -> None:
         checks = Checks(self.clock, has_listener=True)
-        detector = self.detector(checks)
+        crash_detector = self.crash_detector(checks)
         for _ in range(2):
             self.finish(
-                detector.confirm_loss(
+                crash_detector.confirm_loss(
                     TARGET, ContentDigest('a'), RequestId('r')
                 )
             )
@@ -77,19 +77,19 @@
         self, has_listener: bool, expected: Verdict
     ) -> None:
         """Guard against missing crashes of targets whose call timed out."""
-        detector = self.detector(Checks(self.clock, has_listener))
+        crash_detector = self.crash_detector(Checks(self.clock, has_listener))
         now = self.guard.now()
         self.guard.record_abandoned_run(
             TARGET.id, X, RequestId('r'), True, now
         )
-        detector.schedule_check(TARGET)
-        self.run_for(crash_detector.CHECK_SECONDS + 0.05)
+        crash_detector.schedule_check(TARGET)
+        self.run_for(detector.CHECK_SECONDS + 0.05)
         self.assertEqual(expected, self.guard.ledger.verdict(X))
 
     def test_a_crash_seen_by_a_peer_counts_for_calls_given_up_here(
         self,
     ) -> None:
-        self.detector(Checks(self.clock, has_listener=False))
+        self.crash_detector(Checks(self.clock, has_listener=False))
         now = self.guard.now()
         self.guard.record_abandoned_run(
             TARGET.id, X, RequestId('r'), False, now
--- a/packages/yuccarill-daemon/tests/gateway/test_quarantine.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_quarantine.py
@@ -18,7 +18,7 @@
 from yuccarill.core.ids import WallTime
 from yuccarill.daemon.adapters.small_server import SmallRequest
 from yuccarill.daemon.gateway import peer_call
-from yuccarill.daemon.gateway.quarantine import crash_exchange
+from yuccarill.daemon.gateway.quarantine import exchange
 from yuccarill.daemon.gateway.quarantine import guard
 from yuccarill.daemon.gateway.quarantine import operator_api
 from yuccarill.daemon.gateway.quarantine import records
@@ -164,7 +164,7 @@
         self.clock = clock
         # Instances that let each call time out.
         self.silent: set[str] = set()
-        self.parts_by_name: dict[str, crash_exchange.CrashReportExchange] = {}
+        self.parts_by_name: dict[str, exchange.CrashExchange] = {}
         self.away: set[str] = set()
 
     async def call(
@@ -201,12 +201,12 @@
             world.list_instance(state, known)
         found = guard.ContentGuard(state, self.clock)
         self.guards_by_name[name] = found
-        exchange = crash_exchange.CrashReportExchange(
+        crash_exchange = exchange.CrashExchange(
             state, found, self.peers, self.clock
         )
-        found.on_quarantined = exchange.send_quarantine
-        self.peers.parts_by_name[name] = exchange
-        exchange.start()
+        found.on_quarantined = crash_exchange.send_quarantine
+        self.peers.parts_by_name[name] = crash_exchange
+        crash_exchange.start()
         return found
 
     def verdicts(self) -> set[Verdict]:
@@ -257,8 +257,8 @@
         other = ContentDigest('y')
         for each in self.guards_by_name.values():
             self.assertEqual(Verdict.WATCHED, each.ledger.verdict(other))
-        exchange = self.peers.parts_by_name['a']
-        self.assertEqual({}, exchange._outboxes_by_peer)
+        crash_exchange = self.peers.parts_by_name['a']
+        self.assertEqual({}, crash_exchange._outboxes_by_peer)
 
     def test_a_new_instance_fetches_reports_from_a_peer(self) -> None:
         for number in range(3):
@@ -276,7 +276,7 @@
 
     def test_an_invalid_message_is_rejected(self) -> None:
         request = SmallRequest(
-            method='POST', target=crash_exchange.PATH, body=b'\xc1'
+            method='POST', target=exchange.PATH, body=b'\xc1'
         )
         page = self.finish(self.peers.parts_by_name['a'].handle(request))
         self.assertEqual(400, page.status)
@@ -404,8 +404,6 @@
             self.assertEqual(code, refused['code'])
             self.assertIn(status, (404, 405))
         self.assertEqual((200, []), call('DELETE', f'{operator_api.PATH}/x'))
-        peers.send.assert_called_once_with(
-            crash_exchange.EndMessage(released=(X,))
-        )
+        peers.send.assert_called_once_with(exchange.EndMessage(released=(X,)))
         self.assertEqual(Verdict.CLEAR, self.guard.ledger.verdict(X))
         self.assertNotIn(keys.quarantine(X), self.keys.entries_by_key)
--- a/packages/yuccarill-daemon/tests/gateway/test_standby.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_standby.py
@@ -17,7 +17,7 @@
 from yuccarill.daemon.gateway.jobs import text_fetch
 from yuccarill.daemon.gateway.jobs import texts
 from yuccarill.daemon.gateway import peer_call
-from yuccarill.daemon.gateway.quarantine import crash_detector
+from yuccarill.daemon.gateway.quarantine import detector
 from yuccarill.daemon.gateway.quarantine import guard
 from yuccarill.daemon.gateway.quarantine import watched_calls
 from yuccarill.daemon.gateway.standby import copier
@@ -52,7 +52,7 @@
         guarding = guard.ContentGuard(self.state, test.clock)
         self.calls = watched_calls.WatchedCalls(
             test.engines,
-            crash_detector.CrashDetector(test.engines, guarding, test.clock),
+            detector.CrashDetector(test.engines, guarding, test.clock),
             guarding,
         )
         self.standby_service = standby_service.StandbyService(
--- a/packages/yuccarill-daemon/tests/gateway/test_watched_calls.py
+++ b/packages/yuccarill-daemon/tests/gateway/test_watched_calls.py
@@ -13,7 +13,7 @@
 from yuccarill.core.ids import Instant
 from yuccarill.core.ids import RequestId
 from yuccarill.core.ids import TargetId
-from yuccarill.daemon.gateway.quarantine import crash_detector
+from yuccarill.daemon.gateway.quarantine import detector
 from yuccarill.daemon.gateway.quarantine import guard
 from yuccarill.daemon.gateway.quarantine import watched_calls
 from yuccarill.platform import calls
@@ -55,7 +55,7 @@
         plain = Calls(end)
         watched = watched_calls.WatchedCalls(
             plain,
-            crash_detector.CrashDetector(plain, content_guard, self.clock),
+            detector.CrashDetector(plain, content_guard, self.clock),
             content_guard,
         )
         try:
